--- a/internal/fleet/fleet_test.go
+++ b/internal/agent/agent_test.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/golden"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/tracetest"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -22,20 +22,20 @@
 //	orders TOKEN                  what would be sent
 //	answer TOKEN                  the last report is answered
 //	pass SECONDS
-func TestTraces(t *testing.T) { tracetest.Run(t, replay) }
+func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
 func replay(t *testing.T, trace []byte) []byte {
 	now := time.Unix(0, 0)
 	f := New()
 	m := f.Add("vm-1", now)
-	book := ledger.NewJobs()
-	rec := ledger.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, Chunk: 9}
+	book := jobstore.NewJobs()
+	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, Chunk: 9}
 	j, _, err := book.PutJob(wire.Marshal(rec), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	tries := map[string]uint64{}
-	return tracetest.Replay(trace, func(out *bytes.Buffer, line string, word []string) {
+	return golden.Replay(trace, func(out *bytes.Buffer, line string, word []string) {
 		number := func(i int) (n uint64) {
 			if _, err := fmt.Sscan(word[i], &n); err != nil {
 				t.Fatalf("%q: %v", line, err)
--- a/internal/fleet/commands.go
+++ b/internal/agent/commands.go
@@ -1,10 +1,10 @@
-package fleet
+package agent
 
 import (
 	"slices"
 	"time"
 
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 )
 
 // answers is what shows whether a machine gets what it is told.
@@ -76,7 +76,7 @@
 		switch {
 		case h.Stopping && (listed || !h.Sent.IsZero()):
 			need = append(need, h)
-		case !listed && !h.Stopping && h.Sendable() && h.Session == m.Session && ledger.TryTerm(h.Try) == token:
+		case !listed && !h.Stopping && h.Sendable() && h.Session == m.Session && jobstore.TryTerm(h.Try) == token:
 			// A start recorded under an earlier token is never sent again: the
 			// worker's next reports prove it gone.
 			need = append(need, h)
@@ -110,7 +110,7 @@
 			// On the machine but in no record, so it must not be.
 			zero := 0.0
 			out = append(out, Order{"halt", k.task, k.try, &zero})
-		case ledger.TryTerm(k.try) < m.Token && settled(k.task):
+		case jobstore.TryTerm(k.try) < m.Token && settled(k.task):
 			// Only now can no late copy of its start run it again.
 			out = append(out, Order{Verb: "forget", Task: k.task, Try: k.try})
 		}
--- a/internal/fleet/images.go
+++ b/internal/agent/images.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import "time"
 
--- a/internal/fleet/machine.go
+++ b/internal/agent/machine.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 )
 
 // key tells attempts apart; attempts are numbered across all tasks.
@@ -24,7 +24,7 @@
 // Assignment is an attempt on a machine, from its start being decided until there is
 // proof that it is gone.
 type Assignment struct {
-	*ledger.Attempt
+	*jobstore.Attempt
 	Since    time.Time // decided, or found by a new leader
 	Running  time.Time // first reported running; zero: not yet
 	Sent     time.Time // first sent; zero: never by this leader
@@ -79,7 +79,7 @@
 }
 
 // Assign books an attempt on its machine.
-func (m *Machine) Assign(a *ledger.Attempt, now time.Time) *Assignment {
+func (m *Machine) Assign(a *jobstore.Attempt, now time.Time) *Assignment {
 	h := &Assignment{Attempt: a, Since: now}
 	m.Assignments[key{a.Name(), a.Try}] = h
 	m.Version++
@@ -87,7 +87,7 @@
 }
 
 // Release forgets an attempt that was never sent.
-func (m *Machine) Release(a *ledger.Attempt) {
+func (m *Machine) Release(a *jobstore.Attempt) {
 	k := key{a.Name(), a.Try}
 	delete(m.Assignments, k)
 	if s, listed := m.Seen[k]; listed && s.Status != Exited {
@@ -97,7 +97,7 @@
 }
 
 // Renumber books an attempt that was never sent under its new number.
-func (m *Machine) Renumber(a *ledger.Attempt, was uint64) {
+func (m *Machine) Renumber(a *jobstore.Attempt, was uint64) {
 	old := key{a.Name(), was}
 	if h := m.Assignments[old]; h != nil {
 		delete(m.Assignments, old)
@@ -107,7 +107,7 @@
 }
 
 // AssignmentOf returns the assignment of an attempt, or nil.
-func (m *Machine) AssignmentOf(a *ledger.Attempt) *Assignment {
+func (m *Machine) AssignmentOf(a *jobstore.Attempt) *Assignment {
 	return m.Assignments[key{a.Name(), a.Try}]
 }
 
@@ -186,7 +186,7 @@
 				h.Running = now
 			}
 			continue
-		case ledger.TryTerm(h.Try) < r.Token:
+		case jobstore.TryTerm(h.Try) < r.Token:
 			out = append(out, Outcome{h, CauseLost})
 		default:
 			h.Missing++
--- a/internal/fleet/fleet.go
+++ b/internal/agent/registry.go
@@ -1,6 +1,6 @@
-// Package fleet keeps what is known of the workers: their sessions, what their
+// Package agent keeps what is known of the workers: their sessions, what their
 // reports prove about attempts, and the commands that they are to get.
-package fleet
+package agent
 
 import (
 	"time"
@@ -15,7 +15,7 @@
 	pruned time.Time // when names that are long gone were last dropped
 }
 
-// New returns an empty fleet.
+// New returns an empty registry.
 func New() *Fleet {
 	return &Fleet{byName: map[string]*Machine{}, gone: map[string]time.Time{}}
 }
--- a/internal/fleet/report.go
+++ b/internal/agent/report.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 			return t.Status == Exited
 		}
 	}
-	return ledger.TryTerm(try) < r.Token
+	return jobstore.TryTerm(try) < r.Token
 }
 
 // TaskReport is one attempt as a worker has it.
--- a/internal/intake/intake.go
+++ b/internal/api/handler.go
@@ -1,7 +1,7 @@
-// Package intake is the users' side of a controller: it takes submissions and
+// Package api is the users' side of a controller: it takes submissions and
 // cancellations on any node, with or without a leader, and answers polls. What
 // it tells is durable in the state service before it is told.
-package intake
+package api
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
 // Intake answers users.
 type Intake struct {
-	Store     *statestore.Client
+	Store     *kvstore.Client
 	Teams     []config.Team
 	ChunkSize int
 	Types     func() []cloud.Type                       // nil while the catalog is unknown
@@ -44,7 +44,7 @@
 func (in *Intake) Confirm(ctx context.Context) error { return in.replica.confirm(ctx) }
 
 // Places returns where tasks of an unfinished job may be, by what was read last.
-func (in *Intake) Places(id string) []ledger.Place { return in.replica.places(id) }
+func (in *Intake) Places(id string) []jobstore.Place { return in.replica.places(id) }
 
 // Run keeps the copy of the records that polls are answered from, until ctx ends.
 func (in *Intake) Run(ctx context.Context) { in.replica.run(ctx) }
@@ -117,7 +117,7 @@
 		if err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
 		}
-		if !errors.Is(err, statestore.ErrNotFound) {
+		if !errors.Is(err, kvstore.ErrNotFound) {
 			return later()
 		}
 		return refusal
@@ -129,16 +129,16 @@
 		}
 		return later()
 	}
-	rec := ledger.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: in.ChunkSize}
+	rec := jobstore.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: in.ChunkSize}
 	_, err = in.Store.Txn(ctx,
-		[]statestore.Cond{{Key: ledger.JobKey(id)}, {Key: ledger.EndKey(id)}},
-		[]statestore.Op{{Put: ledger.JobKey(id), Value: wire.Marshal(rec)}}, statestore.User)
-	var conflict *statestore.ConflictError
+		[]kvstore.Cond{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
+		[]kvstore.Op{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.User)
+	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
 		in.Changed(id)
 		return wire.Response{Status: 201, Body: wire.Marshal(brief{id, pending})}
-	case errors.As(err, &conflict), errors.Is(err, statestore.ErrUnknown):
+	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 		// Known already, or perhaps written just now: what stands decides.
 		if st, err := in.lookup(ctx, id); err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
@@ -214,7 +214,7 @@
 	switch {
 	case err == nil:
 		return wire.Response{Status: 200, Body: wire.Marshal(st)}
-	case errors.Is(err, statestore.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		return fail(404, "no such job")
 	}
 	return later()
@@ -229,28 +229,28 @@
 	}
 	st, found, err := in.replica.status(id)
 	if err != nil || found {
-		if st.Status == ledger.Cancelled {
+		if st.Status == jobstore.Cancelled {
 			err = in.mayTell(ctx, id)
 		}
 		return st, err
 	}
-	it, err := in.Store.Get(ctx, ledger.EndKey(id), statestore.User)
+	it, err := in.Store.Get(ctx, jobstore.EndKey(id), kvstore.User)
 	if err != nil {
 		return st, err
 	}
-	var end ledger.Final
+	var end jobstore.Final
 	if err := wire.Unmarshal(it.Value, &end); err != nil {
 		return st, err
 	}
 	in.Finished(id, end.Status)
 	st = status{ID: id, Status: end.Status}
-	if end.Status == ledger.Done {
+	if end.Status == jobstore.Done {
 		st.Done = end.Tasks
 	}
 	return st, nil
 }
 
-var errUntold = errors.New("intake: too few controllers hold the cancellation")
+var errUntold = errors.New("api: too few controllers hold the cancellation")
 
 // mayTell tells whether a user may be told that an unfinished job is cancelled: that
 // starts the time in which its tasks must be gone, so most controllers must hold it in
@@ -262,7 +262,7 @@
 	if !in.Spread(ctx, id) {
 		return errUntold
 	}
-	in.Finished(id, ledger.Cancelled)
+	in.Finished(id, jobstore.Cancelled)
 	return nil
 }
 
@@ -274,11 +274,11 @@
 		return answer(s)
 	}
 	for range 3 {
-		it, err := in.Store.Get(ctx, ledger.JobKey(id), statestore.User)
-		if errors.Is(err, statestore.ErrNotFound) {
+		it, err := in.Store.Get(ctx, jobstore.JobKey(id), kvstore.User)
+		if errors.Is(err, kvstore.ErrNotFound) {
 			st, err := in.lookup(ctx, id)
 			switch {
-			case errors.Is(err, statestore.ErrNotFound):
+			case errors.Is(err, kvstore.ErrNotFound):
 				return fail(404, "no such job")
 			case err != nil || st.Status == pending || st.Status == running:
 				return later()
@@ -288,7 +288,7 @@
 		if err != nil {
 			return later()
 		}
-		rec, err := ledger.DecodeRecord(it.Value)
+		rec, err := jobstore.DecodeRecord(it.Value)
 		if err != nil {
 			slog.Error("job record unreadable", "job", id, "err", err)
 			return later()
@@ -298,10 +298,10 @@
 			if rec.Arrival == 0 {
 				rec.Arrival = it.Rev
 			}
-			_, err = in.Store.Txn(ctx, []statestore.Cond{{Key: it.Key, Rev: it.Rev}},
-				[]statestore.Op{{Put: it.Key, Value: wire.Marshal(rec)}}, statestore.User)
+			_, err = in.Store.Txn(ctx, []kvstore.Cond{{Key: it.Key, Rev: it.Rev}},
+				[]kvstore.Op{{Put: it.Key, Value: wire.Marshal(rec)}}, kvstore.User)
 		}
-		var conflict *statestore.ConflictError
+		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
 			in.Cancelled(id)
@@ -311,8 +311,8 @@
 			if in.Confirm(ctx) != nil || in.mayTell(ctx, id) != nil {
 				return later()
 			}
-			return answer(ledger.Cancelled)
-		case errors.As(err, &conflict), errors.Is(err, statestore.ErrUnknown):
+			return answer(jobstore.Cancelled)
+		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			continue // read back what stands
 		}
 		return later()
--- a/internal/intake/replica.go
+++ b/internal/api/replica.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 )
 
 // replica is this node's copy of what users may be told of unfinished jobs. One
@@ -20,7 +20,7 @@
 // asked about every 5 s, they took more than the state service's whole rate, and
 // the same users were refused again and again.
 type replica struct {
-	store *statestore.Client
+	store *kvstore.Client
 	gap   time.Duration // least time between two reads
 	wake  chan struct{}
 	learn func(cancelled []string, asOf time.Time) // jobs newly found cancelled by a read sent then
@@ -52,14 +52,14 @@
 type tally struct {
 	rev  uint64
 	done int
-	live []ledger.Place
+	live []jobstore.Place
 }
 
 // readShare is the part of the state service's rate that one node spends at most
 // on keeping its copy fresh while users ask.
 const readShare = 0.1
 
-func newReplica(store *statestore.Client, rps float64, learn func([]string, time.Time)) *replica {
+func newReplica(store *kvstore.Client, rps float64, learn func([]string, time.Time)) *replica {
 	return &replica{store: store, learn: learn, gap: time.Duration(float64(time.Second) / (readShare * rps)),
 		wake: make(chan struct{}, 1), jobs: map[string]*view{}}
 }
@@ -122,12 +122,12 @@
 	sent := time.Now()
 	rctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	events, rev, err := r.store.Changes(rctx, ledger.JobPrefix, r.rev)
-	if errors.Is(err, statestore.ErrCompacted) {
+	events, rev, err := r.store.Changes(rctx, jobstore.JobPrefix, r.rev)
+	if errors.Is(err, kvstore.ErrCompacted) {
 		r.rev = 0
 	}
 	if err != nil {
-		return fmt.Errorf("intake: changes: %w", err)
+		return fmt.Errorf("api: changes: %w", err)
 	}
 	r.mu.Lock()
 	for i := range events {
@@ -154,15 +154,15 @@
 	jobs := map[string]*view{}
 	rev, after := uint64(0), ""
 	for {
-		page, err := r.store.List(ctx, ledger.JobPrefix, after, 1000, statestore.User)
+		page, err := r.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.User)
 		if err != nil {
-			return fmt.Errorf("intake: records: %w", err)
+			return fmt.Errorf("api: records: %w", err)
 		}
 		if rev == 0 {
 			rev = page.Rev
 		}
 		for _, it := range page.Items {
-			apply(jobs, &statestore.Event{Put: it.Key, Value: it.Value, Rev: it.Rev})
+			apply(jobs, &kvstore.Event{Put: it.Key, Value: it.Value, Rev: it.Rev})
 			after = it.Key
 		}
 		if !page.More || len(page.Items) == 0 {
@@ -176,8 +176,8 @@
 }
 
 // apply takes one change into a copy.
-func apply(jobs map[string]*view, e *statestore.Event) {
-	id, chunk, ok := ledger.SplitKey(e.Put + e.Delete)
+func apply(jobs map[string]*view, e *kvstore.Event) {
+	id, chunk, ok := jobstore.SplitKey(e.Put + e.Delete)
 	if !ok {
 		return
 	}
@@ -194,7 +194,7 @@
 	case chunk >= 0 && e.Delete != "":
 		delete(v.chunks, chunk)
 	case chunk >= 0:
-		done, live, err := ledger.ReadChunk(id, e.Value)
+		done, live, err := jobstore.ReadChunk(id, e.Value)
 		if err != nil {
 			slog.Error("chunk unreadable", "key", e.Put, "err", err)
 		}
@@ -202,7 +202,7 @@
 	case e.Delete != "":
 		v.known, v.rev = false, e.Rev
 	default:
-		cancelled, base, err := ledger.ReadRecord(e.Value)
+		cancelled, base, err := jobstore.ReadRecord(e.Value)
 		if err != nil {
 			slog.Error("job record unreadable", "key", e.Put, "err", err)
 		}
@@ -213,7 +213,7 @@
 	}
 }
 
-var errBroken = errors.New("intake: record unreadable")
+var errBroken = errors.New("api: record unreadable")
 
 // status returns what the copy says of an unfinished job.
 func (r *replica) status(id string) (st status, found bool, err error) {
@@ -226,7 +226,7 @@
 	case v.broken:
 		return status{}, true, errBroken
 	case v.cancelled:
-		return status{ID: id, Status: ledger.Cancelled}, true, nil
+		return status{ID: id, Status: jobstore.Cancelled}, true, nil
 	}
 	st = status{ID: id, Status: pending}
 	for n, c := range v.chunks {
@@ -242,7 +242,7 @@
 }
 
 // places returns where tasks of an unfinished job may be, by the copy.
-func (r *replica) places(id string) (out []ledger.Place) {
+func (r *replica) places(id string) (out []jobstore.Place) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.jobs[id]; v != nil {
--- a/internal/intake/replica_test.go
+++ b/internal/api/replica_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -17,17 +17,17 @@
 // it holds is not missed by whoever still looks at it.
 func TestCopyStandsUntilReadAnew(t *testing.T) {
 	const id = "wk-000001"
-	store := statestore.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }, "", 100, 100)
+	store := kvstore.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }, "", 100, 100)
 	r := newReplica(store, 100, func([]string, time.Time) {})
-	record := wire.Marshal(ledger.Record{Spec: &job.Spec{ID: id}, Chunk: 1})
-	apply(r.jobs, &statestore.Event{Put: ledger.JobKey(id), Value: record, Rev: 7})
+	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, Chunk: 1})
+	apply(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Rev: 7})
 	if err := r.load(context.Background()); err == nil {
 		t.Fatal("read from a service that is down")
 	}
 	if st, found, err := r.status(id); err != nil || !found || st.Status != pending {
 		t.Errorf("%+v, found %v, %v", st, found, err)
 	}
-	apply(r.jobs, &statestore.Event{Delete: ledger.JobKey(id), Rev: 9})
+	apply(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Rev: 9})
 	if _, found, _ := r.status(id); found {
 		t.Error("found after its end")
 	}
--- a/internal/rental/learned.go
+++ b/internal/autoscaler/learned.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 // Learned corrects the owners' estimates of run times by what tasks of the same
 // class have taken: estimates are often wrong, and on some days mostly to the
--- a/internal/rental/offered.go
+++ b/internal/autoscaler/offered.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"math"
--- a/internal/rental/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,6 +1,6 @@
-// Package rental decides which machines to rent and which to return. It is
+// Package autoscaler decides which machines to rent and which to return. It is
 // pure: it is given demand, machines and prices, and returns decisions.
-package rental
+package autoscaler
 
 import (
 	"maps"
--- a/internal/controller/cancelled_test.go
+++ b/internal/controller/cancelled_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 )
 
 // refuse cuts a node off from the state service, and from the other nodes too if asked.
@@ -158,7 +158,7 @@
 				c.hang(false)
 				c.net.Cut(nil)
 				c.store.Down(false)
-				c.until("answered", 20*time.Second, func() bool { return c.status(old, "wk-000001") == ledger.Cancelled })
+				c.until("answered", 20*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.Cancelled })
 				c.until("the other job runs", 2*time.Minute, func() bool { return c.referee.OnOf(other) == 4 })
 			})
 		})
@@ -235,7 +235,7 @@
 		time.Sleep(2 * time.Second)
 		told := func() bool {
 			on := c.referee.On()
-			if c.status(at, "wk-000001") != ledger.Cancelled {
+			if c.status(at, "wk-000001") != jobstore.Cancelled {
 				return false
 			}
 			if on != 0 {
@@ -261,7 +261,7 @@
 		c.runService(8)
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 8, 0))
 		c.until("both run", time.Minute, func() bool { return c.referee.On() == 16 })
-		c.store.HoldBack(10_000, ledger.EndKey(""))
+		c.store.HoldBack(10_000, jobstore.EndKey(""))
 		c.abort(1, "wk-000002")
 		c.until("cancelled tasks gone", 10*time.Second, func() bool { return c.referee.On() == 8 })
 		time.Sleep(45 * time.Second)
@@ -275,7 +275,7 @@
 		}
 		c.net.Cut(nil)
 		c.store.HoldBack(0, "")
-		c.over(20*time.Second, map[string]string{"wk-000002": ledger.Cancelled})
-		c.until("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(ledger.EndKey("wk-000002"))) == 1 })
+		c.over(20*time.Second, map[string]string{"wk-000002": jobstore.Cancelled})
+		c.until("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -15,10 +15,10 @@
 
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/standin"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -26,10 +26,10 @@
 // simulated time.
 type cluster struct {
 	t       *testing.T
-	net     *standin.Net
-	store   *standin.Store
-	cloud   *standin.Cloud
-	referee *standin.Referee
+	net     *fake.Net
+	store   *fake.Store
+	cloud   *fake.Cloud
+	referee *fake.Referee
 	nodes   []*Node         // nil: the controller runs an older version
 	older   [3]olderVersion // that a controller runs when it is started; nil: this version
 	leads   []func() bool   // whether a controller leads
@@ -44,13 +44,13 @@
 }
 
 // olderVersion returns a controller of an older version, and what tells whether it leads.
-type olderVersion func(*config.Settings, *standin.Net) (run func(context.Context) error, leads func() bool)
+type olderVersion func(*config.Settings, *fake.Net) (run func(context.Context) error, leads func() bool)
 
 // told keeps what users were told of each job.
 type told struct {
 	mu      sync.Mutex
 	last    map[string]string // status by job
-	referee *standin.Referee
+	referee *fake.Referee
 }
 
 func (w *told) known(id string) string {
@@ -64,7 +64,7 @@
 	switch status {
 	case "":
 		return 0
-	case ledger.Done, ledger.Cancelled:
+	case jobstore.Done, jobstore.Cancelled:
 		return 2
 	}
 	return 1
@@ -79,7 +79,7 @@
 	if resp.Status != 404 && (resp.Status != 200 && resp.Status != 201 || wire.Unmarshal(resp.Body, &st) != nil || st.Status == "") {
 		return ""
 	}
-	if st.Status == ledger.Cancelled {
+	if st.Status == jobstore.Cancelled {
 		w.referee.Told(id)
 	}
 	w.mu.Lock()
@@ -118,14 +118,14 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := &cluster{t: t, net: standin.NewNet(ctx), store: standin.NewStore(), referee: standin.NewReferee(), rps: 200, limit: 16, zones: []string{"a"}}
+		c := &cluster{t: t, net: fake.NewNet(ctx), store: fake.NewStore(), referee: fake.NewReferee(), rps: 200, limit: 16, zones: []string{"a"}}
 		c.referee.Within = 51 * time.Second
 		c.told = told{last: map[string]string{}, referee: c.referee}
 		var names, addrs []string
 		for i := range 3 {
 			names, addrs = append(names, nodeName(i)), append(addrs, nodeAddr(i))
 		}
-		c.cloud = standin.NewCloud(c.net, c.referee, names, addrs, 26*time.Second,
+		c.cloud = fake.NewCloud(c.net, c.referee, names, addrs, 26*time.Second,
 			cloud.Type{Name: "box", CPUs: 4, RAM: 16, Hourly: 1, FetchRate: 1, Disk: 50, BootS: 10, Zones: []string{"a"}}, 6)
 		go c.net.Serve(ctx, stateAddr, c.store.Handle)
 		go c.net.Serve(ctx, cloudAddr, c.cloud.Handle)
@@ -201,7 +201,7 @@
 // offer sets how many machines there are in all, and how many CPUs the team may use, as
 // controllers started from then on are told.
 func (c *cluster) offer(machines int, limit float64) {
-	c.cloud.Change(func(cl *standin.Cloud) { cl.Capacity = machines })
+	c.cloud.Change(func(cl *fake.Cloud) { cl.Capacity = machines })
 	c.limit = limit
 }
 
@@ -296,8 +296,8 @@
 	var kept struct {
 		Term uint64 `cbor:"term"`
 	}
-	store := statestore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-	item, err := store.Get(c.t.Context(), "lead/term", statestore.Lease)
+	store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
+	item, err := store.Get(c.t.Context(), "lead/term", kvstore.Lease)
 	if err != nil || wire.Unmarshal(item.Value, &kept) != nil {
 		c.t.Fatalf("no term: %v", err)
 	}
@@ -394,5 +394,5 @@
 }
 
 func (c *cluster) done(id string) func() bool {
-	return func() bool { return c.status(2, id) == ledger.Done }
+	return func() bool { return c.status(2, id) == jobstore.Done }
 }
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"time"
 
+	"tulipshelf/internal/autoscaler"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/relay"
-	"tulipshelf/internal/rental"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -24,9 +24,9 @@
 // estimates is its value. It names the jobs that fail on every machine, too: a new leader
 // would try all of their tasks at once (TestMistakenJob).
 type estimates struct {
-	Estimates rental.Estimates `cbor:"estimates"`
-	Failing   []string         `cbor:"failing"`
-	Gangs     rental.Estimates `cbor:"gangs"`
+	Estimates autoscaler.Estimates `cbor:"estimates"`
+	Failing   []string             `cbor:"failing"`
+	Gangs     autoscaler.Estimates `cbor:"gangs"`
 }
 
 func (l *leader) saveEstimates(now time.Time) {
@@ -34,7 +34,7 @@
 		return
 	}
 	l.estimatesSaved = now
-	m := estimates{Estimates: rental.NewEstimates(&l.offered, &l.learned), Gangs: rental.NewEstimates(&l.gangs, &rental.Learned{})}
+	m := estimates{Estimates: autoscaler.NewEstimates(&l.offered, &l.learned), Gangs: autoscaler.NewEstimates(&l.gangs, &autoscaler.Learned{})}
 	for j, st := range l.jobStates {
 		if st.failing() && len(m.Failing) < min(maxFailing, l.node.settings.State.ValueBytes/2/16) {
 			m.Failing = append(m.Failing, j.Spec.ID)
@@ -45,7 +45,7 @@
 		return
 	}
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []statestore.Cond{fence}, []statestore.Op{{Put: estimatesKey, Value: value}}, statestore.Rest)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, []kvstore.Op{{Put: estimatesKey, Value: value}}, kvstore.Rest)
 		if err != nil {
 			slog.Debug("estimates not kept", "err", err)
 		}
@@ -55,7 +55,7 @@
 // loadEstimates takes the estimates that an earlier leader has kept. Without them this
 // one begins from the jobs it reads.
 func (l *leader) loadEstimates(ctx context.Context) {
-	it, err := l.node.store.Get(ctx, estimatesKey, statestore.Lease)
+	it, err := l.node.store.Get(ctx, estimatesKey, kvstore.Lease)
 	if err != nil {
 		slog.Debug("no estimates recalled", "err", err)
 		return
@@ -67,7 +67,7 @@
 	}
 	m.Estimates.Restore(&l.offered, &l.learned)
 	if m.Gangs.CameMS > 0 {
-		m.Gangs.Restore(&l.gangs, &rental.Learned{})
+		m.Gangs.Restore(&l.gangs, &autoscaler.Learned{})
 	}
 	l.estimatesUntil = time.UnixMilli(m.Estimates.LastMS)
 	for _, id := range m.Failing {
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -14,8 +14,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/peer"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -38,8 +38,8 @@
 		var out bytes.Buffer
 		out.WriteString(previousHeader)
 		forms := map[string]bool{}
-		store := statestore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := store.List(context.Background(), "", "", 1000, statestore.Lease)
+		store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
+		page, err := store.List(context.Background(), "", "", 1000, kvstore.Lease)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/autoscaler"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/placement"
-	"tulipshelf/internal/rental"
 )
 
 // mates returns how many tasks on other machines lose as much when one task stops.
-func (l *leader) mates(j *ledger.Job) int {
+func (l *leader) mates(j *jobstore.Job) int {
 	if j.Gang() {
 		return j.Spec.Tasks - 1
 	}
@@ -29,7 +29,7 @@
 //
 // It guards against gangs that nobody completes: a leader that ends while it records or
 // sends the starts of one, a machine that dies before the others have begun.
-func (l *leader) reconcileGang(j *ledger.Job, now time.Time) {
+func (l *leader) reconcileGang(j *jobstore.Job, now time.Time) {
 	if !j.Gang() || j.Cancelled || j.LiveTasks() == 0 || j.DoneTasks() > 0 || j.Whole() {
 		return
 	}
@@ -38,9 +38,9 @@
 
 // stopGang lets a gang save its progress and stop, if all of its machines can be told in
 // time; otherwise nobody is told, as a part would only lose the progress of all.
-func (l *leader) stopGang(j *ledger.Job, now time.Time) {
+func (l *leader) stopGang(j *jobstore.Job, now time.Time) {
 	reach := true
-	j.Attempts(func(a *ledger.Attempt) {
+	j.Attempts(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		h := m.AssignmentOf(a)
 		reach = reach && h != nil && l.reaches(m, now)
@@ -49,14 +49,14 @@
 		slog.Debug("gang not stopped", "job", j.Spec.ID)
 		return
 	}
-	j.Attempts(func(a *ledger.Attempt) {
+	j.Attempts(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		m.Stop(m.AssignmentOf(a), j.Spec.SaveS)
 	})
 }
 
 // reaches tells whether a machine has been heard lately and gets what it is told.
-func (l *leader) reaches(m *fleet.Machine, now time.Time) bool {
+func (l *leader) reaches(m *agent.Machine, now time.Time) bool {
 	return m.Known && !m.Gone && m.Via == "" && !m.Unreached && !m.Pushing && m.DeafSince.IsZero() && !m.Failed &&
 		now.Sub(m.Heard) < l.node.settings.Workers.Report*3/2
 }
@@ -68,7 +68,7 @@
 }
 
 // gangArrived notes what gangs usually bring.
-func (l *leader) gangArrived(j *ledger.Job) {
+func (l *leader) gangArrived(j *jobstore.Job) {
 	if j.At.After(l.estimatesUntil) {
 		l.gangs.Add(float64(j.Spec.Tasks)*size(l.jobStates[j].need)*(l.expect(j)+l.fetchSeconds(j)), j.At)
 	}
@@ -88,7 +88,7 @@
 	if spare < 1 {
 		return nil
 	}
-	l.jobs.Jobs(func(j *ledger.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		if j.Gang() && l.jobStates[j].team >= 0 && !j.Cancelled {
 			spare -= float64(j.Spec.Tasks) * size(l.jobStates[j].need)
 		}
@@ -112,9 +112,9 @@
 }
 
 // gangReserve is the demand for room for gangs to come.
-func (l *leader) gangReserve(now time.Time) (out []rental.Demand) {
+func (l *leader) gangReserve(now time.Time) (out []autoscaler.Demand) {
 	for _, k := range l.gangsKept(now) {
-		out = append(out, rental.Demand{Need: k.state.need, Types: k.state.types, Zone: k.state.zone, Spot: k.spec.Spot, OneZone: k.spec.OneZone, Tasks: k.spec.Tasks})
+		out = append(out, autoscaler.Demand{Need: k.state.need, Types: k.state.types, Zone: k.state.zone, Spot: k.spec.Spot, OneZone: k.spec.OneZone, Tasks: k.spec.Tasks})
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 }
 
 // ends returns about when an attempt ends by itself; zero: it does not.
-func (l *leader) ends(h *fleet.Assignment) time.Time {
+func (l *leader) ends(h *agent.Assignment) time.Time {
 	if h.Job.Spec.Shape == job.Service {
 		return time.Time{}
 	}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -1,7 +1,7 @@
 package controller
 
 // Gangs, by each row of the operators' table, with and without a change of leader in the
-// middle. The stand-in workers play them by the page (standin.Gangs).
+// middle. The stand-in workers play them by the page (fake.Gangs).
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/standin"
+	"tulipshelf/internal/jobstore"
 )
 
 const gangID = "wk-000500"
@@ -51,7 +51,7 @@
 }
 
 // gangMachines returns the workers that have tasks of the gang.
-func (c *cluster) gangMachines() (out []*standin.Worker) {
+func (c *cluster) gangMachines() (out []*fake.Worker) {
 	for _, w := range c.cloud.Machines() {
 		if w.Has(gangID) {
 			out = append(out, w)
@@ -70,7 +70,7 @@
 		middle()
 		c.until("done", time.Minute, c.done(gangID))
 		c.startedOnce()
-		if got := c.cloud.Gangs.Counted(); got != (standin.GangCount{Began: 1, Done: 1}) {
+		if got := c.cloud.Gangs.Counted(); got != (fake.GangCount{Began: 1, Done: 1}) {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -131,7 +131,7 @@
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(8)
-		c.store.HoldBack(20, ledger.JobKey(gangID)+"/")
+		c.store.HoldBack(20, jobstore.JobKey(gangID)+"/")
 		c.accept(10*time.Second, 0, gang(8, 10))
 		time.Sleep(4 * time.Second)
 		if n := c.referee.OnOf(gangID); n != 0 {
@@ -369,7 +369,7 @@
 			m["uid"] = id
 			c.accept(10*time.Second, i, m)
 		}
-		for !slices.ContainsFunc(ids, func(id string) bool { return c.status(0, id) == ledger.Done }) {
+		for !slices.ContainsFunc(ids, func(id string) bool { return c.status(0, id) == jobstore.Done }) {
 			on := 0
 			for _, id := range ids {
 				if n := c.referee.OnOf(id); n > 0 {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -10,16 +10,16 @@
 	"sync/atomic"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/api"
+	"tulipshelf/internal/autoscaler"
 	"tulipshelf/internal/cloud"
-	"tulipshelf/internal/fleet"
-	"tulipshelf/internal/intake"
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/ledger"
 	"tulipshelf/internal/pause"
 	"tulipshelf/internal/placement"
-	"tulipshelf/internal/rental"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -43,12 +43,12 @@
 	loaded          atomic.Bool
 	gathered        bool
 	listed          bool // the cloud's list has been read
-	jobs            *ledger.Jobs
-	fleet           *fleet.Fleet
-	machines        map[*fleet.Machine]*machineState
-	jobStates       map[*ledger.Job]*jobState
-	writing         bool // a ledger transaction or a raise is in flight
-	orphans         []statestore.Op
+	jobs            *jobstore.Jobs
+	fleet           *agent.Fleet
+	machines        map[*agent.Machine]*machineState
+	jobStates       map[*jobstore.Job]*jobState
+	writing         bool // a transaction of job records or a raise is in flight
+	orphans         []kvstore.Op
 	raised          time.Time
 	raiseAsked      time.Time // when it was last looked whether a new term is needed
 	workerClients   map[string]*wire.Client
@@ -61,9 +61,9 @@
 	blocked         map[pool]time.Time
 	cutUntil        []time.Time // by zone: when it was last seen cut off
 	redirectedSince time.Time   // since when machines go to another node; zero: they do not
-	offered         rental.Offered
-	gangs           rental.Offered // the same for gangs
-	learned         rental.Learned
+	offered         autoscaler.Offered
+	gangs           autoscaler.Offered // the same for gangs
+	learned         autoscaler.Learned
 	estimatesUntil  time.Time       // up to when an earlier leader's estimates reach
 	failed          map[string]bool // jobs that failed on every machine under it
 	estimatesSaved  time.Time       // when the estimates were last kept
@@ -95,7 +95,7 @@
 	valid    bool
 	free     placement.Amounts
 	tasks    []placement.Task
-	assigned []*fleet.Assignment
+	assigned []*agent.Assignment
 }
 
 // pool is a kind of machine that is rented as one.
@@ -121,11 +121,11 @@
 		node: n, term: r, ctx: ctx,
 		events:    make(chan func(), max(minEvents, n.settings.Resources.MaxSockets)),
 		typeIndex: map[string]int{}, zoneIndex: map[string]int{}, teamIndex: map[string]int{},
-		jobs: ledger.NewJobs(), fleet: fleet.New(),
-		machines: map[*fleet.Machine]*machineState{}, jobStates: map[*ledger.Job]*jobState{},
+		jobs: jobstore.NewJobs(), fleet: agent.New(),
+		machines: map[*agent.Machine]*machineState{}, jobStates: map[*jobstore.Job]*jobState{},
 		workerClients: map[string]*wire.Client{},
 		blocked:       map[pool]time.Time{}, renting: map[string]string{}, failed: map[string]bool{}, relays: map[string]*proxyState{},
-		offered: rental.Offered{Memory: 150 * time.Second}, gangs: rental.Offered{Memory: 150 * time.Second},
+		offered: autoscaler.Offered{Memory: 150 * time.Second}, gangs: autoscaler.Offered{Memory: 150 * time.Second},
 		lastGangs: map[string]gangKind{},
 		started:   time.Now(), firstTerm: r.Number(),
 	}
@@ -255,7 +255,7 @@
 	var rev uint64
 	after := ""
 	for {
-		page, err := l.node.store.List(ctx, ledger.JobPrefix, after, 1000, statestore.Lease)
+		page, err := l.node.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.Lease)
 		if err != nil {
 			slog.Debug("records not read", "err", err)
 			select {
@@ -279,8 +279,8 @@
 		}
 	}
 	now := time.Now()
-	l.jobs.Jobs(func(j *ledger.Job) {
-		j.Attempts(func(a *ledger.Attempt) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
+		j.Attempts(func(a *jobstore.Attempt) {
 			l.machine(a.Machine, now).Assign(a, now)
 		})
 	})
@@ -289,8 +289,8 @@
 	return rev, nil
 }
 
-func (l *leader) loadItem(it statestore.Item) error {
-	id, chunk, ok := ledger.SplitKey(it.Key)
+func (l *leader) loadItem(it kvstore.Item) error {
+	id, chunk, ok := jobstore.SplitKey(it.Key)
 	if !ok {
 		return fmt.Errorf("controller: unexpected key")
 	}
@@ -302,14 +302,14 @@
 		return err
 	}
 	if l.jobs.Job(id) == nil {
-		l.orphans = append(l.orphans, statestore.Op{Delete: it.Key})
+		l.orphans = append(l.orphans, kvstore.Op{Delete: it.Key})
 		return nil
 	}
 	return l.jobs.PutChunk(id, chunk, it.Value, it.Rev)
 }
 
 // addJob maps a job's names to dense indices.
-func (l *leader) addJob(j *ledger.Job) {
+func (l *leader) addJob(j *jobstore.Job) {
 	if l.jobStates[j] != nil {
 		return
 	}
@@ -330,7 +330,7 @@
 	}
 	st.types = make([]bool, len(l.types))
 	for i := range l.types {
-		st.types[i] = intake.Allows(s, &l.types[i])
+		st.types[i] = api.Allows(s, &l.types[i])
 	}
 	l.jobStates[j] = st
 	l.replan = true
@@ -350,15 +350,15 @@
 //
 // It guards against machines kept for teams without a guarantee that have gone: after an array of 25,000
 // tasks up to 117 machines stood empty for 150 s (visitors of kapana-orders-ops).
-func (l *leader) opportunistic(j *ledger.Job) bool {
+func (l *leader) opportunistic(j *jobstore.Job) bool {
 	return l.node.settings.Teams[l.jobStates[j].team].Opportunistic()
 }
 
 // watch follows the jobs that users submit and cancel on any node.
 func (l *leader) watch(ctx context.Context, rev uint64, fail context.CancelCauseFunc) {
 	for ctx.Err() == nil {
-		events, at, err := l.node.store.Watch(ctx, ledger.JobPrefix, rev, 10*time.Second)
-		if errors.Is(err, statestore.ErrCompacted) {
+		events, at, err := l.node.store.Watch(ctx, jobstore.JobPrefix, rev, 10*time.Second)
+		if errors.Is(err, kvstore.ErrCompacted) {
 			fail(fmt.Errorf("controller: watch: %w", err)) // a new term reads everything again
 			return
 		}
@@ -387,7 +387,7 @@
 				if !job.ValidID(id) {
 					continue
 				}
-				it, err := l.node.store.Get(l.ctx, ledger.JobKey(id), statestore.Rest)
+				it, err := l.node.store.Get(l.ctx, jobstore.JobKey(id), kvstore.Rest)
 				if err != nil {
 					return
 				}
@@ -397,14 +397,14 @@
 	})
 }
 
-func (l *leader) onChange(e *statestore.Event) {
-	if id, chunk, ok := ledger.SplitKey(e.Delete); e.Delete != "" && ok && chunk < 0 {
+func (l *leader) onChange(e *kvstore.Event) {
+	if id, chunk, ok := jobstore.SplitKey(e.Delete); e.Delete != "" && ok && chunk < 0 {
 		if j := l.jobs.SawDeleted(id); j != nil {
 			l.ended(j)
 		}
 		return
 	}
-	if _, chunk, ok := ledger.SplitKey(e.Put); e.Put == "" || !ok || chunk >= 0 {
+	if _, chunk, ok := jobstore.SplitKey(e.Put); e.Put == "" || !ok || chunk >= 0 {
 		return
 	}
 	l.onJob(e.Value, e.Rev)
@@ -441,21 +441,21 @@
 //
 // The latter guards against machines returned by a new leader for tasks that had long gone,
 // where the ends of their jobs could not be recorded in time (inc-b469).
-func (l *leader) stopAttempts(j *ledger.Job, now time.Time) {
+func (l *leader) stopAttempts(j *jobstore.Job, now time.Time) {
 	if !l.writing {
 		for _, a := range l.jobs.DropUnrecorded(j, now) {
 			l.machine(a.Machine, now).Release(a)
 		}
 	}
-	var gone []*ledger.Attempt
-	j.Attempts(func(a *ledger.Attempt) {
+	var gone []*jobstore.Attempt
+	j.Attempts(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		h := m.AssignmentOf(a)
 		switch {
 		case h == nil || !a.Recorded:
 		case j.Cancelled && l.node.guard.proven(a.Name(), a.Try):
 			gone = append(gone, a)
-		case h.Sent.IsZero() && ledger.TryTerm(a.Try) >= l.firstTerm:
+		case h.Sent.IsZero() && jobstore.TryTerm(a.Try) >= l.firstTerm:
 			gone = append(gone, a) // recorded by this leader and never sent
 		default:
 			m.Stop(h, 0)
@@ -468,11 +468,11 @@
 }
 
 // machine returns the machine of a recorded attempt, known to the cloud or not.
-func (l *leader) machine(name string, now time.Time) *fleet.Machine {
+func (l *leader) machine(name string, now time.Time) *agent.Machine {
 	m := l.fleet.Add(name, now)
 	if m == nil {
 		// A machine that was returned holds nothing; an empty one stands for it.
-		m = &fleet.Machine{Name: name, Gone: true}
+		m = &agent.Machine{Name: name, Gone: true}
 	}
 	if l.machines[m] == nil && !m.Gone {
 		m.Type, m.Zone = -1, -1
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -10,7 +10,7 @@
 
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 )
 
 // lowered are the limits to come, of a small state service.
@@ -37,7 +37,7 @@
 				c.next = lowered
 				c.anew(60, 240)
 				c.runService(8)
-				want := map[string]string{"wk-000100": ledger.Done, "wk-000101": ledger.Done, gangID: ledger.Done}
+				want := map[string]string{"wk-000100": jobstore.Done, "wk-000101": jobstore.Done, gangID: jobstore.Done}
 				c.accept(10*time.Second, 0, submission("wk-000100", job.Array, 600, 10))
 				c.accept(10*time.Second, 1, submission("wk-000101", job.Array, 300, 20))
 				c.accept(10*time.Second, 2, gang(80, 60)) // more than one chunk of 2 KiB
@@ -55,23 +55,23 @@
 				for i := range cancelled {
 					id := jobID(200 + i)
 					c.until("cancelled", 10*time.Second, func() bool { return c.ask(i%3, "POST", "/v1/jobs/"+id+"/abort", nil).Status == 200 })
-					want[id] = ledger.Cancelled
+					want[id] = jobstore.Cancelled
 				}
-				if n := len(c.store.Keys(ledger.EndKey("wk-0002"))); n == cancelled {
+				if n := len(c.store.Keys(jobstore.EndKey("wk-0002"))); n == cancelled {
 					t.Error("no cancellation waits to be recorded as ended")
 				}
 				c.store.Limit(lowered.ValueBytes, lowered.TxnOps, lowered.WriteRPS)
 				moment(c)
 				c.over(8*time.Minute, want)
 				c.store.LoseOneIn(0)
-				c.until("all ends are recorded", 2*time.Minute, func() bool { return len(c.store.Keys(ledger.EndKey("wk-0002"))) == cancelled })
+				c.until("all ends are recorded", 2*time.Minute, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-0002"))) == cancelled })
 				for range 600 {
-					if len(c.store.Keys(ledger.JobPrefix)) == 2 {
+					if len(c.store.Keys(jobstore.JobPrefix)) == 2 {
 						break
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				if left := c.store.Keys(ledger.JobPrefix); len(left) != 2 { // the service and its tasks
+				if left := c.store.Keys(jobstore.JobPrefix); len(left) != 2 { // the service and its tasks
 					t.Errorf("left behind: %v", left)
 				}
 				if large, many := c.store.Refused(); large > 0 || many == 0 {
@@ -110,10 +110,10 @@
 				large["cpus"], large["ram_gb"] = 0.1, 0.3
 				c.accept(10*time.Second, 0, large)
 				if strings.HasSuffix(name, "leader ends") {
-					chunks := func() int { return len(c.store.Keys(ledger.JobKey(gangID) + "/")) }
+					chunks := func() int { return len(c.store.Keys(jobstore.JobKey(gangID) + "/")) }
 					c.store.Slow(400 * time.Millisecond)
 					c.until("a part is recorded", 2*time.Minute, func() bool { return chunks() > 0 })
-					if n := c.referee.OnOf(gangID); n != 0 || chunks() > tasks/ledger.ChunkSize(limit.ValueBytes) {
+					if n := c.referee.OnOf(gangID); n != 0 || chunks() > tasks/jobstore.ChunkSize(limit.ValueBytes) {
 						t.Errorf("%d tasks on, %d chunks recorded", n, chunks())
 					}
 					c.nextLeader()
@@ -123,7 +123,7 @@
 				if n := c.referee.OnOf(gangID); n != tasks {
 					t.Errorf("%d tasks on as it runs", n)
 				}
-				c.over(3*time.Minute, map[string]string{gangID: ledger.Done})
+				c.over(3*time.Minute, map[string]string{gangID: jobstore.Done})
 				if got := c.cloud.Gangs.Counted(); got.Began != 1 || got.Incomplete != 0 {
 					t.Errorf("%+v", got)
 				}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/standin"
 )
 
 // Jobs that fail everywhere are not held against the machines, are tried one task at a
@@ -20,7 +20,7 @@
 		c.large()
 		for i := range 2 {
 			bad := submission(fmt.Sprintf("wk-00000%d", i), job.Array, 300, 5)
-			bad["lane"] = standin.Mistaken
+			bad["lane"] = fake.Mistaken
 			c.submit(0, bad)
 		}
 		tries := func() (n int) {
@@ -104,7 +104,7 @@
 // A new leader that has rented machines goes on renting while they boot.
 func TestRentsWhileBooting(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.cloud.Change(func(cl *standin.Cloud) { cl.Lag = 4 * time.Second })
+		c.cloud.Change(func(cl *fake.Cloud) { cl.Lag = 4 * time.Second })
 		c.until("ready", 3*time.Second, func() bool { return c.submit(0, submission("wk-000001", job.Service, 4, 0)) == 201 })
 		c.until("a machine rented", 3*time.Second, func() bool { return len(c.cloud.Machines()) > 0 })
 		c.accept(time.Second, 0, submission("wk-000002", job.Service, 12, 0))
@@ -170,7 +170,7 @@
 		leader := c.leader()
 		c.kill((leader + 1) % 3)
 		c.kill((leader + 2) % 3)
-		var deaf *standin.Worker
+		var deaf *fake.Worker
 		for _, w := range c.cloud.Machines() {
 			if w.Tasks() > 0 {
 				deaf = w
@@ -258,7 +258,7 @@
 		have := make(chan int, 1)
 		l.post(func() {
 			n := 0
-			l.fleet.Each(func(m *fleet.Machine) {
+			l.fleet.Each(func(m *agent.Machine) {
 				if m.Images.Ready("img-array") {
 					n++
 				}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -12,17 +12,17 @@
 	"sync/atomic"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/api"
 	"tulipshelf/internal/cancellation"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
-	"tulipshelf/internal/intake"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/ledger"
 	"tulipshelf/internal/pause"
 	"tulipshelf/internal/peer"
 	"tulipshelf/internal/relay"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -32,10 +32,10 @@
 	listen     func(context.Context, *wire.Server) error
 	settings   *config.Settings
 	operator   config.Operator
-	store      *statestore.Client
+	store      *kvstore.Client
 	cloud      *cloud.Client
 	candidate  *leadership.Candidate
-	intake     *intake.Intake
+	intake     *api.Intake
 	types      atomic.Pointer[[]cloud.Type]
 	peers      *peer.Net
 	proxy      *relay.Proxy
@@ -84,7 +84,7 @@
 		settings: s,
 		operator: o,
 		changed:  make(chan string, 64),
-		store:    statestore.New(net.Dial, s.StateAddr, s.State.RPS*nodeShare, s.State.WriteRPS*writeShare),
+		store:    kvstore.New(net.Dial, s.StateAddr, s.State.RPS*nodeShare, s.State.WriteRPS*writeShare),
 		cloud:    cloud.New(net.Dial, s.CloudAddr, s.Cloud.RPS*cloudShare),
 	}
 	report := s.Workers.Report * 3 / 2
@@ -100,10 +100,10 @@
 		Defer: func() bool {
 			return n.peers.RedirectedElsewhere(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
 		}}
-	n.intake = &intake.Intake{
+	n.intake = &api.Intake{
 		Store:     n.store,
 		Teams:     s.Teams,
-		ChunkSize: ledger.ChunkSize(s.State.ValueBytes),
+		ChunkSize: jobstore.ChunkSize(s.State.ValueBytes),
 		Types: func() []cloud.Type {
 			if t := n.types.Load(); t != nil {
 				return *t
@@ -254,7 +254,7 @@
 			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.Fill(n.settings.State.ValueBytes) {
 				break
 			}
-			_, err := n.store.Txn(ctx, nil, []statestore.Op{{Put: catalogKey, Value: value}}, statestore.Rest)
+			_, err := n.store.Txn(ctx, nil, []kvstore.Op{{Put: catalogKey, Value: value}}, kvstore.Rest)
 			if err == nil {
 				kept = value
 			}
@@ -265,7 +265,7 @@
 
 // recallCatalog takes the machine types that a leader has kept.
 func (n *Node) recallCatalog(ctx context.Context) {
-	it, err := n.store.Get(ctx, catalogKey, statestore.Rest)
+	it, err := n.store.Get(ctx, catalogKey, kvstore.Rest)
 	if err != nil {
 		return
 	}
@@ -355,7 +355,7 @@
 // lease and its tasks outlive a cut between zones, and with the commands that
 // come through the state service. Once the leader is heard again the worker is
 // sent back to it.
-func (n *Node) proxyReport(r *fleet.Report) (wire.Response, bool) {
+func (n *Node) proxyReport(r *agent.Report) (wire.Response, bool) {
 	leader, term, ok := n.candidate.Confirmed(proxyConfirmed)
 	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.Token > term || n.peers.Heard(leader, proxyUnheard) {
 		return wire.Response{}, false
@@ -383,7 +383,7 @@
 // outage of the state service that outlasts the leases, or where a zone with a
 // controller is cut off from everything (197 tasks in inc-008f, 213 on a drawn day of
 // omaruru-fares-grown). No rule depends on a lease's end.
-func (n *Node) extendsLease(r *fleet.Report) bool {
+func (n *Node) extendsLease(r *agent.Report) bool {
 	return r.Token != 0 && n.isolated() && n.mayExtendLease() && n.extended.noteUnlessSeen(r.Machine, time.Now())
 }
 
@@ -399,19 +399,19 @@
 // this node knows of the cancellations: for a worker that it answers without leading for
 // certain. They are right whoever leads, and nobody may in an outage that outlasts the
 // time in which such tasks must be gone.
-func (n *Node) halts(r *fleet.Report) (out []fleet.Order) {
+func (n *Node) halts(r *agent.Report) (out []agent.Order) {
 	now := 0.0
 	for _, t := range r.Tasks {
-		id, _, _ := fleet.SplitTask(t.Task)
-		if t.Status != fleet.Exited && len(out) < maxOrders && n.cancelled.Knows(id) {
-			out = append(out, fleet.Order{Verb: "halt", Task: t.Task, Try: t.Try, WindDown: &now})
+		id, _, _ := agent.SplitTask(t.Task)
+		if t.Status != agent.Exited && len(out) < maxOrders && n.cancelled.Knows(id) {
+			out = append(out, agent.Order{Verb: "halt", Task: t.Task, Try: t.Try, WindDown: &now})
 		}
 	}
 	return out
 }
 
 func (n *Node) report(ctx context.Context, body []byte) wire.Response {
-	var r fleet.Report
+	var r agent.Report
 	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
 		return wire.Response{Status: 400, Body: wire.Marshal(wire.Problem{Error: fmt.Sprint("malformed report: ", err)})}
 	}
@@ -423,7 +423,7 @@
 			return resp
 		}
 		if n.extendsLease(&r) {
-			return wire.Response{Status: 200, Body: wire.Marshal(fleet.Answer{Token: r.Token, Orders: n.halts(&r)})}
+			return wire.Response{Status: 200, Body: wire.Marshal(agent.Answer{Token: r.Token, Orders: n.halts(&r)})}
 		}
 		return n.redirect()
 	}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -7,17 +7,17 @@
 	"sort"
 	"time"
 
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/placement"
 )
 
 // everySecond updates the index and looks after what time alone brings about.
 func (l *leader) everySecond(now time.Time) {
 	op := &l.node.operator
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		var counts placement.Amounts
 		for _, h := range m.Assignments {
 			s := h.Job.Spec
@@ -39,7 +39,7 @@
 		}
 		l.drain(m, now)
 	})
-	l.jobs.Jobs(func(j *ledger.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		l.reconcileGang(j, now)
 		if j.Cancelled {
 			l.stopAttempts(j, now)
@@ -63,7 +63,7 @@
 // drain empties a machine that the cloud takes back. Services stop at once, since
 // they cannot start elsewhere before they are gone here; tasks that can save their
 // progress go on for as long as they can; the others may yet be done in time.
-func (l *leader) drain(m *fleet.Machine, now time.Time) {
+func (l *leader) drain(m *agent.Machine, now time.Time) {
 	if m.Recall.IsZero() {
 		return
 	}
@@ -92,7 +92,7 @@
 // view returns a machine as placement sees it, and its assignments in the order of its
 // tasks. What is on it is worked out anew only when it has changed: a pass looks
 // at every machine, and most have changed nothing since the last.
-func (l *leader) view(m *fleet.Machine, now time.Time) (placement.Machine, []*fleet.Assignment) {
+func (l *leader) view(m *agent.Machine, now time.Time) (placement.Machine, []*agent.Assignment) {
 	v := placement.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	if m.Gone || m.Type < 0 || m.Zone < 0 {
 		return v, nil
@@ -123,7 +123,7 @@
 // present tells whether a machine is known to be there, by its token, which it can
 // only have from an answer of this leader, or by the cloud's list. A report alone
 // may be a late copy: to a new leader, of a machine that was returned before.
-func (l *leader) present(m *fleet.Machine) bool {
+func (l *leader) present(m *agent.Machine) bool {
 	return m.Known && (m.Token >= l.firstTerm || m.Listed)
 }
 
@@ -133,7 +133,7 @@
 	for i, t := range l.node.settings.Teams {
 		out[i] = placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, Opportunistic: t.Opportunistic()}
 	}
-	l.jobs.Jobs(func(j *ledger.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		if t := l.jobStates[j].team; t >= 0 {
 			out[t].CPUsUsed += float64(j.LiveTasks()) * j.Spec.CPUs
 			out[t].GPUsUsed += float64(j.LiveTasks()) * j.Spec.GPUs
@@ -176,7 +176,7 @@
 		return
 	}
 	machines := make([]placement.Machine, l.fleet.Size())
-	assigned := make([][]*fleet.Assignment, len(machines))
+	assigned := make([][]*agent.Assignment, len(machines))
 	for i := range machines {
 		machines[i], assigned[i] = l.view(l.fleet.At(i), now)
 	}
@@ -190,20 +190,20 @@
 }
 
 // waitingJobs returns the jobs of which tasks may start, by arrival.
-func (l *leader) waitingJobs(now time.Time) (waiting []*ledger.Job) {
-	l.jobs.Jobs(func(j *ledger.Job) {
+func (l *leader) waitingJobs(now time.Time) (waiting []*jobstore.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		// A gang starts anew only once all of it is gone: a part would wait in vain.
 		parted := j.Gang() && j.LiveTasks() > 0
 		if j.WaitingTasks() > 0 && !parted && l.jobStates[j].team >= 0 && !now.Before(l.jobStates[j].notBefore) {
 			waiting = append(waiting, j)
 		}
 	})
-	slices.SortFunc(waiting, func(a, b *ledger.Job) int { return cmp.Compare(a.Arrival, b.Arrival) })
+	slices.SortFunc(waiting, func(a, b *jobstore.Job) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	return waiting
 }
 
 // jobViews returns jobs as placement sees them.
-func (l *leader) jobViews(waiting []*ledger.Job, now time.Time) []placement.Job {
+func (l *leader) jobViews(waiting []*jobstore.Job, now time.Time) []placement.Job {
 	jobs := make([]placement.Job, len(waiting))
 	images := map[string][]placement.Image{}
 	beyond, first := l.beyond(), l.firstGangs(waiting)
@@ -231,8 +231,8 @@
 // team is not behind it. It guards against gangs that wait for as long as arrays within their
 // teams' guarantees come, which take each gap, while a gang needs all of its gaps at once
 // (inc-82e5, TestGangBeyondGuarantee).
-func (l *leader) firstGangs(waiting []*ledger.Job) map[*ledger.Job]bool {
-	first := map[*ledger.Job]bool{}
+func (l *leader) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
+	first := map[*jobstore.Job]bool{}
 	seen := map[int]bool{}
 	for _, j := range waiting {
 		if team := l.jobStates[j].team; j.Gang() && !seen[team] {
@@ -243,7 +243,7 @@
 }
 
 // overdue tells whether a job has waited too long with none of its tasks begun.
-func (l *leader) overdue(j *ledger.Job, now time.Time) bool {
+func (l *leader) overdue(j *jobstore.Job, now time.Time) bool {
 	late := beginBy
 	if !l.gangs.Empty() {
 		late /= 2 // room kept for gangs keeps no job waiting for long
@@ -253,7 +253,7 @@
 
 // startAssigned books the attempts that a pass has placed; they are sent once they are
 // recorded. The tasks of a gang share one number.
-func (l *leader) startAssigned(assigned []placement.Assignment, waiting []*ledger.Job, now time.Time) {
+func (l *leader) startAssigned(assigned []placement.Assignment, waiting []*jobstore.Job, now time.Time) {
 	next := make([]int, len(waiting))
 	tries := make([]uint64, len(waiting))
 	for _, a := range assigned {
@@ -277,7 +277,7 @@
 }
 
 // stopPreempted stops the tasks that give way to others.
-func (l *leader) stopPreempted(stops []placement.Stop, waiting []*ledger.Job, assigned [][]*fleet.Assignment, now time.Time) {
+func (l *leader) stopPreempted(stops []placement.Stop, waiting []*jobstore.Job, assigned [][]*agent.Assignment, now time.Time) {
 	for _, s := range stops {
 		h := assigned[s.Machine][s.Task]
 		slog.Info("task preempted", "task", h.Name(), "machine", h.Machine, "for", waiting[s.For].Spec.ID)
@@ -296,7 +296,7 @@
 // displaces tells whether a job of a team with a guarantee has waited for so long that
 // work of teams without a guarantee is to be stopped for it: half of the time in which work within a
 // guarantee should start. Until then short tasks of theirs end by themselves.
-func (l *leader) displaces(j *ledger.Job, now time.Time) bool {
+func (l *leader) displaces(j *jobstore.Job, now time.Time) bool {
 	patience := l.node.operator.Silent
 	for _, o := range l.node.settings.Objectives {
 		if o.Kind == config.KindGuarantee {
@@ -309,7 +309,7 @@
 // priority returns a waiting job's priority: of teams without a guarantee the lowest, whatever they say. They
 // would take the room that was just made for work within a guarantee, and be stopped for
 // it again, for ever (TestGuests).
-func (l *leader) priority(j *ledger.Job) int {
+func (l *leader) priority(j *jobstore.Job) int {
 	if l.opportunistic(j) {
 		return job.BestEffort
 	}
@@ -320,9 +320,9 @@
 // the zones of all are known. After an election those of machines that neither
 // the cloud's list nor a report has named are not; a job whose tasks are tied to
 // each other by zone is not placed on a guess.
-func (l *leader) inZones(j *ledger.Job) (in []int, known bool) {
+func (l *leader) inZones(j *jobstore.Job) (in []int, known bool) {
 	in, known = make([]int, len(l.zones)), true
-	j.Attempts(func(a *ledger.Attempt) {
+	j.Attempts(func(a *jobstore.Attempt) {
 		if m := l.fleet.Machine(a.Machine); m != nil && m.Zone >= 0 {
 			in[m.Zone]++
 		} else {
@@ -334,7 +334,7 @@
 
 // ratio returns the inverse of an array's response ratio: its work left over the
 // time that its user has waited, one task's run included.
-func (l *leader) ratio(j *ledger.Job, now time.Time) float64 {
+func (l *leader) ratio(j *jobstore.Job, now time.Time) float64 {
 	if j.Spec.Shape != job.Array {
 		return 0
 	}
@@ -344,9 +344,9 @@
 
 // beyond tells which jobs do not fit into their team's guarantee together with
 // the team's earlier unfinished jobs.
-func (l *leader) beyond() map[*ledger.Job]bool {
-	jobs := make([]*ledger.Job, 0, l.jobs.Len())
-	l.jobs.Jobs(func(j *ledger.Job) {
+func (l *leader) beyond() map[*jobstore.Job]bool {
+	jobs := make([]*jobstore.Job, 0, l.jobs.Len())
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		if l.jobStates[j].team >= 0 && !j.Cancelled {
 			jobs = append(jobs, j)
 		}
@@ -360,7 +360,7 @@
 	})
 	teams := l.node.settings.Teams
 	cpus, gpus := make([]float64, len(teams)), make([]float64, len(teams))
-	out := make(map[*ledger.Job]bool)
+	out := make(map[*jobstore.Job]bool)
 	for _, j := range jobs {
 		t := l.jobStates[j].team
 		n := float64(j.Spec.Tasks - j.DoneTasks())
@@ -392,7 +392,7 @@
 // should start: on kapana-orders-grown 2 s of 4. Jobs with the same image share the
 // list, so that one pass sends them to the same machines. It also tells whether the
 // fetch takes up all of that time.
-func (l *leader) images(j *ledger.Job, lists map[string][]placement.Image) (list []placement.Image, costly bool) {
+func (l *leader) images(j *jobstore.Job, lists map[string][]placement.Image) (list []placement.Image, costly bool) {
 	limit, fetch := l.node.operator.Smoothing, l.fetchSeconds(j)
 	for _, o := range l.node.settings.Objectives {
 		if o.Within <= 0 || o.Kind != config.KindGuarantee && (o.Kind != config.KindWait || o.Class != j.Spec.Class) {
@@ -454,7 +454,7 @@
 // reported returns the part of the machines that should report and have.
 func (l *leader) reported() float64 {
 	all, heard := 0, 0
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		switch {
 		case m.Known:
 			heard++
--- a/internal/controller/place_test.go
+++ b/internal/controller/place_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/autoscaler"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/placement"
-	"tulipshelf/internal/rental"
 	"tulipshelf/internal/wire"
 )
 
@@ -19,9 +19,9 @@
 // concluded from the tasks on it (rule wrong_place, by same_place and apart).
 func TestUnknownZone(t *testing.T) {
 	now := time.Unix(0, 0)
-	l := &leader{fleet: fleet.New(), zones: []string{"a", "b"}}
-	book := ledger.NewJobs()
-	rec := ledger.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 3}, Chunk: 4}
+	l := &leader{fleet: agent.New(), zones: []string{"a", "b"}}
+	book := jobstore.NewJobs()
+	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 3}, Chunk: 4}
 	j, _, err := book.PutJob(wire.Marshal(rec), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 func TestGangBeforeGangsToCome(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}}
-	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: ledger.NewJobs(), lastGangs: map[string]gangKind{},
-		types: []cloud.Type{{Name: "box", CPUs: 4, BootS: 50}}, gangs: rental.Offered{Memory: time.Minute}}
+	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: jobstore.NewJobs(), lastGangs: map[string]gangKind{},
+		types: []cloud.Type{{Name: "box", CPUs: 4, BootS: 50}}, gangs: autoscaler.Offered{Memory: time.Minute}}
 	need := placement.Amounts{placement.CPU: 1}
 	l.lastGangs["class"] = gangKind{&job.Spec{Class: "class", Shape: job.Gang, Priority: "standard", Tasks: 4}, &jobState{zone: -1, need: need}}
 	l.gangs.Add(600, now)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,10 +7,10 @@
 	"log/slog"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/pause"
 	"tulipshelf/internal/relay"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -36,7 +36,7 @@
 	var rev uint64
 	for ctx.Err() == nil {
 		if rev == 0 {
-			page, err := l.node.store.List(ctx, relay.UpPrefix, "", 1, statestore.Rest)
+			page, err := l.node.store.List(ctx, relay.UpPrefix, "", 1, kvstore.Rest)
 			if err != nil {
 				pause.For(ctx, time.Second)
 				continue
@@ -44,7 +44,7 @@
 			rev = page.Rev
 		}
 		events, at, err := l.node.store.Watch(ctx, relay.UpPrefix, rev, 20*time.Second)
-		if errors.Is(err, statestore.ErrCompacted) {
+		if errors.Is(err, kvstore.ErrCompacted) {
 			rev = 0
 		}
 		if err != nil {
@@ -76,7 +76,7 @@
 		l.relays[batch.Node] = s
 	}
 	s.heard = now
-	take := func(r *fleet.Report) {
+	take := func(r *agent.Report) {
 		if r.Token > l.term.Number() {
 			return
 		}
@@ -141,7 +141,7 @@
 		} // else its turn comes once others are served
 	}
 	some := false
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.Via != node || now.Sub(m.Heard) > l.node.operator.Silent {
 			return
 		}
@@ -167,7 +167,7 @@
 
 // writeCommandBatches writes the parts that have changed, as many as one write can carry.
 func (l *leader) writeCommandBatches(node string, s *proxyState, parts []relay.CommandBatch) {
-	var ops []statestore.Op
+	var ops []kvstore.Op
 	values := map[int][]byte{}
 	size := 0
 	for i := range parts {
@@ -181,7 +181,7 @@
 			break
 		}
 		values[part] = value
-		ops = append(ops, statestore.Op{Put: relay.DownKey(node, part), Value: value})
+		ops = append(ops, kvstore.Op{Put: relay.DownKey(node, part), Value: value})
 	}
 	if len(ops) == 0 {
 		return
@@ -189,7 +189,7 @@
 	s.writing, s.next = true, time.Now().Add(relayWritten)
 	fence := l.term.Fence()
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []statestore.Cond{fence}, ops, statestore.User)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, ops, kvstore.User)
 		l.post(func() {
 			s.writing = false
 			if err != nil {
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -8,12 +8,12 @@
 	"strconv"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/autoscaler"
 	"tulipshelf/internal/cloud"
-	"tulipshelf/internal/fleet"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/pause"
 	"tulipshelf/internal/placement"
-	"tulipshelf/internal/rental"
 )
 
 const (
@@ -145,7 +145,7 @@
 		m.Listed = m.Listed || c.Status == cloud.Running
 		m.Booting = c.Status == cloud.Starting && !m.Known
 	}
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		heard := m.Created
 		if m.Known {
 			heard = m.Heard
@@ -159,22 +159,22 @@
 // decide returns the machines to return and the rentals to ask for.
 func (l *leader) decide(now time.Time) (names []string, asks []cloud.Rental) {
 	if !l.loaded.Load() || !l.term.Valid() || !l.surveyed(now) {
-		return l.givenUp(func(m *fleet.Machine) bool { return m.RetireReason == stuckCancelled }), nil
+		return l.givenUp(func(m *agent.Machine) bool { return m.RetireReason == stuckCancelled }), nil
 	}
 	l.reprice(*l.node.types.Load())
-	var ms []*fleet.Machine
-	var machines []rental.Machine
-	l.fleet.Each(func(m *fleet.Machine) {
+	var ms []*agent.Machine
+	var machines []autoscaler.Machine
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.Type < 0 || m.Zone < 0 || m.RetireReason != "" {
 			return
 		}
 		v, _ := l.view(m, now)
 		ms = append(ms, m)
-		machines = append(machines, rental.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: v.Free,
+		machines = append(machines, autoscaler.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: v.Free,
 			Usable: v.Open || !m.Known && !m.Failed && !l.overdueBoot(m, now),
 			Empty:  m.Known && len(m.Assignments) == 0 && l.nothingUnsettled(m), Idle: min(now.Sub(m.IdleSince), now.Sub(m.Created)-minPaid+l.node.operator.IdleReturn)})
 	})
-	var pools []rental.Pool
+	var pools []autoscaler.Pool
 	for t := range l.types {
 		for _, z := range l.types[t].Zones {
 			for _, spot := range []bool{true, false} {
@@ -186,18 +186,18 @@
 					continue
 				}
 				zi := l.zoneIndex[z]
-				pools = append(pools, rental.Pool{Type: t, Zone: zi, Spot: spot, Price: price,
+				pools = append(pools, autoscaler.Pool{Type: t, Zone: zi, Spot: spot, Price: price,
 					Blocked: now.Before(l.blocked[pool{t, zi, spot}]), Capacity: l.capacity(t)})
 			}
 		}
 	}
 	demand, why := l.demand(now)
-	d := rental.Plan(demand, machines, pools, l.node.operator.IdleReturn)
+	d := autoscaler.Plan(demand, machines, pools, l.node.operator.IdleReturn)
 	l.logFleet(now, d)
 	for _, i := range d.Return {
 		giveUp(ms[i], "idle")
 	}
-	names = l.givenUp(func(m *fleet.Machine) bool { return m.RetireReason != "" })
+	names = l.givenUp(func(m *agent.Machine) bool { return m.RetireReason != "" })
 	if len(l.renting) > 0 {
 		return names, nil // what is asked for is not in the list of machines yet
 	}
@@ -215,13 +215,13 @@
 }
 
 // logFleet notes what the machines are used for.
-func (l *leader) logFleet(now time.Time, d rental.Decision) {
+func (l *leader) logFleet(now time.Time, d autoscaler.Decision) {
 	if !slog.Default().Enabled(l.ctx, slog.LevelDebug) {
 		return
 	}
 	var all, spot, up, empty, waiting int
 	var cpus, free float64
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.Type < 0 {
 			return
 		}
@@ -239,7 +239,7 @@
 			}
 		}
 	})
-	l.jobs.Jobs(func(j *ledger.Job) { waiting += j.WaitingTasks() })
+	l.jobs.Jobs(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	starts, chunks, ends := l.jobs.Backlog()
 	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
 	slog.Debug("fleet", "machines", all, "spot", spot, "up", up, "empty", empty, "cpus", cpus, "free", free, "waiting", waiting, "rent", d.Rent, "return", len(d.Return))
@@ -256,7 +256,7 @@
 }
 
 // nothingUnsettled tells whether all results on a machine are written.
-func (l *leader) nothingUnsettled(m *fleet.Machine) bool {
+func (l *leader) nothingUnsettled(m *agent.Machine) bool {
 	ok := true
 	m.Finished(func(task string) { ok = ok && l.settled(task) })
 	return ok
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -6,8 +6,8 @@
 	"math"
 	"time"
 
-	"tulipshelf/internal/fleet"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 )
 
 // onReport handles a report and gives its answer.
-func (l *leader) onReport(r *fleet.Report) wire.Response {
+func (l *leader) onReport(r *agent.Report) wire.Response {
 	if !l.loaded.Load() {
 		return wire.Response{Status: 503, RetryAfter: 1}
 	}
@@ -36,7 +36,7 @@
 	if !l.node.mayExtendLease() {
 		return wire.Response{Status: 503, RetryAfter: 1}
 	}
-	answer := fleet.Answer{Token: term}
+	answer := agent.Answer{Token: term}
 	// A late copy says nothing of the way that newer reports take.
 	if r.Session == m.Session && r.Tick == m.Tick {
 		m.Via = ""
@@ -51,7 +51,7 @@
 //
 // It guards against an outage of the state service, or a cut from it, that outlasts the
 // time in which a cancelled task must be gone (ran_cancelled on days of our own).
-func (l *leader) orders(m *fleet.Machine, now time.Time) []fleet.Order {
+func (l *leader) orders(m *agent.Machine, now time.Time) []agent.Order {
 	if !l.term.Valid() {
 		return m.Halts(maxOrders)
 	}
@@ -59,7 +59,7 @@
 }
 
 // applyReport learns from a report, or from the answer to a direct command.
-func (l *leader) applyReport(r *fleet.Report, now time.Time) *fleet.Machine {
+func (l *leader) applyReport(r *agent.Report, now time.Time) *agent.Machine {
 	if l.fleet.Add(r.Machine, now) == nil {
 		return nil
 	}
@@ -90,13 +90,13 @@
 // learnImages takes from a machine's first report to this leader which images it has:
 // those of the tasks that run or have run there. Without it a new leader knows only of
 // what runs, and sends work to fetch what is there.
-func (l *leader) learnImages(m *fleet.Machine, r *fleet.Report, now time.Time) {
+func (l *leader) learnImages(m *agent.Machine, r *agent.Report, now time.Time) {
 	if m.Type < 0 {
 		return
 	}
 	for _, t := range r.Tasks {
-		id, _, _ := fleet.SplitTask(t.Task)
-		if j := l.jobs.Job(id); j != nil && (t.Status == fleet.Running || t.Cause == fleet.CauseDone) {
+		id, _, _ := agent.SplitTask(t.Task)
+		if j := l.jobs.Job(id); j != nil && (t.Status == agent.Running || t.Cause == agent.CauseDone) {
 			m.Images.Use(j.Spec.Image, j.Spec.ImageGB, l.types[m.Type].Disk, now)
 			m.Images.Fetched(j.Spec.Image)
 		}
@@ -117,7 +117,7 @@
 
 // settled tells whether the result of a task is written, or needed by nobody.
 func (l *leader) settled(task string) bool {
-	id, n, ok := fleet.SplitTask(task)
+	id, n, ok := agent.SplitTask(task)
 	if !ok {
 		return true
 	}
@@ -126,7 +126,7 @@
 }
 
 // expect returns about how many seconds a task of a job runs.
-func (l *leader) expect(j *ledger.Job) float64 {
+func (l *leader) expect(j *jobstore.Job) float64 {
 	return math.Max(1, j.Spec.ExpectS*l.learned.Factor(j.Spec.Class))
 }
 
@@ -151,7 +151,7 @@
 // that fail on every machine: all of their tasks were tried again each minute, 283 starts
 // and as many writes for one, machines were rented for them, and they counted in their
 // team's guarantee before the good ones (operations of both ops deployments).
-func (l *leader) wanted(j *ledger.Job) int {
+func (l *leader) wanted(j *jobstore.Job) int {
 	n := j.Startable(int(l.node.valueBytes.Load()))
 	if l.jobStates[j].failing() && !j.Gang() {
 		return min(1, n)
@@ -159,12 +159,12 @@
 	return n
 }
 
-func (l *leader) outcome(m *fleet.Machine, o fleet.Outcome, now time.Time) {
+func (l *leader) outcome(m *agent.Machine, o agent.Outcome, now time.Time) {
 	a := o.Assignment.Attempt
 	slog.Debug("attempt ended", "task", a.Name(), "try", a.Try, "machine", m.Name, "cause", o.Cause)
-	l.jobs.End(a, o.Cause == fleet.CauseDone, now)
+	l.jobs.End(a, o.Cause == agent.CauseDone, now)
 	l.replan = true
-	if a.Job.Gang() && o.Cause != fleet.CauseDone {
+	if a.Job.Gang() && o.Cause != agent.CauseDone {
 		l.reconcileGang(a.Job, now)
 	}
 	st := l.jobStates[a.Job]
@@ -172,7 +172,7 @@
 		return
 	}
 	switch o.Cause {
-	case fleet.CauseDone:
+	case agent.CauseDone:
 		if !o.Assignment.Running.IsZero() {
 			l.learned.Add(a.Job.Spec.Class, a.Job.Spec.ExpectS, now.Sub(o.Assignment.Running).Seconds())
 		}
@@ -180,7 +180,7 @@
 		m.Errors = 0
 		clear(m.Blamed)
 		st.errors, st.backoff = 0, 0
-	case fleet.CauseError:
+	case agent.CauseError:
 		st.failedOn[m.Name] = struct{}{}
 		if st.errors++; st.failing() {
 			if st.backoff == 0 {
@@ -188,7 +188,7 @@
 				st.notBefore = now.Add(st.backoff)
 			}
 			clear(st.failedOn) // it may try anywhere again
-			l.fleet.Each(func(m *fleet.Machine) {
+			l.fleet.Each(func(m *agent.Machine) {
 				if _, blamed := m.Blamed[a.Job.Spec.ID]; blamed {
 					delete(m.Blamed, a.Job.Spec.ID)
 					m.Sick = m.Sick && (m.RetireReason != "" || len(m.Blamed) >= sickJobs)
@@ -203,7 +203,7 @@
 			m.Sick = true
 			slog.Info("machine quarantined", "machine", m.Name, "errors", m.Errors)
 		}
-	case fleet.CauseRoom, fleet.CauseInUse, fleet.CauseNoJob:
+	case agent.CauseRoom, agent.CauseInUse, agent.CauseNoJob:
 		st.notBefore = now.Add(time.Second)
 	}
 }
@@ -214,7 +214,7 @@
 
 // push sends urgent commands directly, one request a machine at a time.
 func (l *leader) push(now time.Time) {
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if !m.Urgent() || now.Sub(m.Heard) >= l.node.operator.Silent || l.pushing >= l.node.settings.Resources.MaxSockets/pushShare {
 			return // its turn comes when others are done, or with its next report
 		}
@@ -225,11 +225,11 @@
 		m.Pushing = true
 		l.pushing++
 		c := l.workerClient(m)
-		body := wire.Marshal(fleet.Commands{Token: l.term.Number(), Session: m.Session, Orders: orders})
+		body := wire.Marshal(agent.Commands{Token: l.term.Number(), Session: m.Session, Orders: orders})
 		l.spawn(func() {
 			ctx, cancel := context.WithTimeout(l.ctx, 1500*time.Millisecond)
 			defer cancel()
-			r, err := fleet.Ask(ctx, c, "POST", "/commands", body)
+			r, err := agent.Ask(ctx, c, "POST", "/commands", body)
 			l.post(func() {
 				l.pushing--
 				l.pushed(m, &r, err)
@@ -238,7 +238,7 @@
 	})
 }
 
-func (l *leader) pushed(m *fleet.Machine, r *fleet.Report, err error) {
+func (l *leader) pushed(m *agent.Machine, r *agent.Report, err error) {
 	m.Pushing = false
 	if err != nil {
 		// Whether they were carried out, or yet will be, is unknown; reports tell.
@@ -258,7 +258,7 @@
 
 // applyStatus learns from what a machine answers to a direct request. It is no sign that
 // its reports still arrive, and without them its lease runs out.
-func (l *leader) applyStatus(m *fleet.Machine, r *fleet.Report) {
+func (l *leader) applyStatus(m *agent.Machine, r *agent.Report) {
 	heard := m.Heard
 	l.applyReport(r, time.Now())
 	if m.Known && !heard.IsZero() {
@@ -277,7 +277,7 @@
 // counts for what was on them (zone and loss of both fleet deployments).
 func (l *leader) probeSilent(now time.Time) {
 	quiet := l.node.settings.Workers.Report * 3 / 2
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		since := l.started
 		if m.Known {
 			since = m.Heard
@@ -292,9 +292,9 @@
 		l.spawn(func() {
 			ctx, cancel := context.WithTimeout(l.ctx, 1500*time.Millisecond)
 			defer cancel()
-			r, err := fleet.Ask(ctx, c, "GET", "/status", nil)
+			r, err := agent.Ask(ctx, c, "GET", "/status", nil)
 			if err == nil && r.Token < term {
-				r, err = fleet.Ask(ctx, c, "POST", "/commands", wire.Marshal(fleet.Commands{Token: term, Session: r.Session, Orders: []fleet.Order{}}))
+				r, err = agent.Ask(ctx, c, "POST", "/commands", wire.Marshal(agent.Commands{Token: term, Session: r.Session, Orders: []agent.Order{}}))
 			}
 			l.post(func() {
 				l.probing--
@@ -331,7 +331,7 @@
 		return // workers still find their way here
 	}
 	heard, answered := 0, 0
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.Known && m.Via == "" && now.Sub(m.Heard) < l.node.settings.Workers.Report*3/2 {
 			heard++
 		}
@@ -354,7 +354,7 @@
 }
 
 // workerClient returns the client for direct requests to a machine.
-func (l *leader) workerClient(m *fleet.Machine) *wire.Client {
+func (l *leader) workerClient(m *agent.Machine) *wire.Client {
 	c := l.workerClients[m.Name]
 	if c == nil || c.Addr != m.Addr {
 		c = &wire.Client{Dial: l.node.dial, Addr: m.Addr, MaxIdle: 1}
--- a/internal/controller/retire.go
+++ b/internal/controller/retire.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/cloud"
-	"tulipshelf/internal/fleet"
 )
 
 // When machines are given up.
@@ -25,14 +25,14 @@
 // out: the worst is work lost on it that another leader has sent there.
 const stuckCancelled = "holds a cancelled task that cannot be stopped"
 
-func giveUp(m *fleet.Machine, why string) {
+func giveUp(m *agent.Machine, why string) {
 	m.RetireReason = why
 	slog.Info("machine given up", "machine", m.Name, "why", why, "tasks", len(m.Assignments))
 }
 
 // retire decides which machines are given up for what time has shown.
 func (l *leader) retire(now time.Time) {
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.RetireReason != stuckCancelled && l.overdueCancel(m, now) {
 			giveUp(m, stuckCancelled)
 		}
@@ -42,7 +42,7 @@
 	}
 	zones := l.silence(now)
 	l.noteCuts(zones, now)
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if why := l.retireReason(m, zones, now); m.RetireReason == "" && why != "" {
 			giveUp(m, why)
 		}
@@ -50,7 +50,7 @@
 }
 
 // retireReason returns why a machine is to be given up; empty: it is not.
-func (l *leader) retireReason(m *fleet.Machine, zones zoneSilence, now time.Time) string {
+func (l *leader) retireReason(m *agent.Machine, zones zoneSilence, now time.Time) string {
 	inUse := m.Known || len(m.Assignments) > 0
 	switch {
 	case m.Failed:
@@ -72,7 +72,7 @@
 }
 
 // quiet returns for how long a machine has not been heard by this leader.
-func (l *leader) quiet(m *fleet.Machine, now time.Time) time.Duration {
+func (l *leader) quiet(m *agent.Machine, now time.Time) time.Duration {
 	if m.Known {
 		return now.Sub(m.Heard)
 	}
@@ -95,7 +95,7 @@
 // silence counts the machines that are silent.
 func (l *leader) silence(now time.Time) zoneSilence {
 	z := zoneSilence{byZone: make([]silentCount, len(l.zones)), heard: make([]time.Time, len(l.zones))}
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if !m.Known && len(m.Assignments) == 0 {
 			return
 		}
@@ -141,7 +141,7 @@
 // Once the cut is over they have the usual time anew to come back, and after an
 // election a lease's time, as they may have to try every node (inc-2c92: 77 given
 // up as soon as two thirds were back).
-func (l *leader) lost(m *fleet.Machine, zones zoneSilence, now time.Time) bool {
+func (l *leader) lost(m *agent.Machine, zones zoneSilence, now time.Time) bool {
 	abandon, lease := l.node.operator.Abandon, l.node.settings.Workers.Lease
 	silent := l.quiet(m, now)
 	if m.Zone >= 0 && !l.cutUntil[m.Zone].IsZero() {
@@ -160,7 +160,7 @@
 // a zone of which a new leader has heard nobody were silent before it: the zone was cut off,
 // as others have found their way by then (zone of omaruru-fares-fleet: replicas of a quarter
 // of the fleet were gone for 15 s more than need be).
-func (l *leader) cutPatience(m *fleet.Machine, zone silentCount) time.Duration {
+func (l *leader) cutPatience(m *agent.Machine, zone silentCount) time.Duration {
 	abandon, lease := l.node.operator.Abandon, l.node.settings.Workers.Lease
 	switch {
 	case !m.Serves() || l.node.settings.Controls(l.zones[m.Zone]):
@@ -173,13 +173,13 @@
 
 // alone tells whether it is the machine alone that is silent: only where a cut would have
 // shown by now.
-func (l *leader) alone(m *fleet.Machine, zones zoneSilence, now time.Time) bool {
+func (l *leader) alone(m *agent.Machine, zones zoneSilence, now time.Time) bool {
 	report := l.node.settings.Workers.Report
 	return m.Zone >= 0 && now.Sub(l.cutUntil[m.Zone]) > l.node.settings.Workers.Lease &&
 		float64(zones.byZone[m.Zone].all)*(l.node.operator.Silent-report*5/4).Seconds() >= cutMissed*report.Seconds()
 }
 
-func (l *leader) bootLimit(m *fleet.Machine) time.Duration {
+func (l *leader) bootLimit(m *agent.Machine) time.Duration {
 	if m.Type < 0 {
 		return time.Minute
 	}
@@ -188,7 +188,7 @@
 
 // overdueBoot tells whether a machine has taken longer to boot than any that is
 // in order. It may never come up, so what it was rented for is rented again.
-func (l *leader) overdueBoot(m *fleet.Machine, now time.Time) bool {
+func (l *leader) overdueBoot(m *agent.Machine, now time.Time) bool {
 	return m.Type >= 0 && now.Sub(m.Created).Seconds() > bootOverdue*l.types[m.Type].BootS
 }
 
@@ -196,7 +196,7 @@
 // leader first gathers reports, as most that it does not know yet are there and only have
 // to be told, but not until it is too late to return the others (rough of
 // kapana-orders-grown: 4 and 7 sound machines given up at elections).
-func (l *leader) overdueCancel(m *fleet.Machine, now time.Time) bool {
+func (l *leader) overdueCancel(m *agent.Machine, now time.Time) bool {
 	leeway := cancelLeeway
 	if now.Sub(l.started) < l.node.operator.Gather {
 		leeway = cancelLast
@@ -211,8 +211,8 @@
 }
 
 // givenUp returns the names of machines to return, as many as one request takes.
-func (l *leader) givenUp(which func(*fleet.Machine) bool) (names []string) {
-	l.fleet.Each(func(m *fleet.Machine) {
+func (l *leader) givenUp(which func(*agent.Machine) bool) (names []string) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if which(m) && len(names) < cloud.MaxReturn {
 			names = append(names, m.Name)
 		}
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/ledger"
 	"tulipshelf/internal/wire"
 )
 
@@ -119,7 +119,7 @@
 			if s := c.ask(i%3, "POST", "/v1/jobs/"+id(i)+"/abort", nil).Status; s != 200 {
 				t.Errorf("abort: %d", s)
 			}
-			if s := c.status((i+1)%3, id(i)); s != ledger.Cancelled {
+			if s := c.status((i+1)%3, id(i)); s != jobstore.Cancelled {
 				t.Errorf("another node says %s after the cancellation was told", s)
 			}
 		}
@@ -135,7 +135,7 @@
 		if got := c.submit(0, submission("wk-000001", job.Array, 4, 5)); got != 200 {
 			t.Errorf("applied, answer lost: %d, want 200 after reading back", got)
 		}
-		c.store.HoldBack(1, ledger.JobKey("wk-000002"))
+		c.store.HoldBack(1, jobstore.JobKey("wk-000002"))
 		if got := c.submit(0, submission("wk-000002", job.Array, 4, 5)); got != 503 {
 			t.Errorf("held back: %d, want 503", got)
 		}
@@ -185,7 +185,7 @@
 		defer n.leader.CompareAndSwap(l, nil)
 		var resp wire.Response
 		go func() {
-			resp = n.report(context.Background(), wire.Marshal(fleet.Report{Machine: "vm-000001", Session: 1, Tick: 1}))
+			resp = n.report(context.Background(), wire.Marshal(agent.Report{Machine: "vm-000001", Session: 1, Tick: 1}))
 		}()
 		synctest.Wait()
 		if len(l.events) == 0 || resp.Status != 0 {
@@ -246,7 +246,7 @@
 				c.store.Down(outage)
 				c.until("task gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
 				c.store.Down(false)
-				c.until("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == ledger.Cancelled })
+				c.until("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.Cancelled })
 				time.Sleep(time.Minute)
 				if n := c.referee.Begun()["wk-000001/0"]; n != 1 {
 					t.Errorf("started %d times", n)
--- a/internal/controller/size_bench_test.go
+++ b/internal/controller/size_bench_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/ledger"
 	"tulipshelf/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 			spec.CPUs = 2
 			spec.OneZone = shape == job.Gang
 		}
-		items = append(items, fleetRecord{key: ledger.JobKey(id), value: wire.Marshal(ledger.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: 145})})
+		items = append(items, fleetRecord{key: jobstore.JobKey(id), value: wire.Marshal(jobstore.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: 145})})
 		if live {
 			items[len(items)-1].first, items[len(items)-1].tasks = first, tasks
 		}
@@ -79,7 +79,7 @@
 // takeOver reads the records and takes a report of each machine.
 func (l *leader) takeOver(b *testing.B, machines int) {
 	now := time.Now()
-	tasks := make([][]fleet.TaskReport, machines)
+	tasks := make([][]agent.TaskReport, machines)
 	for _, r := range records(machines) {
 		j, _, err := l.jobs.PutJob(r.value, 1)
 		if err != nil {
@@ -93,7 +93,7 @@
 			a.Recorded = true
 			hold := l.machine(a.Machine, now).Assign(a, now)
 			hold.Sent, hold.Since = now, now.Add(-time.Duration((r.first+t)*7919%60_000)*time.Millisecond) // they end one after the other
-			tasks[m] = append(tasks[m], fleet.TaskReport{Task: a.Name(), Try: try, Status: fleet.Running})
+			tasks[m] = append(tasks[m], agent.TaskReport{Task: a.Name(), Try: try, Status: agent.Running})
 		}
 	}
 	for m := range machines {
@@ -104,8 +104,8 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-func benchReport(machine int, tick uint64, tasks []fleet.TaskReport) *fleet.Report {
-	return &fleet.Report{Machine: machineName(machine), Addr: "10.1.0.1:9000", Type: "box", Zone: []string{"a", "b"}[machine%2],
+func benchReport(machine int, tick uint64, tasks []agent.TaskReport) *agent.Report {
+	return &agent.Report{Machine: machineName(machine), Addr: "10.1.0.1:9000", Type: "box", Zone: []string{"a", "b"}[machine%2],
 		Session: 1, Tick: tick, Token: 2, Tasks: tasks}
 }
 
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -34,7 +34,7 @@
 				c.net.Cut(nil)
 				c.until("the node cut off answers", 10*time.Second, func() bool { return c.status(cut, "wk-000001") == "running" })
 				c.accept(10*time.Second, cut, submission("wk-000002", job.Array, 4, 5))
-				c.until("done", time.Minute, func() bool { return c.status(cut, "wk-000002") == ledger.Done })
+				c.until("done", time.Minute, func() bool { return c.status(cut, "wk-000002") == jobstore.Done })
 				if now := c.term(); now > before+2 {
 					t.Errorf("terms %d to %d", before, now)
 				}
@@ -49,14 +49,14 @@
 // write makes changes at once under the prefix of the records, in values of a size.
 func (c *cluster) write(changes, bytes int) {
 	c.t.Helper()
-	store := statestore.New(c.net.Dial("writer"), stateAddr, 1e6, 1e6)
+	store := kvstore.New(c.net.Dial("writer"), stateAddr, 1e6, 1e6)
 	const each = 8
 	for i := 0; i < changes; i += each {
-		var ops []statestore.Op
+		var ops []kvstore.Op
 		for k := range each {
-			ops = append(ops, statestore.Op{Put: fmt.Sprintf("%s%06d", ledger.JobKey("wk-900000")+"/", i+k), Value: wire.Marshal(strings.Repeat("x", bytes))})
+			ops = append(ops, kvstore.Op{Put: fmt.Sprintf("%s%06d", jobstore.JobKey("wk-900000")+"/", i+k), Value: wire.Marshal(strings.Repeat("x", bytes))})
 		}
-		if _, err := store.Txn(c.t.Context(), nil, ops, statestore.Lease); err != nil {
+		if _, err := store.Txn(c.t.Context(), nil, ops, kvstore.Lease); err != nil {
 			c.t.Fatal(err)
 		}
 	}
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -8,17 +8,17 @@
 	"slices"
 	"time"
 
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/autoscaler"
 	"tulipshelf/internal/config"
-	"tulipshelf/internal/fleet"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/placement"
-	"tulipshelf/internal/rental"
 )
 
 // demand returns the tasks that should get a machine soon, the most important
 // first, and behind them the reserve, and says why. Running tasks are left out.
-func (l *leader) demand(now time.Time) ([]rental.Demand, string) {
+func (l *leader) demand(now time.Time) ([]autoscaler.Demand, string) {
 	d := &demandList{l: l, teams: l.teams()}
 	whole, arrays := l.byImportance()
 	for _, j := range whole {
@@ -51,15 +51,15 @@
 	// stood free for tasks that were not allowed to start).
 	if usual > 0 && l.lastArray != nil {
 		st := l.lastArray
-		d.out = append(d.out, rental.Demand{Need: st.need, Types: st.types, Zone: -1, Spot: true, Tasks: int(usual/size(st.need) + 0.5)})
+		d.out = append(d.out, autoscaler.Demand{Need: st.need, Types: st.types, Zone: -1, Spot: true, Tasks: int(usual/size(st.need) + 0.5)})
 	}
 	return d.out, why
 }
 
 // byImportance returns the jobs that wait for machines, the most important first: services
 // and gangs, which start whole, and arrays.
-func (l *leader) byImportance() (whole, arrays []*ledger.Job) {
-	l.jobs.Jobs(func(j *ledger.Job) {
+func (l *leader) byImportance() (whole, arrays []*jobstore.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		switch {
 		case l.jobStates[j].team < 0 || j.WaitingTasks() == 0:
 		case j.Spec.Shape == job.Array:
@@ -68,7 +68,7 @@
 			whole = append(whole, j)
 		}
 	})
-	compare := func(a, b *ledger.Job) int {
+	compare := func(a, b *jobstore.Job) int {
 		return cmp.Or(b.Spec.Rank()-a.Spec.Rank(), cmp.Compare(a.Arrival, b.Arrival))
 	}
 	slices.SortFunc(whole, compare)
@@ -80,11 +80,11 @@
 type demandList struct {
 	l     *leader
 	teams []placement.Team
-	out   []rental.Demand
+	out   []autoscaler.Demand
 }
 
 // add adds up to n tasks of a job, as far as its team's limit has room, and returns how many.
-func (d *demandList) add(j *ledger.Job, n int) int {
+func (d *demandList) add(j *jobstore.Job, n int) int {
 	st := d.l.jobStates[j]
 	team := &d.teams[st.team]
 	n = within(n, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs)
@@ -94,13 +94,13 @@
 	}
 	team.CPUsUsed += float64(n) * j.Spec.CPUs
 	team.GPUsUsed += float64(n) * j.Spec.GPUs
-	d.out = append(d.out, rental.Demand{Need: st.need, Types: st.types, Zone: st.zone, Spot: j.Spec.Spot, OneZone: j.Gang() && j.Spec.OneZone, Tasks: n})
+	d.out = append(d.out, autoscaler.Demand{Need: st.need, Types: st.types, Zone: st.zone, Spot: j.Spec.Spot, OneZone: j.Gang() && j.Spec.OneZone, Tasks: n})
 	return n
 }
 
 // addWhole adds a service, or a gang of which nothing is left on machines and which its team's
 // limit has room for.
-func (d *demandList) addWhole(j *ledger.Job) {
+func (d *demandList) addWhole(j *jobstore.Job) {
 	team := &d.teams[d.l.jobStates[j].team]
 	switch {
 	case j.Gang() && j.LiveTasks() > 0:
@@ -136,7 +136,7 @@
 // as those of another array stand in the line before them (TestSmallTasksRentLittle).
 func (l *leader) arrayCPUs(taken float64, teams []placement.Team, now time.Time) (need, usual float64) {
 	live, boot := 0.0, 0.0
-	var works []rental.Work
+	var works []autoscaler.Work
 	room := make([]float64, len(teams))
 	for i := range teams {
 		room[i] = teams[i].CPUsMax - teams[i].CPUsUsed
@@ -144,7 +144,7 @@
 	for i := range l.types {
 		boot = math.Max(boot, l.types[i].BootS)
 	}
-	l.jobs.Jobs(func(j *ledger.Job) {
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		if j.Spec.Shape != job.Array || j.Cancelled || l.jobStates[j].team < 0 {
 			return
 		}
@@ -153,7 +153,7 @@
 		live += at
 		run := l.expect(j) + l.fetchSeconds(j)
 		waits := float64(l.wanted(j)) * each
-		works = append(works, rental.Work{Due: l.dueIn(j, now).Seconds(), Run: run, Seconds: run * (waits + at/2)})
+		works = append(works, autoscaler.Work{Due: l.dueIn(j, now).Seconds(), Run: run, Seconds: run * (waits + at/2)})
 		if t := l.jobStates[j].team; j.Spec.CPUs > 0 {
 			may := math.Min(waits, math.Max(0, room[t]))
 			room[t] -= may
@@ -161,7 +161,7 @@
 		}
 	})
 	free := 0.0
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		if m.Type >= 0 && m.RetireReason == "" && !m.Sick && (m.Known || !l.overdueBoot(m, now)) {
 			v, _ := l.view(m, now)
 			free += v.Free[placement.CPU]
@@ -169,14 +169,14 @@
 	})
 	cpus := live + math.Max(0, free-taken)
 	usual = l.offered.Rate(now)
-	slots := rental.Slots(works, cpus, boot)
-	drain := rental.Drain(works, cpus, usual, boot)
+	slots := autoscaler.Slots(works, cpus, boot)
+	drain := autoscaler.Drain(works, cpus, usual, boot)
 	slog.Debug("arrays sized", "need", slots, "usual", usual, "drain", drain, "live", live, "cpus", cpus, "taken", taken)
 	return math.Max(math.Max(slots, usual), drain) - live, usual - live
 }
 
 // fetchSeconds is about how long a machine takes to fetch a job's image.
-func (l *leader) fetchSeconds(j *ledger.Job) float64 {
+func (l *leader) fetchSeconds(j *jobstore.Job) float64 {
 	rate := 0.0
 	for i := range l.types {
 		rate = math.Max(rate, l.types[i].FetchRate)
@@ -189,7 +189,7 @@
 
 // dueIn returns the time until a job should be complete, by its own deadline or
 // by its class's objective.
-func (l *leader) dueIn(j *ledger.Job, now time.Time) time.Duration {
+func (l *leader) dueIn(j *jobstore.Job, now time.Time) time.Duration {
 	due := time.Duration(j.Spec.DueS * float64(time.Second))
 	if due == 0 {
 		for _, o := range l.node.settings.Objectives {
@@ -206,10 +206,10 @@
 
 // reserve keeps room free for services to come, which start at once or miss
 // their aim: a share of what services use, in tasks of the largest size seen.
-func (l *leader) reserve() []rental.Demand {
+func (l *leader) reserve() []autoscaler.Demand {
 	var cpus float64
-	var typical *ledger.Job
-	l.jobs.Jobs(func(j *ledger.Job) {
+	var typical *jobstore.Job
+	l.jobs.Jobs(func(j *jobstore.Job) {
 		if j.Spec.Shape == job.Service && !j.Cancelled {
 			cpus += float64(j.Spec.Tasks) * j.Spec.CPUs
 			if typical == nil || j.Spec.CPUs > typical.Spec.CPUs {
@@ -221,5 +221,5 @@
 		return nil
 	}
 	n := int(math.Ceil(cpus * l.node.operator.Reserve / typical.Spec.CPUs))
-	return []rental.Demand{{Need: l.jobStates[typical].need, Types: l.jobStates[typical].types, Zone: -1, Tasks: n}}
+	return []autoscaler.Demand{{Need: l.jobStates[typical].need, Types: l.jobStates[typical].types, Zone: -1, Tasks: n}}
 }
--- a/internal/controller/together_test.go
+++ b/internal/controller/together_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
-	"tulipshelf/internal/standin"
+	"tulipshelf/internal/jobstore"
 )
 
 // jobID returns the id of the i-th job.
@@ -32,7 +32,7 @@
 }
 
 // withTasks returns the workers that have tasks, and the first half of them.
-func (c *cluster) withTasks() (all, half []*standin.Worker) {
+func (c *cluster) withTasks() (all, half []*fake.Worker) {
 	for _, w := range c.cloud.Machines() {
 		if w.Tasks() > 0 {
 			all = append(all, w)
@@ -65,7 +65,7 @@
 			}()
 			c.until("another node knows it", time.Minute, func() bool { return c.status((i+1)%3, id) != "404" })
 			<-sent
-			want[id] = ledger.Done
+			want[id] = jobstore.Done
 			if i%4 == 1 {
 				c.until("cancelled or done", time.Minute, func() bool {
 					return c.ask((i+2)%3, "POST", "/v1/jobs/"+id+"/abort", nil).Status == 200
@@ -147,21 +147,21 @@
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(80) // of 96 that the team may use
-		c.store.HoldBack(20, ledger.JobKey("wk-000002")+"/")
+		c.store.HoldBack(20, jobstore.JobKey("wk-000002")+"/")
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 16, 0))
 		c.until("starts held back", 10*time.Second, func() bool { return c.store.Unanswered() > 0 })
 		c.abort(1, "wk-000002")
 		c.accept(5*time.Second, 2, submission("wk-000003", job.Array, 16, 5))
 		// A new term proves in half a minute that they were never sent; it need not come to that.
-		c.over(15*time.Second, map[string]string{"wk-000003": ledger.Done, "wk-000002": ledger.Cancelled})
-		c.until("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(ledger.EndKey("wk-000002"))) == 1 })
+		c.over(15*time.Second, map[string]string{"wk-000003": jobstore.Done, "wk-000002": jobstore.Cancelled})
+		c.until("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 		if n := c.referee.Begun()["wk-000002/0"]; n != 0 {
 			t.Errorf("started %d times", n)
 		}
 		c.store.HoldBack(0, "")
 		c.store.Release()
 		time.Sleep(5 * time.Second)
-		if keys := c.store.Keys(ledger.JobKey("wk-000002")); len(keys) > 0 {
+		if keys := c.store.Keys(jobstore.JobKey("wk-000002")); len(keys) > 0 {
 			t.Errorf("late writes brought back %v", keys)
 		}
 	})
@@ -229,7 +229,7 @@
 			c.start(i)
 		}
 		c.until("service whole", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
-		c.over(2*time.Minute, map[string]string{"wk-000002": ledger.Done, "wk-000003": ledger.Cancelled})
+		c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.Done, "wk-000003": jobstore.Cancelled})
 		if n := c.referee.Begun()["wk-000003/0"]; n != 1 {
 			t.Errorf("a cancelled task was started %d times", n)
 		}
@@ -287,15 +287,15 @@
 // New machines are up at once and get work while writes lag, and the leader ends.
 func TestFastMachinesLateWrites(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.cloud.Change(func(cl *standin.Cloud) { cl.Type.BootS, cl.Capacity = 0.5, 24 })
+		c.cloud.Change(func(cl *fake.Cloud) { cl.Type.BootS, cl.Capacity = 0.5, 24 })
 		time.Sleep(2 * time.Second)
 		c.store.LateWrites(3)
 		want := map[string]string{}
 		for i := range 6 {
 			begin := time.Now()
-			c.store.HoldBack(20, ledger.JobKey(jobID(i))+"/")
+			c.store.HoldBack(20, jobstore.JobKey(jobID(i))+"/")
 			c.accept(time.Minute, i%3, submission(jobID(i), job.Array, 8, 6))
-			want[jobID(i)] = ledger.Done
+			want[jobID(i)] = jobstore.Done
 			time.Sleep(5 * time.Second)
 			if n := c.referee.OnOf(jobID(i)); n != 0 {
 				t.Errorf("%d tasks begun whose starts are not recorded", n)
@@ -399,7 +399,7 @@
 		begin := time.Now()
 		for i := 2; i < 12; i++ {
 			c.accept(20*time.Second, i%3, submission(jobID(i), job.Array, 4, 15))
-			want[jobID(i)] = ledger.Done
+			want[jobID(i)] = jobstore.Done
 			if i%3 == 0 {
 				c.until("cancelled", 20*time.Second, func() bool { return c.ask(i%3, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
 				want[jobID(i)] = c.status(i%3, jobID(i))
@@ -455,7 +455,7 @@
 			small := submission(jobID(100+i), job.Array, 8, 60)
 			small["cpus"], small["ram_gb"] = 0.25, 0.5
 			if i%4 == 0 {
-				c.store.HoldBack(3, ledger.JobKey(jobID(100+i))+"/") // its starts are not recorded for a while
+				c.store.HoldBack(3, jobstore.JobKey(jobID(100+i))+"/") // its starts are not recorded for a while
 			}
 			c.accept(10*time.Second, i%3, small)
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
@@ -467,7 +467,7 @@
 		c.until("all halted, without waiting for machines to be returned", 15*time.Second, func() bool { return c.referee.On() == 0 })
 		c.net.Cut(nil)
 		c.store.Slow(0)
-		c.until("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(ledger.JobPrefix)) == 0 })
+		c.until("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
 		if n := c.referee.Late(); n != 0 {
 			t.Errorf("%d tasks were started after their cancellation was told", n)
 		}
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/pause"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -20,13 +20,13 @@
 // array.
 func (n *Node) awaitGangs(ctx context.Context) {
 	for ctx.Err() == nil {
-		if _, err := n.store.Get(ctx, gangsKey, statestore.Rest); err == nil {
+		if _, err := n.store.Get(ctx, gangsKey, kvstore.Rest); err == nil {
 			break
 		}
 		if n.peers.AllRunGangs() {
-			_, err := n.store.Txn(ctx, []statestore.Cond{{Key: gangsKey}},
-				[]statestore.Op{{Put: gangsKey, Value: wire.Marshal(map[string]bool{"gangs": true})}}, statestore.Rest)
-			var conflict *statestore.ConflictError
+			_, err := n.store.Txn(ctx, []kvstore.Cond{{Key: gangsKey}},
+				[]kvstore.Op{{Put: gangsKey, Value: wire.Marshal(map[string]bool{"gangs": true})}}, kvstore.Rest)
+			var conflict *kvstore.ConflictError
 			if err == nil || errors.As(err, &conflict) {
 				break
 			}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,12 +19,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"tulipshelf/internal/config"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/peer"
 	"tulipshelf/internal/relay"
-	"tulipshelf/internal/standin"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -63,8 +63,8 @@
 		if strings.Contains(key, "/") {
 			c.store.Put(key, value)
 		}
-		if id, chunk, ok := ledger.SplitKey(key); ok && chunk < 0 && strings.HasPrefix(key, ledger.JobPrefix) {
-			rec, err := ledger.DecodeRecord(value)
+		if id, chunk, ok := jobstore.SplitKey(key); ok && chunk < 0 && strings.HasPrefix(key, jobstore.JobPrefix) {
+			rec, err := jobstore.DecodeRecord(value)
 			if err != nil {
 				c.t.Fatal(id, err)
 			}
@@ -101,10 +101,10 @@
 							}
 						}
 					}
-					c.over(2*time.Minute, map[string]string{"wk-000002": ledger.Done, "wk-000003": ledger.Cancelled,
-						"wk-000004": ledger.Done, "wk-000005": ledger.Cancelled})
+					c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.Done, "wk-000003": jobstore.Cancelled,
+						"wk-000004": jobstore.Done, "wk-000005": jobstore.Cancelled})
 					c.until("the service runs", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
-					if kept[ledger.JobKey(gangID)] != nil {
+					if kept[jobstore.JobKey(gangID)] != nil {
 						c.until("the gang runs again, whole", time.Minute, func() bool { return c.cloud.Gangs.Counted().Began == 1 })
 						c.accept(time.Second, 0, gang(4, 600))
 					}
@@ -178,7 +178,7 @@
 	c.until("all serve", 10*time.Second, func() bool { return c.serves(0) && c.serves(1) && c.serves(2) })
 	c.runService(6)
 	mistaken := submission("wk-000006", job.Array, 20, 5)
-	mistaken["lane"] = standin.Mistaken
+	mistaken["lane"] = fake.Mistaken
 	c.accept(5*time.Second, 0, mistaken)
 	c.accept(5*time.Second, 0, submission("wk-000002", job.Array, 3, 2))
 	c.until("done", time.Minute, c.done("wk-000002"))
@@ -247,8 +247,8 @@
 func TestStoresWhatOlderVersionsDo(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.bringAbout()
-		store := statestore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := store.List(context.Background(), "", "", 1000, statestore.Lease)
+		store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
+		page, err := store.List(context.Background(), "", "", 1000, kvstore.Lease)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -327,8 +327,8 @@
 			w.Hang(true)
 		}
 		c.until("cancelled", 10*time.Second, func() bool { return c.ask(c.leader(), "POST", "/v1/jobs/wk-000001/abort", nil).Status == 200 })
-		s := statestore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := s.List(context.Background(), "", "", 1000, statestore.Lease)
+		s := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
+		page, err := s.List(context.Background(), "", "", 1000, kvstore.Lease)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -339,17 +339,17 @@
 			}
 		}
 		for _, it := range page.Items {
-			id, chunk, ok := ledger.SplitKey(it.Key)
+			id, chunk, ok := jobstore.SplitKey(it.Key)
 			form := strings.Join(strings.SplitAfterN(it.Key, "/", 3)[:min(2, strings.Count(it.Key, "/")+1)], "")
 			switch {
-			case ok && strings.HasPrefix(it.Key, ledger.JobPrefix) && chunk < 0:
+			case ok && strings.HasPrefix(it.Key, jobstore.JobPrefix) && chunk < 0:
 				var r oldRecord
 				read(it.Key, it.Value, &r)
 				if r.Spec == nil || r.Spec.ID != id || r.Chunk < 1 || r.AtMS == 0 || (id == "wk-000001") != (r.CancelledMS != 0) {
 					t.Errorf("%s: %+v", it.Key, r)
 				}
 				form = "job"
-			case ok && strings.HasPrefix(it.Key, ledger.JobPrefix):
+			case ok && strings.HasPrefix(it.Key, jobstore.JobPrefix):
 				var v oldChunk
 				read(it.Key, it.Value, &v)
 				for _, a := range v.Live {
@@ -361,7 +361,7 @@
 			case strings.HasPrefix(it.Key, "end/"):
 				var f oldFinal
 				read(it.Key, it.Value, &f)
-				if f.Status != ledger.Done || f.Tasks != 2 {
+				if f.Status != jobstore.Done || f.Tasks != 2 {
 					t.Errorf("%s: %+v", it.Key, f)
 				}
 				form = "end"
@@ -445,7 +445,7 @@
 		want := map[string]string{}
 		for i := 2; i < 6; i++ {
 			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
-			want[jobID(i)] = ledger.Done
+			want[jobID(i)] = jobstore.Done
 		}
 		c.next = &config.State{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 		for i := range 3 {
@@ -460,13 +460,13 @@
 		}
 		for i := 6; i < 10; i++ {
 			c.accept(30*time.Second, i%3, submission(jobID(i), job.Array, 100, 8))
-			want[jobID(i)] = ledger.Done
+			want[jobID(i)] = jobstore.Done
 		}
 		c.accept(30*time.Second, 0, gang(8, 10))
-		want[gangID] = ledger.Done
+		want[gangID] = jobstore.Done
 		for _, i := range []int{3, 7} {
 			c.until("cancelled", 30*time.Second, func() bool { return c.ask(1, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
-			want[jobID(i)] = ledger.Cancelled
+			want[jobID(i)] = jobstore.Cancelled
 		}
 		c.until("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		c.nextLeader()
@@ -486,7 +486,7 @@
 			t.Errorf("%d transactions refused as too large, %d as too many", large, many)
 		}
 		c.until("nothing left behind", time.Minute, func() bool {
-			return len(c.store.Keys(ledger.JobPrefix)) == 2+5 // the services and their tasks, in one case of both layouts
+			return len(c.store.Keys(jobstore.JobPrefix)) == 2+5 // the services and their tasks, in one case of both layouts
 		})
 	})
 }
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"tulipshelf/internal/fleet"
-	"tulipshelf/internal/ledger"
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/pause"
-	"tulipshelf/internal/statestore"
 )
 
 // write puts the next batch in flight.
@@ -21,21 +21,21 @@
 		l.raise(now)
 		return
 	}
-	ops := min(l.node.settings.State.TxnOps, l.node.store.Writable(statestore.Work))
+	ops := min(l.node.settings.State.TxnOps, l.node.store.Writable(kvstore.Work))
 	fence := l.term.Fence()
-	batch := l.jobs.NextBatch(fence, ops, l.node.store.Writable(statestore.Rest), int(l.node.valueBytes.Load()), now)
+	batch := l.jobs.NextBatch(fence, ops, l.node.store.Writable(kvstore.Rest), int(l.node.valueBytes.Load()), now)
 	if batch == nil {
 		l.clearOrphans(fence)
 		return
 	}
 	l.writing = true
 	l.spawn(func() {
-		rev, err := l.node.store.Txn(l.ctx, batch.Conds, batch.Ops, statestore.Work)
+		rev, err := l.node.store.Txn(l.ctx, batch.Conds, batch.Ops, kvstore.Work)
 		l.post(func() { l.written(batch, rev, err, fence, depose) })
 	})
 }
 
-func (l *leader) written(batch *ledger.Batch, rev uint64, err error, fence statestore.Cond, depose context.CancelCauseFunc) {
+func (l *leader) written(batch *jobstore.Batch, rev uint64, err error, fence kvstore.Cond, depose context.CancelCauseFunc) {
 	now := time.Now()
 	l.writing = false
 	if err == nil {
@@ -52,7 +52,7 @@
 		return
 	}
 	l.jobs.Failed(batch)
-	var conflict *statestore.ConflictError
+	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
 		slog.Debug("batch not written", "err", err)
 		l.writing = true // wait a little before the next try
@@ -75,8 +75,8 @@
 			if key == fence.Key {
 				continue
 			}
-			it, err := l.node.store.Get(l.ctx, key, statestore.User)
-			if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+			it, err := l.node.store.Get(l.ctx, key, kvstore.User)
+			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				slog.Debug("conflict not read", "key", key, "err", err)
 				continue // the next try meets it again
 			}
@@ -87,8 +87,8 @@
 }
 
 // resolve learns what stands under a key whose condition failed.
-func (l *leader) resolve(key string, it statestore.Item, exists bool) {
-	id, chunk, ok := ledger.SplitKey(key)
+func (l *leader) resolve(key string, it kvstore.Item, exists bool) {
+	id, chunk, ok := jobstore.SplitKey(key)
 	switch {
 	case !ok:
 	case chunk >= 0:
@@ -103,15 +103,15 @@
 }
 
 // ended drops what the leader holds of a job whose end is recorded.
-func (l *leader) ended(j *ledger.Job) {
+func (l *leader) ended(j *jobstore.Job) {
 	l.replan = true
 	delete(l.jobStates, j)
-	j.Attempts(func(a *ledger.Attempt) { l.machine(a.Machine, time.Now()).Release(a) })
+	j.Attempts(func(a *jobstore.Attempt) { l.machine(a.Machine, time.Now()).Release(a) })
 	l.orphans = append(l.orphans, j.OrphanOps(1<<20)...)
 }
 
-func (l *leader) clearOrphans(fence statestore.Cond) {
-	n := min(len(l.orphans), l.node.settings.State.TxnOps, l.node.store.Writable(statestore.Rest))
+func (l *leader) clearOrphans(fence kvstore.Cond) {
+	n := min(len(l.orphans), l.node.settings.State.TxnOps, l.node.store.Writable(kvstore.Rest))
 	if n == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 	l.orphans = l.orphans[n:]
 	l.writing = true
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []statestore.Cond{fence}, ops, statestore.Rest)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, ops, kvstore.Rest)
 		l.post(func() {
 			l.writing = false
 			if err != nil {
@@ -137,13 +137,13 @@
 	}
 	l.raiseAsked = now
 	need := false
-	l.fleet.Each(func(m *fleet.Machine) {
+	l.fleet.Each(func(m *agent.Machine) {
 		// A machine that is heard through others forgets nothing whatever its token.
 		if m.Via == "" && m.Retained() > maxExited {
 			need = true
 		}
 		for _, h := range m.Assignments {
-			if h.Stopping && h.Missing >= 2 && ledger.TryTerm(h.Try) == l.term.Number() {
+			if h.Stopping && h.Missing >= 2 && jobstore.TryTerm(h.Try) == l.term.Number() {
 				need = true
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 		l.post(func() {
 			l.writing = false
-			l.jobs.Renumber(l.term.Number(), func(a *ledger.Attempt, was uint64) {
+			l.jobs.Renumber(l.term.Number(), func(a *jobstore.Attempt, was uint64) {
 				l.machine(a.Machine, time.Now()).Renumber(a, was)
 			})
 		})
--- a/internal/standin/gang.go
+++ b/internal/fake/gang.go
@@ -1,11 +1,11 @@
-package standin
+package fake
 
 import (
 	"math"
 	"sync"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/job"
 )
 
@@ -90,7 +90,7 @@
 	}
 	m := &member{w: w, t: t, key: k}
 	try.members[k.task] = m
-	t.stop = time.AfterFunc(g.Wait, func() { g.exit(m, fleet.CauseIncomplete) })
+	t.stop = time.AfterFunc(g.Wait, func() { g.exit(m, agent.CauseIncomplete) })
 	t.left = func(halt bool, windDown float64) { g.leave(try, m, halt, windDown) }
 	t.hung = func(hung bool) { g.hang(try, m, hung) }
 	if len(try.members) == s.Tasks && try.began.IsZero() && !try.over {
@@ -105,9 +105,9 @@
 		time.AfterFunc(0, func() {
 			m.w.mu.Lock()
 			defer m.w.mu.Unlock()
-			if m.t.status == fleet.Waiting {
+			if m.t.status == agent.Waiting {
 				m.t.stop.Stop()
-				m.t.status = fleet.Running
+				m.t.status = agent.Running
 				m.w.changed()
 			}
 		})
@@ -123,7 +123,7 @@
 		g.Count.Done++
 		g.mu.Unlock()
 		for _, m := range try.members {
-			g.exit(m, fleet.CauseDone)
+			g.exit(m, agent.CauseDone)
 		}
 	})
 }
@@ -141,10 +141,10 @@
 func (g *Gangs) exit(m *member, cause string) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.t.status == fleet.Exited || m.w.tasks[m.key] != m.t {
+	if m.t.status == agent.Exited || m.w.tasks[m.key] != m.t {
 		return
 	}
-	if cause == fleet.CauseIncomplete && m.t.status != fleet.Waiting {
+	if cause == agent.CauseIncomplete && m.t.status != agent.Waiting {
 		return
 	}
 	if m.w.hung {
@@ -153,9 +153,9 @@
 	}
 	g.mu.Lock()
 	switch cause {
-	case fleet.CauseIncomplete:
+	case agent.CauseIncomplete:
 		g.Count.Incomplete++
-	case fleet.CauseMatesGone:
+	case agent.CauseMatesGone:
 		g.Count.MatesGone++
 	}
 	for _, try := range g.jobs[m.id()].tries {
@@ -165,13 +165,13 @@
 	}
 	g.mu.Unlock()
 	m.t.stop.Stop()
-	m.t.status, m.t.cause = fleet.Exited, cause
-	m.w.cloud.referee.end(m.key.task, m.w.Name, cause == fleet.CauseDone)
+	m.t.status, m.t.cause = agent.Exited, cause
+	m.w.cloud.referee.end(m.key.task, m.w.Name, cause == agent.CauseDone)
 	m.w.changed()
 }
 
 func (m *member) id() string {
-	id, _, _ := fleet.SplitTask(m.key.task)
+	id, _, _ := agent.SplitTask(m.key.task)
 	return id
 }
 
@@ -187,9 +187,9 @@
 		return
 	case try.over, halt && m.told && windDown > 0:
 		return
-	case halt && m.t.status == fleet.Running && s.CheckpointS > 0 && windDown >= s.SaveS && !try.missing():
+	case halt && m.t.status == agent.Running && s.CheckpointS > 0 && windDown >= s.SaveS && !try.missing():
 		m.told = true
-		m.t.status = fleet.Saving
+		m.t.status = agent.Saving
 		if try.halted.IsZero() {
 			try.halted = time.Now()
 			time.AfterFunc(g.Peer, func() { g.stop(try) })
@@ -234,7 +234,7 @@
 	g.mu.Unlock()
 	time.AfterFunc(rest, func() {
 		for _, m := range try.members {
-			g.exit(m, fleet.CauseStop)
+			g.exit(m, agent.CauseStop)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 	}
 	g.mu.Unlock()
 	for _, m := range try.members {
-		g.exit(m, fleet.CauseMatesGone)
+		g.exit(m, agent.CauseMatesGone)
 	}
 }
 
--- a/internal/standin/net.go
+++ b/internal/fake/net.go
@@ -1,8 +1,8 @@
-// Package standin is what tests run the controllers against: a network in
+// Package fake is what tests run the controllers against: a network in
 // memory, a state service, a cloud and workers, all by their published
 // protocols, with a referee that watches the rules. It works in simulated time
 // (testing/synctest) and is part of no deployment.
-package standin
+package fake
 
 import (
 	"context"
@@ -129,7 +129,7 @@
 			return nil, ctx.Err()
 		}
 		if !ok {
-			return nil, errors.New("standin: connection refused")
+			return nil, errors.New("fake: connection refused")
 		}
 		a, b := net.Pipe()
 		n.mu.Lock()
--- a/internal/standin/store.go
+++ b/internal/fake/store.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"golang.org/x/time/rate"
 
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -23,8 +23,8 @@
 	mu                sync.Mutex
 	rev               uint64
 	keys              map[string]entry
-	events            []statestore.Event // the last keptChanges
-	dropped           uint64             // revision of the last change that is no longer kept
+	events            []kvstore.Event // the last keptChanges
+	dropped           uint64          // revision of the last change that is no longer kept
 	changed           chan struct{}
 	leases            map[uint64]*lease
 	next              uint64
@@ -268,7 +268,7 @@
 	switch {
 	case req.Method == "GET" && req.Path == "/keys":
 		limit, _ := strconv.Atoi(q["limit"])
-		page, size := statestore.Page{Rev: s.rev}, 0
+		page, size := kvstore.Page{Rev: s.rev}, 0
 		for _, k := range s.list(q["starts"]) {
 			if k <= q["after"] {
 				continue
@@ -277,7 +277,7 @@
 				page.More = true
 				break
 			}
-			page.Items = append(page.Items, statestore.Item{Key: k, Value: s.keys[k].value, Rev: s.keys[k].rev})
+			page.Items = append(page.Items, kvstore.Item{Key: k, Value: s.keys[k].value, Rev: s.keys[k].rev})
 		}
 		return ok(page)
 	case req.Method == "GET" && strings.HasPrefix(req.Path, "/keys/"):
@@ -286,7 +286,7 @@
 		if !found {
 			return wire.Response{Status: 404}
 		}
-		return ok(statestore.Item{Key: k, Value: e.value, Rev: e.rev})
+		return ok(kvstore.Item{Key: k, Value: e.value, Rev: e.rev})
 	case req.Path == "/txn":
 		return s.txn(append([]byte(nil), req.Body...))
 	case req.Method == "POST" && req.Path == "/leases":
@@ -344,7 +344,7 @@
 		if s.keys[k].lease == id {
 			s.rev++
 			delete(s.keys, k)
-			s.event(statestore.Event{Delete: k, Rev: s.rev})
+			s.event(kvstore.Event{Delete: k, Rev: s.rev})
 		}
 	}
 }
@@ -352,7 +352,7 @@
 // keptChanges is how many changes the service keeps for watches.
 const keptChanges = 10_000
 
-func (s *Store) event(e statestore.Event) {
+func (s *Store) event(e kvstore.Event) {
 	s.events = append(s.events, e)
 	for len(s.events) > keptChanges {
 		s.dropped, s.events = s.events[0].Rev, s.events[1:]
@@ -392,17 +392,17 @@
 // changes tells whether a transaction changes a key that begins with prefix.
 func changes(body []byte, prefix string) bool {
 	var in struct {
-		Then []statestore.Op `cbor:"then"`
+		Then []kvstore.Op `cbor:"then"`
 	}
-	return wire.Unmarshal(body, &in) == nil && slices.ContainsFunc(in.Then, func(o statestore.Op) bool {
+	return wire.Unmarshal(body, &in) == nil && slices.ContainsFunc(in.Then, func(o kvstore.Op) bool {
 		return strings.HasPrefix(o.Put+o.Delete, prefix)
 	})
 }
 
 func (s *Store) apply(body []byte) wire.Response {
 	var in struct {
-		When []statestore.Cond `cbor:"when"`
-		Then []statestore.Op   `cbor:"then"`
+		When []kvstore.Cond `cbor:"when"`
+		Then []kvstore.Op   `cbor:"then"`
 	}
 	if wire.Unmarshal(body, &in) != nil {
 		return wire.Response{Status: 400}
@@ -426,10 +426,10 @@
 	for _, op := range in.Then {
 		if op.Put != "" {
 			s.keys[op.Put] = entry{op.Value, s.rev, op.Lease}
-			s.event(statestore.Event{Put: op.Put, Value: op.Value, Rev: s.rev})
+			s.event(kvstore.Event{Put: op.Put, Value: op.Value, Rev: s.rev})
 		} else if _, found := s.keys[op.Delete]; found {
 			delete(s.keys, op.Delete)
-			s.event(statestore.Event{Delete: op.Delete, Rev: s.rev})
+			s.event(kvstore.Event{Delete: op.Delete, Rev: s.rev})
 		}
 	}
 	if s.downKey != "" && changes(body, s.downKey) {
@@ -453,7 +453,7 @@
 			s.mu.Unlock()
 			return wire.Response{Status: 410}
 		}
-		var found []statestore.Event
+		var found []kvstore.Event
 		for _, e := range s.events {
 			if e.Rev > after && strings.HasPrefix(e.Put+e.Delete, q["starts"]) {
 				found = append(found, e)
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
@@ -72,7 +72,7 @@
 	defer w.mu.Unlock()
 	w.hung = hung
 	for _, t := range w.tasks {
-		if t.hung != nil && t.status != fleet.Exited {
+		if t.hung != nil && t.status != agent.Exited {
 			t.hung(hung)
 		}
 	}
@@ -122,7 +122,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for k, t := range w.tasks {
-		if of, _, _ := fleet.SplitTask(k.task); of == id && t.status != fleet.Exited {
+		if of, _, _ := agent.SplitTask(k.task); of == id && t.status != agent.Exited {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, t := range w.tasks {
-		if t.status != fleet.Exited {
+		if t.status != agent.Exited {
 			n++
 		}
 	}
@@ -164,7 +164,7 @@
 
 func (w *Worker) kill() {
 	for k, t := range w.tasks {
-		if t.status != fleet.Exited {
+		if t.status != agent.Exited {
 			t.stop.Stop()
 			if t.left != nil {
 				t.left(false, 0)
@@ -237,13 +237,13 @@
 
 func (w *Worker) snapshot() []byte {
 	w.tick++
-	r := fleet.Report{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Session: w.session, Tick: w.tick, Token: w.token}
+	r := agent.Report{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Session: w.session, Tick: w.tick, Token: w.token}
 	if !w.notice.IsZero() {
 		left := time.Until(w.notice).Seconds()
 		r.RecallS = &left
 	}
 	for k, t := range w.tasks {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Task: k.task, Try: k.try, Status: t.status, Cause: t.cause})
+		r.Tasks = append(r.Tasks, agent.TaskReport{Task: k.task, Try: k.try, Status: t.status, Cause: t.cause})
 	}
 	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].Task < r.Tasks[j].Task })
 	return wire.Marshal(r)
@@ -272,7 +272,7 @@
 }
 
 func (w *Worker) take(body []byte, sent time.Time) {
-	var a fleet.Answer
+	var a agent.Answer
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wire.Unmarshal(body, &a) != nil || a.Token < w.token {
@@ -286,7 +286,7 @@
 func (w *Worker) handle(_ context.Context, req *wire.Request) wire.Response {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var c fleet.Commands
+	var c agent.Commands
 	if w.hung || w.deaf {
 		return wire.Response{Status: drop}
 	}
@@ -311,7 +311,7 @@
 	}
 }
 
-func (w *Worker) execute(orders []fleet.Order) {
+func (w *Worker) execute(orders []agent.Order) {
 	for _, o := range orders {
 		k := fleetKey{o.Task, o.Try}
 		t := w.tasks[k]
@@ -319,22 +319,22 @@
 		case o.Verb == "run" && t == nil:
 			w.tasks[k] = w.begin(k)
 			w.changed()
-		case o.Verb == "halt" && t != nil && t.status != fleet.Exited:
+		case o.Verb == "halt" && t != nil && t.status != agent.Exited:
 			if t.left != nil {
 				windDown := 0.0
 				if o.WindDown != nil {
 					windDown = *o.WindDown
 				}
-				if t.left(true, windDown); t.status == fleet.Saving && windDown > 0 {
+				if t.left(true, windDown); t.status == agent.Saving && windDown > 0 {
 					w.changed()
 					continue
 				}
 			}
 			t.stop.Stop()
-			t.status, t.cause = fleet.Exited, fleet.CauseStop
+			t.status, t.cause = agent.Exited, agent.CauseStop
 			w.cloud.referee.end(k.task, w.Name, false)
 			w.changed()
-		case o.Verb == "forget" && t != nil && t.status == fleet.Exited:
+		case o.Verb == "forget" && t != nil && t.status == agent.Exited:
 			delete(w.tasks, k)
 		}
 	}
@@ -342,21 +342,21 @@
 
 func (w *Worker) begin(k fleetKey) *task {
 	for other, t := range w.tasks {
-		if other.task == k.task && t.status != fleet.Exited {
-			return &task{status: fleet.Exited, cause: fleet.CauseInUse}
+		if other.task == k.task && t.status != agent.Exited {
+			return &task{status: agent.Exited, cause: agent.CauseInUse}
 		}
 	}
 	s, known := w.cloud.referee.start(k.task, place{w.Name, w.Zone, k.try})
 	if !known {
-		return &task{status: fleet.Exited, cause: fleet.CauseNoJob}
+		return &task{status: agent.Exited, cause: agent.CauseNoJob}
 	}
 	if w.sick || s.Class == Mistaken {
 		w.cloud.referee.end(k.task, w.Name, false)
 		w.changed()
-		return &task{status: fleet.Exited, cause: fleet.CauseError}
+		return &task{status: agent.Exited, cause: agent.CauseError}
 	}
 	if s.Shape == job.Gang {
-		t := &task{status: fleet.Waiting}
+		t := &task{status: agent.Waiting}
 		w.cloud.Gangs.join(s, w, k, t)
 		return t
 	}
@@ -364,12 +364,12 @@
 	if s.Shape == job.Service {
 		run = 1000 * time.Hour
 	}
-	t := &task{status: fleet.Running}
+	t := &task{status: agent.Running}
 	t.stop = time.AfterFunc(run, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if t.status == fleet.Running {
-			t.status, t.cause = fleet.Exited, fleet.CauseDone
+		if t.status == agent.Running {
+			t.status, t.cause = agent.Exited, agent.CauseDone
 			w.cloud.referee.end(k.task, w.Name, true)
 			w.changed()
 		}
--- a/internal/tracetest/tracetest.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package tracetest runs kept traces: texts that people read, in which lines
+// Package golden runs kept traces: texts that people read, in which lines
 // that begin with ">" are what the code answered and all others what is given.
-package tracetest
+package golden
 
 import (
 	"bufio"
--- a/internal/ledger/job.go
+++ b/internal/jobstore/job.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"strconv"
--- a/internal/ledger/jobs.go
+++ b/internal/jobstore/jobs.go
@@ -1,10 +1,10 @@
-// Package ledger keeps the records of jobs and of attempts to run their tasks:
+// Package jobstore keeps the records of jobs and of attempts to run their tasks:
 // the leader's copy in memory and the batches of conditional writes that make
 // it durable.
 //
 // Keys: job/ID is the job while it is unfinished; job/ID/NNNNNN a chunk of its
 // tasks, with those done and the live attempts; end/ID its final state.
-package ledger
+package jobstore
 
 import (
 	"fmt"
@@ -92,11 +92,11 @@
 func (b *Jobs) PutChunk(id string, n int, value []byte, rev uint64) error {
 	j := b.jobs[id]
 	if j == nil {
-		return fmt.Errorf("ledger: chunk %s/%d without a job", id, n)
+		return fmt.Errorf("jobstore: chunk %s/%d without a job", id, n)
 	}
 	var v chunkValue
 	if err := wire.Unmarshal(value, &v); err != nil {
-		return fmt.Errorf("ledger: chunk %s/%d: %w", id, n, err)
+		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, n, err)
 	}
 	size := j.record.Chunk
 	first := (n - j.record.Base) * size
@@ -119,7 +119,7 @@
 	j.sendable = unknown
 	err := eachInRanges(v.Done, func(i int) error {
 		if first+i >= last {
-			return fmt.Errorf("ledger: chunk %s/%d: task out of range", id, n)
+			return fmt.Errorf("jobstore: chunk %s/%d: task out of range", id, n)
 		}
 		if j.tasks[first+i] != TaskDone {
 			j.tasks[first+i] = TaskDone
@@ -132,7 +132,7 @@
 	}
 	for _, a := range v.Live {
 		if a.Task < first || a.Task >= last || j.tasks[a.Task] != Waiting {
-			return fmt.Errorf("ledger: chunk %s/%d: attempt of task %d", id, n, a.Task)
+			return fmt.Errorf("jobstore: chunk %s/%d: attempt of task %d", id, n, a.Task)
 		}
 		j.tasks[a.Task] = Live
 		j.live[a.Task] = &Attempt{Job: j, Task: a.Task, Try: a.Try, Machine: a.Machine, Session: a.Session, Recorded: true}
@@ -169,7 +169,7 @@
 // Start makes an attempt. It must not be sent before a batch has recorded it.
 func (b *Jobs) Start(j *Job, task int, try uint64, machine string, session uint64, now time.Time) *Attempt {
 	if j.tasks[task] != Waiting || j.Cancelled {
-		panic(fmt.Sprintf("ledger: start of %s/%d in state %d", j.Spec.ID, task, j.tasks[task]))
+		panic(fmt.Sprintf("jobstore: start of %s/%d in state %d", j.Spec.ID, task, j.tasks[task]))
 	}
 	a := &Attempt{Job: j, Task: task, Try: try, Machine: machine, Session: session}
 	j.tasks[task] = Live
--- a/internal/ledger/ledger_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
 var (
 	t0    = time.Unix(1_000_000, 0)
-	fence = statestore.Cond{Key: "lead/term", Rev: 7}
+	fence = kvstore.Cond{Key: "lead/term", Rev: 7}
 )
 
 func record(id string, tasks int, cancelled bool) []byte {
--- a/internal/ledger/layout_test.go
+++ b/internal/jobstore/layout_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 	"time"
 
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/statestore"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 // store is what a state service holds of a book's writes.
 type store struct {
 	rev  uint64
-	keys map[string]statestore.Item
+	keys map[string]kvstore.Item
 }
 
 // apply carries out a batch if its conditions hold.
@@ -94,7 +94,7 @@
 			delete(s.keys, op.Delete)
 			continue
 		}
-		s.keys[op.Put] = statestore.Item{Key: op.Put, Value: op.Value, Rev: s.rev}
+		s.keys[op.Put] = kvstore.Item{Key: op.Put, Value: op.Value, Rev: s.rev}
 	}
 	return s.rev, true
 }
@@ -126,9 +126,9 @@
 	const small, replicas = 2 << 10, 100
 	for _, name := range []string{"answered", "answer lost", "the watch is first", "changes meanwhile", "not applied"} {
 		t.Run(name, func(t *testing.T) {
-			s := &store{keys: map[string]statestore.Item{}}
+			s := &store{keys: map[string]kvstore.Item{}}
 			r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Service, Priority: "high", Tasks: replicas, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-			s.apply(&Batch{Conds: []statestore.Cond{fence}, Ops: []statestore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+			s.apply(&Batch{Conds: []kvstore.Cond{fence}, Ops: []kvstore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 			b := s.read(t)
 			j := b.Job("wk-000001")
 			for task := range replicas {
@@ -230,9 +230,9 @@
 // can't be written: what was lost may start at once, and nothing of it is left in the end.
 func TestArrayLaidOutAnew(t *testing.T) {
 	const small = 2 << 10
-	s := &store{keys: map[string]statestore.Item{}}
+	s := &store{keys: map[string]kvstore.Item{}}
 	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-	s.apply(&Batch{Conds: []statestore.Cond{fence}, Ops: []statestore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+	s.apply(&Batch{Conds: []kvstore.Cond{fence}, Ops: []kvstore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 	b := s.read(t)
 	j := b.Job("wk-000001")
 	now := t0
--- a/internal/ledger/record.go
+++ b/internal/jobstore/record.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"fmt"
@@ -102,7 +102,7 @@
 func DecodeRecord(value []byte) (Record, error) {
 	var r Record
 	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.Chunk < 1 {
-		return r, fmt.Errorf("ledger: job record: %w", err)
+		return r, fmt.Errorf("jobstore: job record: %w", err)
 	}
 	return r, nil
 }
@@ -115,7 +115,7 @@
 		Base        int   `cbor:"base"`
 	}
 	if err := wire.Unmarshal(value, &r); err != nil {
-		return false, 0, fmt.Errorf("ledger: job record: %w", err)
+		return false, 0, fmt.Errorf("jobstore: job record: %w", err)
 	}
 	return r.CancelledMS != 0, r.Base, nil
 }
@@ -132,7 +132,7 @@
 func ReadChunk(id string, value []byte) (done int, live []Place, err error) {
 	var v chunkValue
 	if err := wire.Unmarshal(value, &v); err != nil {
-		return 0, nil, fmt.Errorf("ledger: chunk: %w", err)
+		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
 	}
 	for _, a := range v.Live {
 		live = append(live, Place{taskName(id, a.Task), a.Try, a.Machine, a.Session})
@@ -154,7 +154,7 @@
 			b, err = strconv.Atoi(to)
 		}
 		if err != nil || a < 0 || b < a || b > job.MaxTasks {
-			return fmt.Errorf("ledger: bad range %q", part)
+			return fmt.Errorf("jobstore: bad range %q", part)
 		}
 		for i := a; i <= b; i++ {
 			if err := f(i); err != nil {
--- a/internal/statestore/statestore.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,7 @@
-// Package statestore is the client of the state service: keys with revisions,
+// Package kvstore is the client of the state service: keys with revisions,
 // conditional transactions, leases and watches, within this node's share of
 // the service's limits.
-package statestore
+package kvstore
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 // Errors that callers tell apart. Any other error, and ErrUnknown above all,
 // leaves open whether a transaction was or yet will be applied.
 var (
-	ErrRefused     = errors.New("statestore: not executed") // 429, 503, or nothing sent
-	ErrUnknown     = errors.New("statestore: outcome unknown")
-	ErrNotFound    = errors.New("statestore: not found")
-	ErrNoSuchLease = errors.New("statestore: no such lease")
-	ErrCompacted   = errors.New("statestore: revision too old") // the keys have to be read again, by pages
+	ErrRefused     = errors.New("kvstore: not executed") // 429, 503, or nothing sent
+	ErrUnknown     = errors.New("kvstore: outcome unknown")
+	ErrNotFound    = errors.New("kvstore: not found")
+	ErrNoSuchLease = errors.New("kvstore: no such lease")
+	ErrCompacted   = errors.New("kvstore: revision too old") // the keys have to be read again, by pages
 	ErrBudget      = fmt.Errorf("%w: over this node's own rate", ErrRefused)
 )
 
@@ -67,7 +67,7 @@
 // ConflictError tells which conditions of a transaction did not hold.
 type ConflictError struct{ Keys []string }
 
-func (e *ConflictError) Error() string { return fmt.Sprintf("statestore: conflict on %v", e.Keys) }
+func (e *ConflictError) Error() string { return fmt.Sprintf("kvstore: conflict on %v", e.Keys) }
 
 // Event is one change seen by a watch.
 type Event struct {
@@ -247,7 +247,7 @@
 	return out.Events, out.Rev, nil
 }
 
-var errConflict = errors.New("statestore: conflict")
+var errConflict = errors.New("kvstore: conflict")
 
 func (c *Client) do(ctx context.Context, method, target string, body []byte, out any) error {
 	if _, ok := ctx.Deadline(); !ok {
@@ -296,7 +296,7 @@
 			return ErrNoSuchLease
 		}
 		c.refused(target, true)
-		return fmt.Errorf("statestore: %s %s: status 400 %q", method, target, e.Error)
+		return fmt.Errorf("kvstore: %s %s: status 400 %q", method, target, e.Error)
 	}
 	return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/pause"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
@@ -55,10 +55,10 @@
 }
 
 // Fence returns the condition that every write of this term carries.
-func (r *Term) Fence() statestore.Cond {
+func (r *Term) Fence() kvstore.Cond {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return statestore.Cond{Key: TermKey, Rev: r.rev}
+	return kvstore.Cond{Key: TermKey, Rev: r.rev}
 }
 
 // Valid tells whether no other node can have been elected: the lease was
@@ -73,7 +73,7 @@
 type Candidate struct {
 	Node  string
 	TTL   time.Duration
-	Store *statestore.Client
+	Store *kvstore.Client
 	Defer func() bool // whether another node had better be elected; nil: never
 
 	mu      sync.Mutex
@@ -200,7 +200,7 @@
 
 func (c *Candidate) read(ctx context.Context) (standing, error) {
 	var s standing
-	page, err := c.Store.List(ctx, prefix, "", 10, statestore.Lease)
+	page, err := c.Store.List(ctx, prefix, "", 10, kvstore.Lease)
 	if err != nil {
 		return s, err
 	}
@@ -276,12 +276,12 @@
 func (c *Candidate) claim(ctx context.Context, r *Term, s standing) error {
 	term := s.term + 1
 	rev, err := c.Store.Txn(ctx,
-		[]statestore.Cond{{Key: holderKey, Rev: s.hrev}, {Key: TermKey, Rev: s.trev}},
-		[]statestore.Op{
+		[]kvstore.Cond{{Key: holderKey, Rev: s.hrev}, {Key: TermKey, Rev: s.trev}},
+		[]kvstore.Op{
 			{Put: holderKey, Value: wire.Marshal(holder{c.Node, term, r.lease}), Lease: r.lease},
 			{Put: TermKey, Value: wire.Marshal(termValue{term})},
-		}, statestore.Lease)
-	if errors.Is(err, statestore.ErrUnknown) {
+		}, kvstore.Lease)
+	if errors.Is(err, kvstore.ErrUnknown) {
 		now, rerr := c.read(ctx)
 		if rerr == nil && now.holder.Lease == r.lease && now.term == term && now.hrev == now.trev {
 			rev, err = now.trev, nil
@@ -360,7 +360,7 @@
 		rctx, stop := context.WithTimeout(ctx, c.TTL/3)
 		err := c.Store.Extend(rctx, r.lease)
 		stop()
-		if errors.Is(err, statestore.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			slog.Info("leadership lost: lease ended", "term", r.Number())
 			break
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tulipshelf/internal/tracetest"
+	"tulipshelf/internal/golden"
 )
 
 // Each line of a trace's input is a word followed by fields such as cpu=4:
@@ -19,7 +19,7 @@
 //	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [onezone] [apart] [gang] [urgent] [displace] [costly] [beyond] [ratio=] [tocome] [warm=M [coming=M]]
 //	load SECONDS TASKS   the index of one machine with so many tasks for so long
 //	place
-func TestTraces(t *testing.T) { tracetest.Run(t, replay) }
+func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
 const zones = 3
 
@@ -30,7 +30,7 @@
 	var jobs []Job
 	var index Index
 	clock := now
-	return tracetest.Replay(trace, func(out *bytes.Buffer, line string, word []string) {
+	return golden.Replay(trace, func(out *bytes.Buffer, line string, word []string) {
 		number := func(name string, missing float64) float64 {
 			for _, w := range word[1:] {
 				if k, v, ok := strings.Cut(w, "="); ok && k == name {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strconv"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
 )
 
 // UpPrefix is where reports are written; the leader watches it.
@@ -34,12 +34,12 @@
 }
 
 // Report returns the report that w stands for.
-func (w *FullReport) Report() fleet.Report {
-	return fleet.Report{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+func (w *FullReport) Report() agent.Report {
+	return agent.Report{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Session: w.Session, Tick: w.Tick, Token: w.Token, RecallS: w.RecallS, Tasks: appendTasks(nil, w.Tasks)}
 }
 
-func whole(r *fleet.Report) FullReport {
+func whole(r *agent.Report) FullReport {
 	w := FullReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
 		Session: r.Session, Tick: r.Tick, Token: r.Token, RecallS: r.RecallS}
 	for _, t := range r.Tasks {
@@ -48,13 +48,13 @@
 	return w
 }
 
-func brief(t fleet.TaskReport) Task {
+func brief(t agent.TaskReport) Task {
 	return Task{Task: t.Task, Try: t.Try, Status: t.Status, Cause: t.Cause}
 }
 
-func appendTasks(out []fleet.TaskReport, tasks []Task) []fleet.TaskReport {
+func appendTasks(out []agent.TaskReport, tasks []Task) []agent.TaskReport {
 	for _, t := range tasks {
-		out = append(out, fleet.TaskReport{Task: t.Task, Try: t.Try, Status: t.Status, Cause: t.Cause})
+		out = append(out, agent.TaskReport{Task: t.Task, Try: t.Try, Status: t.Status, Cause: t.Cause})
 	}
 	return out
 }
@@ -82,7 +82,7 @@
 }
 
 // Apply returns the report that a change stands for, given the one before it.
-func (c *ReportChange) Apply(before fleet.Report) fleet.Report {
+func (c *ReportChange) Apply(before agent.Report) agent.Report {
 	r := before
 	r.Tick, r.Token, r.Tasks = c.Tick, c.Token, nil
 	out := map[attempt]bool{}
@@ -104,9 +104,9 @@
 }
 
 // difference returns what makes b of a, reports of one session.
-func difference(a, b *fleet.Report) ReportChange {
+func difference(a, b *agent.Report) ReportChange {
 	c := ReportChange{Machine: b.Machine, Session: b.Session, Before: a.Tick, Tick: b.Tick, Token: b.Token}
-	had := make(map[attempt]fleet.TaskReport, len(a.Tasks))
+	had := make(map[attempt]agent.TaskReport, len(a.Tasks))
 	for _, t := range a.Tasks {
 		had[attempt{t.Task, t.Try}] = t
 	}
@@ -149,7 +149,7 @@
 }
 
 // Brief returns commands in short.
-func Brief(orders []fleet.Order) (out []Command) {
+func Brief(orders []agent.Order) (out []Command) {
 	for _, o := range orders {
 		out = append(out, Command{Verb: o.Verb, Task: o.Task, Try: o.Try, WindDown: o.WindDown})
 	}
@@ -160,9 +160,9 @@
 	return c.Verb == other.Verb && c.Task == other.Task && c.Try == other.Try
 }
 
-func (o *Order) orders() (out []fleet.Order) {
+func (o *Order) orders() (out []agent.Order) {
 	for _, c := range o.Commands {
-		out = append(out, fleet.Order{Verb: c.Verb, Task: c.Task, Try: c.Try, WindDown: c.WindDown})
+		out = append(out, agent.Order{Verb: c.Verb, Task: c.Task, Try: c.Try, WindDown: c.WindDown})
 	}
 	return out
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,22 +20,22 @@
 	"sync"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/pause"
-	"tulipshelf/internal/statestore"
 	"tulipshelf/internal/wire"
 )
 
 // Proxy is the side of the controller that stands in for the leader.
 type Proxy struct {
 	Node       string
-	Store      *statestore.Client
+	Store      *kvstore.Client
 	Dial       wire.DialFunc // to workers
 	ValueBytes int
 	TxnOps     int
 
 	mu      sync.Mutex
-	reports map[string]fleet.Report // newest not yet written, by machine
+	reports map[string]agent.Report // newest not yet written, by machine
 	passed  map[string]passed       // last passed on, by machine
 	addrs   map[string]string       // of machines
 	leader  string                  // to which they were passed on
@@ -46,7 +46,7 @@
 
 // passed is a report that was passed on, whole or by its changes.
 type passed struct {
-	report fleet.Report
+	report agent.Report
 	at     time.Time
 	whole  time.Time // when one of the machine was last passed on whole
 }
@@ -58,7 +58,7 @@
 
 // Answer takes the report of a worker that cannot reach the leader and returns
 // the answer to it under the leader's term.
-func (l *Proxy) Answer(r *fleet.Report, leader string, term uint64) fleet.Answer {
+func (l *Proxy) Answer(r *agent.Report, leader string, term uint64) agent.Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader != leader {
@@ -67,7 +67,7 @@
 	l.term = term
 	l.take(r)
 	l.last = time.Now()
-	a := fleet.Answer{Token: term}
+	a := agent.Answer{Token: term}
 	if o := l.order(r.Machine); o.Session == r.Session {
 		a.Orders = o.orders()
 	}
@@ -75,11 +75,11 @@
 }
 
 // take keeps a report to be passed on, if it is the newest.
-func (l *Proxy) take(r *fleet.Report) {
+func (l *Proxy) take(r *agent.Report) {
 	if l.reports == nil {
-		l.reports, l.addrs = map[string]fleet.Report{}, map[string]string{}
+		l.reports, l.addrs = map[string]agent.Report{}, map[string]string{}
 	}
-	for _, old := range []fleet.Report{l.reports[r.Machine], l.passed[r.Machine].report} {
+	for _, old := range []agent.Report{l.reports[r.Machine], l.passed[r.Machine].report} {
 		if old.Session > r.Session || old.Session == r.Session && old.Tick >= r.Tick {
 			return
 		}
@@ -117,15 +117,15 @@
 			l.forget()
 			continue
 		}
-		var ops []statestore.Op
+		var ops []kvstore.Op
 		batches, sent := l.nextBatches(time.Now())
 		for i, m := range batches {
-			ops = append(ops, statestore.Op{Put: UpPrefix + l.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
+			ops = append(ops, kvstore.Op{Put: UpPrefix + l.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
 		}
 		if len(ops) == 0 {
 			continue
 		}
-		if _, err := l.Store.Txn(ctx, nil, ops, statestore.User); err != nil {
+		if _, err := l.Store.Txn(ctx, nil, ops, kvstore.User); err != nil {
 			slog.Debug("reports not relayed", "err", err)
 			continue
 		}
@@ -169,7 +169,7 @@
 		room -= size
 		return &out[len(out)-1]
 	}
-	change := func(r fleet.Report, c ReportChange) bool {
+	change := func(r agent.Report, c ReportChange) bool {
 		m := add(len(wire.Marshal(c)))
 		if m != nil {
 			m.Changes = append(m.Changes, c)
@@ -177,7 +177,7 @@
 		}
 		return m != nil
 	}
-	full := func(r fleet.Report) bool {
+	full := func(r agent.Report) bool {
 		w := whole(&r)
 		m := add(len(wire.Marshal(w)))
 		if m != nil {
@@ -271,7 +271,7 @@
 	prefix := downPrefix + l.Node + "/"
 	var fresh []push
 	if *rev == 0 {
-		page, err := l.Store.List(ctx, prefix, "", 100, statestore.Rest)
+		page, err := l.Store.List(ctx, prefix, "", 100, kvstore.Rest)
 		if err != nil {
 			return nil, err
 		}
@@ -319,7 +319,7 @@
 		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.same) {
 			continue
 		}
-		fresh = append(fresh, push{name, addr, fleet.Commands{Token: b.Term, Session: o.Session, Orders: o.orders()}})
+		fresh = append(fresh, push{name, addr, agent.Commands{Token: b.Term, Session: o.Session, Orders: o.orders()}})
 	}
 	return fresh, nil
 }
@@ -327,7 +327,7 @@
 // push is commands for one machine, on their way.
 type push struct {
 	machine, addr string
-	commands      fleet.Commands
+	commands      agent.Commands
 }
 
 // Bounds of pushing to workers.
@@ -343,7 +343,7 @@
 	defer cancel()
 	c := wire.Client{Dial: l.Dial, Addr: p.addr}
 	defer c.CloseIdle()
-	r, err := fleet.Ask(ctx, &c, "POST", "/commands", wire.Marshal(p.commands))
+	r, err := agent.Ask(ctx, &c, "POST", "/commands", wire.Marshal(p.commands))
 	if err != nil || r.Machine != p.machine {
 		slog.Debug("commands not answered", "machine", p.machine, "err", err)
 		return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tulipshelf/internal/fleet"
+	"tulipshelf/internal/agent"
 	"tulipshelf/internal/wire"
 )
 
@@ -22,26 +22,26 @@
 	now := time.Unix(0, 0)
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	type known struct {
-		report fleet.Report
+		report agent.Report
 		at     time.Time
 	}
 	leader := map[string]known{}
-	reported := map[string]fleet.Report{}
+	reported := map[string]agent.Report{}
 	for tick := range 80 { // a write each 0.5 s
 		now = now.Add(writeEvery)
 		for i := range machines {
 			if (i+tick)%10 > 0 {
 				continue // each machine reports every 5 s
 			}
-			r := fleet.Report{Machine: name(i), Addr: "10.1.0.232:9000", Type: "box", Zone: "a",
+			r := agent.Report{Machine: name(i), Addr: "10.1.0.232:9000", Type: "box", Zone: "a",
 				Session: 1, Tick: uint64(tick + 1), Token: 3}
 			for k := range 12 {
 				if k == i%12 && tick%3 == 0 {
 					continue // forgotten
 				}
-				r.Tasks = append(r.Tasks, fleet.TaskReport{Task: fmt.Sprintf("wk-%06d/%d", i, k), Try: 3<<24 + uint64(k), Status: fleet.Exited, Cause: fleet.CauseDone})
+				r.Tasks = append(r.Tasks, agent.TaskReport{Task: fmt.Sprintf("wk-%06d/%d", i, k), Try: 3<<24 + uint64(k), Status: agent.Exited, Cause: agent.CauseDone})
 			}
-			r.Tasks = append(r.Tasks, fleet.TaskReport{Task: fmt.Sprintf("wk-9%05d/0", tick), Try: 3 << 24, Status: fleet.Running})
+			r.Tasks = append(r.Tasks, agent.TaskReport{Task: fmt.Sprintf("wk-9%05d/0", tick), Try: 3 << 24, Status: agent.Running})
 			l.Answer(&r, "shelf-0", 3)
 			reported[r.Machine] = r
 		}
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	same := func(a, b fleet.TaskReport) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }
+	same := func(a, b agent.TaskReport) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }
 	for i := range machines {
 		a, b := leader[name(i)].report, reported[name(i)]
 		slices.SortFunc(a.Tasks, same)
