--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/jobstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/peer"
 )
 
@@ -35,7 +35,7 @@
 			slog.Debug("cancellations not read", "err", err)
 			wait /= 4
 		}
-		pause.For(ctx, wait)
+		clock.Sleep(ctx, wait)
 	}
 }
 
@@ -161,7 +161,7 @@
 
 // guardCancellations looks after cancelled jobs where no leader does.
 func (n *Node) guardCancellations(ctx context.Context) {
-	for pause.For(ctx, time.Second) {
+	for clock.Sleep(ctx, time.Second) {
 		n.guard.look(n.places(0))
 		leader, _ := n.candidate.Leader()
 		if l := n.leader.Load(); l != nil && l.loaded.Load() || n.peers.Leads(leader, proxyUnheard) {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -13,12 +13,12 @@
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/api"
 	"tulipshelf/internal/autoscaler"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/placement"
 	"tulipshelf/internal/wire"
 )
@@ -364,7 +364,7 @@
 		}
 		if err != nil {
 			slog.Debug("watch failed", "err", err)
-			pause.For(ctx, 300*time.Millisecond)
+			clock.Sleep(ctx, 300*time.Millisecond)
 			continue
 		}
 		rev = max(rev, at)
@@ -374,7 +374,7 @@
 			}
 		})
 		// Changes come in company, our own among them; each new watch is a request.
-		pause.For(ctx, 50*time.Millisecond)
+		clock.Sleep(ctx, 50*time.Millisecond)
 	}
 }
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -15,12 +15,12 @@
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/api"
 	"tulipshelf/internal/cancellation"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/leadership"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/peer"
 	"tulipshelf/internal/relay"
 	"tulipshelf/internal/wire"
@@ -259,7 +259,7 @@
 				kept = value
 			}
 		}
-		pause.For(ctx, wait)
+		clock.Sleep(ctx, wait)
 	}
 }
 
--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/fake"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
 	previousconfig "tulipshelf/target/oldversion/previous/config"
 	previouscontroller "tulipshelf/target/oldversion/previous/controller"
@@ -95,7 +95,7 @@
 			err := node.Run(life)
 			crashed := life.Err() != nil && ctx.Err() == nil
 			crash()
-			if !crashed || !pause.For(ctx, restartDelay) {
+			if !crashed || !clock.Sleep(ctx, restartDelay) {
 				return err
 			}
 		}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/relay"
 	"tulipshelf/internal/wire"
 )
@@ -38,7 +38,7 @@
 		if rev == 0 {
 			page, err := l.node.store.List(ctx, relay.UpPrefix, "", 1, kvstore.Rest)
 			if err != nil {
-				pause.For(ctx, time.Second)
+				clock.Sleep(ctx, time.Second)
 				continue
 			}
 			rev = page.Rev
@@ -48,7 +48,7 @@
 			rev = 0
 		}
 		if err != nil {
-			pause.For(ctx, time.Second)
+			clock.Sleep(ctx, time.Second)
 			continue
 		}
 		rev = max(rev, at)
@@ -62,7 +62,7 @@
 				l.applyReportBatch(&m)
 			}
 		})
-		pause.For(ctx, 200*time.Millisecond)
+		clock.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -10,9 +10,9 @@
 
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/autoscaler"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/jobstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/placement"
 )
 
@@ -80,7 +80,7 @@
 			}
 			gap = min(2*gap, maxPause)
 		}
-		pause.For(ctx, gap*3/4+rand.N(gap/2))
+		clock.Sleep(ctx, gap*3/4+rand.N(gap/2))
 	}
 }
 
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 			}
 			slog.Debug("version not noted", "err", err)
 		}
-		pause.For(ctx, time.Second)
+		clock.Sleep(ctx, time.Second)
 	}
 	if ctx.Err() == nil {
 		slog.Info("all controllers run gangs")
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/pause"
 )
 
 // write puts the next batch in flight.
@@ -57,7 +57,7 @@
 		slog.Debug("batch not written", "err", err)
 		l.writing = true // wait a little before the next try
 		l.spawn(func() {
-			pause.For(l.ctx, 100*time.Millisecond)
+			clock.Sleep(l.ctx, 100*time.Millisecond)
 			l.post(func() { l.writing = false })
 		})
 		return
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
 )
 
@@ -176,7 +176,7 @@
 }
 
 func (w *Worker) run(boot time.Duration) {
-	if !pause.For(w.ctx, boot) {
+	if !clock.Sleep(w.ctx, boot) {
 		return
 	}
 	w.mu.Lock()
@@ -187,7 +187,7 @@
 	node := 0
 	for w.ctx.Err() == nil {
 		if w.hanging() {
-			pause.For(w.ctx, 100*time.Millisecond)
+			clock.Sleep(w.ctx, 100*time.Millisecond)
 			continue
 		}
 		w.expire()
@@ -198,7 +198,7 @@
 			w.take(body, sent)
 			select {
 			case <-w.more:
-				pause.For(w.ctx, 500*time.Millisecond)
+				clock.Sleep(w.ctx, 500*time.Millisecond)
 			case <-time.After(3 * time.Second):
 			case <-w.ctx.Done():
 			}
@@ -219,7 +219,7 @@
 		if status == 0 {
 			continue
 		}
-		pause.For(w.ctx, time.Second)
+		clock.Sleep(w.ctx, time.Second)
 		node = (node + 1) % len(w.cloud.nodes)
 	}
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
 )
 
@@ -175,7 +175,7 @@
 		r, err := c.campaign(ctx)
 		if err != nil {
 			slog.Debug("no leadership", "err", err)
-			pause.For(ctx, jitter(300*time.Millisecond))
+			clock.Sleep(ctx, jitter(300*time.Millisecond))
 			continue
 		}
 		if r == nil {
@@ -247,7 +247,7 @@
 	// a moment only, as it may not be able to stand.
 	if c.Defer != nil && !c.waited && c.Defer() {
 		c.waited = true
-		pause.For(ctx, c.TTL/4)
+		clock.Sleep(ctx, c.TTL/4)
 		return nil, nil
 	}
 	sent := time.Now()
@@ -381,6 +381,6 @@
 		// Nothing is sent under this term any more. The others have until about the
 		// lease would have ended; if none of them can lead this node does again.
 		r.Resign(outer)
-		pause.For(outer, jitter(c.TTL))
+		clock.Sleep(outer, jitter(c.TTL))
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/pause"
 	"tulipshelf/internal/wire"
 )
 
@@ -112,7 +112,7 @@
 		defer wg.Done()
 		l.receive(ctx)
 	}()
-	for pause.For(ctx, writeEvery) {
+	for clock.Sleep(ctx, writeEvery) {
 		if !l.active() {
 			l.forget()
 			continue
@@ -239,7 +239,7 @@
 	for ctx.Err() == nil {
 		if !l.active() {
 			rev = 0
-			if !pause.For(ctx, 500*time.Millisecond) {
+			if !clock.Sleep(ctx, 500*time.Millisecond) {
 				return
 			}
 			continue
@@ -262,7 +262,7 @@
 				<-slots
 			}()
 		}
-		pause.For(ctx, 200*time.Millisecond)
+		clock.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
