--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -97,7 +97,7 @@
 	n.cancelled = cancellation.New(len(s.Peers)+1, s.Workers.Cancel)
 	n.proxy = &relay.Proxy{Node: s.Node, Store: n.store, Dial: net.Dial, ValueBytes: s.State.ValueBytes, TxnOps: s.State.TxnOps}
 	n.candidate = &leadership.Candidate{Node: s.Node, TTL: o.LeaderLease, Store: n.store,
-		Defer: func() bool {
+		PreferOther: func() bool {
 			return n.peers.RedirectedElsewhere(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
 		}}
 	n.intake = &api.Intake{
@@ -122,7 +122,7 @@
 		},
 	}
 	n.intake.Init(s.State.RPS)
-	n.peers = &peer.Net{Dial: net.Dial, Node: s.Node, Known: n.candidate.Leader, Learned: n.candidate.Learn, Changed: n.onChanged,
+	n.peers = &peer.Net{Dial: net.Dial, Node: s.Node, Known: n.candidate.Leader, Learned: n.candidate.ObserveTerm, Changed: n.onChanged,
 		Redirected: n.redirectedCount, Register: n.cancelled, Cancelled: n.onCancelled,
 		Gone: n.guard.known, LearnGone: n.guard.learn, Served: func() bool { return n.store.Served(readyServed) }}
 	for _, p := range s.Peers {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -25,7 +25,7 @@
 	term := l.term.Number()
 	if r.Token > term {
 		// Whatever we answer would be dropped and keep the worker here.
-		l.spawn(func() { l.node.candidate.Outranked(l.ctx, r.Token) })
+		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.Token) })
 		return wire.Response{Status: 421}
 	}
 	now := time.Now()
@@ -249,7 +249,7 @@
 		return
 	}
 	if r.Token > l.term.Number() {
-		l.spawn(func() { l.node.candidate.Outranked(l.ctx, r.Token) })
+		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.Token) })
 		return
 	}
 	m.Hears()
@@ -349,7 +349,7 @@
 	}
 	if now.Sub(l.redirectedSince) >= handOverAfter {
 		slog.Info("handing over: machines come to another node", "term", l.term.Number(), "heard", heard, "elsewhere", others)
-		l.node.candidate.HandOver()
+		l.node.candidate.TransferLeadership()
 	}
 }
 
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -155,7 +155,7 @@
 	l.raised = now
 	l.writing = true
 	l.spawn(func() {
-		err := l.term.Raise(l.ctx)
+		err := l.term.Advance(l.ctx)
 		if err != nil {
 			slog.Info("term not raised", "err", err)
 		} else {
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -71,10 +71,10 @@
 
 // Candidate takes part in elections for one node.
 type Candidate struct {
-	Node  string
-	TTL   time.Duration
-	Store *kvstore.Client
-	Defer func() bool // whether another node had better be elected; nil: never
+	Node        string
+	TTL         time.Duration
+	Store       *kvstore.Client
+	PreferOther func() bool // whether another node had better be elected; nil: never
 
 	mu      sync.Mutex
 	leader  string
@@ -114,10 +114,10 @@
 	}
 }
 
-// Learn takes what another node says of the leadership. A higher term than
+// ObserveTerm takes what another node says of the leadership. A higher term than
 // one's own has been given out by an election, so this node leads no more, even
 // if it cannot reach the state service to see that for itself.
-func (c *Candidate) Learn(leader string, term uint64) {
+func (c *Candidate) ObserveTerm(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if term <= c.term {
@@ -130,9 +130,9 @@
 	}
 }
 
-// HandOver ends this node's term so that another node leads, one that the machines
+// TransferLeadership ends this node's term so that another node leads, one that the machines
 // can reach.
-func (c *Candidate) HandOver() {
+func (c *Candidate) TransferLeadership() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != nil {
@@ -141,11 +141,11 @@
 	}
 }
 
-// Outranked takes the news that a worker has seen a token above this leader's. Only
+// ObserveToken takes the news that a worker has seen a token above this leader's. Only
 // an election gives one out, so this node leads no more, unless the state service says
 // that no such term exists. Where it cannot be asked the worker's word stands: a leader
 // that is cut off from it and from its peers learns of its successor in no other way.
-func (c *Candidate) Outranked(ctx context.Context, token uint64) {
+func (c *Candidate) ObserveToken(ctx context.Context, token uint64) {
 	c.mu.Lock()
 	r := c.current
 	if r == nil || token <= r.Number() || c.asking {
@@ -245,7 +245,7 @@
 	// One that hears most machines goes first, or the next term is as short as the
 	// last: after a cut two elections in 12 s, in which services were given up. It has
 	// a moment only, as it may not be able to stand.
-	if c.Defer != nil && !c.waited && c.Defer() {
+	if c.PreferOther != nil && !c.waited && c.PreferOther() {
 		c.waited = true
 		clock.Sleep(ctx, c.TTL/4)
 		return nil, nil
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// Raise takes a new term without giving up leadership. Workers that have seen
+// Advance takes a new term without giving up leadership. Workers that have seen
 // it execute no late copy of a command sent under an earlier one.
-func (r *Term) Raise(ctx context.Context) error {
+func (r *Term) Advance(ctx context.Context) error {
 	s, err := r.c.read(ctx)
 	if err != nil {
 		return err
