--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -131,8 +131,8 @@
 	}
 	rec := jobstore.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: in.ChunkSize}
 	_, err = in.Store.Txn(ctx,
-		[]kvstore.Cond{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
-		[]kvstore.Op{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.User)
+		[]kvstore.Compare{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
+		[]kvstore.Mutation{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
@@ -234,7 +234,7 @@
 		}
 		return st, err
 	}
-	it, err := in.Store.Get(ctx, jobstore.EndKey(id), kvstore.User)
+	it, err := in.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
 	if err != nil {
 		return st, err
 	}
@@ -274,7 +274,7 @@
 		return answer(s)
 	}
 	for range 3 {
-		it, err := in.Store.Get(ctx, jobstore.JobKey(id), kvstore.User)
+		it, err := in.Store.Get(ctx, jobstore.JobKey(id), kvstore.PriorityUser)
 		if errors.Is(err, kvstore.ErrNotFound) {
 			st, err := in.lookup(ctx, id)
 			switch {
@@ -296,10 +296,10 @@
 		if rec.CancelledMS == 0 {
 			rec.CancelledMS = time.Now().UnixMilli()
 			if rec.Arrival == 0 {
-				rec.Arrival = it.Rev
+				rec.Arrival = it.Revision
 			}
-			_, err = in.Store.Txn(ctx, []kvstore.Cond{{Key: it.Key, Rev: it.Rev}},
-				[]kvstore.Op{{Put: it.Key, Value: wire.Marshal(rec)}}, kvstore.User)
+			_, err = in.Store.Txn(ctx, []kvstore.Compare{{Key: it.Key, Revision: it.Revision}},
+				[]kvstore.Mutation{{Put: it.Key, Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
 		}
 		var conflict *kvstore.ConflictError
 		switch {
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -154,15 +154,15 @@
 	jobs := map[string]*view{}
 	rev, after := uint64(0), ""
 	for {
-		page, err := r.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.User)
+		page, err := r.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.PriorityUser)
 		if err != nil {
 			return fmt.Errorf("api: records: %w", err)
 		}
 		if rev == 0 {
-			rev = page.Rev
+			rev = page.Revision
 		}
 		for _, it := range page.Items {
-			apply(jobs, &kvstore.Event{Put: it.Key, Value: it.Value, Rev: it.Rev})
+			apply(jobs, &kvstore.Event{Put: it.Key, Value: it.Value, Revision: it.Revision})
 			after = it.Key
 		}
 		if !page.More || len(page.Items) == 0 {
@@ -190,7 +190,7 @@
 		jobs[id] = v
 	}
 	switch {
-	case chunk >= 0 && e.Rev <= v.chunks[chunk].rev, chunk < 0 && e.Rev <= v.rev:
+	case chunk >= 0 && e.Revision <= v.chunks[chunk].rev, chunk < 0 && e.Revision <= v.rev:
 	case chunk >= 0 && e.Delete != "":
 		delete(v.chunks, chunk)
 	case chunk >= 0:
@@ -198,15 +198,15 @@
 		if err != nil {
 			slog.Error("chunk unreadable", "key", e.Put, "err", err)
 		}
-		v.chunks[chunk] = tally{e.Rev, done, live}
+		v.chunks[chunk] = tally{e.Revision, done, live}
 	case e.Delete != "":
-		v.known, v.rev = false, e.Rev
+		v.known, v.rev = false, e.Revision
 	default:
 		cancelled, base, err := jobstore.ReadRecord(e.Value)
 		if err != nil {
 			slog.Error("job record unreadable", "key", e.Put, "err", err)
 		}
-		v.known, v.cancelled, v.broken, v.base, v.rev = true, cancelled, err != nil, base, e.Rev
+		v.known, v.cancelled, v.broken, v.base, v.rev = true, cancelled, err != nil, base, e.Revision
 	}
 	if !v.known && len(v.chunks) == 0 {
 		delete(jobs, id)
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -20,14 +20,14 @@
 	store := kvstore.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }, "", 100, 100)
 	r := newReplica(store, 100, func([]string, time.Time) {})
 	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, Chunk: 1})
-	apply(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Rev: 7})
+	apply(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 7})
 	if err := r.load(context.Background()); err == nil {
 		t.Fatal("read from a service that is down")
 	}
 	if st, found, err := r.status(id); err != nil || !found || st.Status != pending {
 		t.Errorf("%+v, found %v, %v", st, found, err)
 	}
-	apply(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Rev: 9})
+	apply(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
 	if _, found, _ := r.status(id); found {
 		t.Error("found after its end")
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -297,7 +297,7 @@
 		Term uint64 `cbor:"term"`
 	}
 	store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-	item, err := store.Get(c.t.Context(), "lead/term", kvstore.Lease)
+	item, err := store.Get(c.t.Context(), "lead/term", kvstore.PriorityLease)
 	if err != nil || wire.Unmarshal(item.Value, &kept) != nil {
 		c.t.Fatalf("no term: %v", err)
 	}
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -45,7 +45,7 @@
 		return
 	}
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, []kvstore.Op{{Put: estimatesKey, Value: value}}, kvstore.Rest)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Compare{fence}, []kvstore.Mutation{{Put: estimatesKey, Value: value}}, kvstore.PriorityBackground)
 		if err != nil {
 			slog.Debug("estimates not kept", "err", err)
 		}
@@ -55,7 +55,7 @@
 // loadEstimates takes the estimates that an earlier leader has kept. Without them this
 // one begins from the jobs it reads.
 func (l *leader) loadEstimates(ctx context.Context) {
-	it, err := l.node.store.Get(ctx, estimatesKey, kvstore.Lease)
+	it, err := l.node.store.Get(ctx, estimatesKey, kvstore.PriorityLease)
 	if err != nil {
 		slog.Debug("no estimates recalled", "err", err)
 		return
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -39,7 +39,7 @@
 		out.WriteString(previousHeader)
 		forms := map[string]bool{}
 		store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := store.List(context.Background(), "", "", 1000, kvstore.Lease)
+		page, err := store.List(context.Background(), "", "", 1000, kvstore.PriorityLease)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -48,7 +48,7 @@
 	machines        map[*agent.Machine]*machineState
 	jobStates       map[*jobstore.Job]*jobState
 	writing         bool // a transaction of job records or a raise is in flight
-	orphans         []kvstore.Op
+	orphans         []kvstore.Mutation
 	raised          time.Time
 	raiseAsked      time.Time // when it was last looked whether a new term is needed
 	workerClients   map[string]*wire.Client
@@ -255,7 +255,7 @@
 	var rev uint64
 	after := ""
 	for {
-		page, err := l.node.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.Lease)
+		page, err := l.node.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.PriorityLease)
 		if err != nil {
 			slog.Debug("records not read", "err", err)
 			select {
@@ -266,7 +266,7 @@
 			continue
 		}
 		if rev == 0 {
-			rev = page.Rev // changes behind the first page are seen by the watch
+			rev = page.Revision // changes behind the first page are seen by the watch
 		}
 		for _, it := range page.Items {
 			if err := l.loadItem(it); err != nil {
@@ -295,17 +295,17 @@
 		return fmt.Errorf("controller: unexpected key")
 	}
 	if chunk < 0 {
-		j, _, err := l.jobs.PutJob(it.Value, it.Rev)
+		j, _, err := l.jobs.PutJob(it.Value, it.Revision)
 		if err == nil {
 			l.addJob(j)
 		}
 		return err
 	}
 	if l.jobs.Job(id) == nil {
-		l.orphans = append(l.orphans, kvstore.Op{Delete: it.Key})
+		l.orphans = append(l.orphans, kvstore.Mutation{Delete: it.Key})
 		return nil
 	}
-	return l.jobs.PutChunk(id, chunk, it.Value, it.Rev)
+	return l.jobs.PutChunk(id, chunk, it.Value, it.Revision)
 }
 
 // addJob maps a job's names to dense indices.
@@ -387,11 +387,11 @@
 				if !job.ValidID(id) {
 					continue
 				}
-				it, err := l.node.store.Get(l.ctx, jobstore.JobKey(id), kvstore.Rest)
+				it, err := l.node.store.Get(l.ctx, jobstore.JobKey(id), kvstore.PriorityBackground)
 				if err != nil {
 					return
 				}
-				l.post(func() { l.onJob(it.Value, it.Rev) })
+				l.post(func() { l.onJob(it.Value, it.Revision) })
 			}
 		})
 	})
@@ -407,7 +407,7 @@
 	if _, chunk, ok := jobstore.SplitKey(e.Put); e.Put == "" || !ok || chunk >= 0 {
 		return
 	}
-	l.onJob(e.Value, e.Rev)
+	l.onJob(e.Value, e.Revision)
 }
 
 func (l *leader) onJob(value []byte, rev uint64) {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -92,7 +92,7 @@
 	n.redirected = newSightings(report+redirectRound, s.Resources.MemBytes)
 	n.valueBytes.Store(int64(now.ValueBytes))
 	if now.Next != nil {
-		n.store.Refused = n.onRefused
+		n.store.OnRefused = n.onRefused
 	}
 	n.cancelled = cancellation.New(len(s.Peers)+1, s.Workers.Cancel)
 	n.proxy = &relay.Proxy{Node: s.Node, Store: n.store, Dial: net.Dial, ValueBytes: s.State.ValueBytes, TxnOps: s.State.TxnOps}
@@ -124,7 +124,7 @@
 	n.intake.Init(s.State.RPS)
 	n.peers = &peer.Net{Dial: net.Dial, Node: s.Node, Known: n.candidate.Leader, Learned: n.candidate.ObserveTerm, Changed: n.onChanged,
 		Redirected: n.redirectedCount, Register: n.cancelled, Cancelled: n.onCancelled,
-		Gone: n.guard.known, LearnGone: n.guard.learn, Served: func() bool { return n.store.Served(readyServed) }}
+		Gone: n.guard.known, LearnGone: n.guard.learn, Served: func() bool { return n.store.ServedWithin(readyServed) }}
 	for _, p := range s.Peers {
 		n.peers.Others = append(n.peers.Others, peer.Other{Node: p.Node, Addr: p.Addr})
 	}
@@ -138,7 +138,7 @@
 	next := n.settings.State.Next
 	if !n.slowed.Swap(true) {
 		slog.Info("the state service allows fewer changes", "write_rps", next.WriteRPS)
-		n.store.Lower(next.RPS*nodeShare, next.WriteRPS*writeShare)
+		n.store.SetRates(next.RPS*nodeShare, next.WriteRPS*writeShare)
 	}
 	if tooLarge && n.valueBytes.Swap(int64(n.settings.State.ValueBytes)) != int64(n.settings.State.ValueBytes) {
 		slog.Info("the state service takes smaller values", "bytes", n.settings.State.ValueBytes)
@@ -254,7 +254,7 @@
 			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.Fill(n.settings.State.ValueBytes) {
 				break
 			}
-			_, err := n.store.Txn(ctx, nil, []kvstore.Op{{Put: catalogKey, Value: value}}, kvstore.Rest)
+			_, err := n.store.Txn(ctx, nil, []kvstore.Mutation{{Put: catalogKey, Value: value}}, kvstore.PriorityBackground)
 			if err == nil {
 				kept = value
 			}
@@ -265,7 +265,7 @@
 
 // recallCatalog takes the machine types that a leader has kept.
 func (n *Node) recallCatalog(ctx context.Context) {
-	it, err := n.store.Get(ctx, catalogKey, kvstore.Rest)
+	it, err := n.store.Get(ctx, catalogKey, kvstore.PriorityBackground)
 	if err != nil {
 		return
 	}
@@ -325,7 +325,7 @@
 // removal within two minutes the load balancer waits twice as long before it tries a node
 // again (days of our own with several outages: up to 50,000 questions found no node).
 func (n *Node) ready() bool {
-	return n.types.Load() != nil && (n.store.Served(readyServed) || n.peers.NobodyServed(readyHeard))
+	return n.types.Load() != nil && (n.store.ServedWithin(readyServed) || n.peers.NobodyServed(readyHeard))
 }
 
 // redirection is the body of an answer that sends a worker to another node.
@@ -369,7 +369,7 @@
 // state service, nor from the leader last known.
 func (n *Node) isolated() bool {
 	leader, _ := n.candidate.Leader()
-	return !n.store.Served(isolatedAfter) && !n.peers.Leads(leader, proxyUnheard)
+	return !n.store.ServedWithin(isolatedAfter) && !n.peers.Leads(leader, proxyUnheard)
 }
 
 const isolatedAfter = 3 * time.Second
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -36,12 +36,12 @@
 	var rev uint64
 	for ctx.Err() == nil {
 		if rev == 0 {
-			page, err := l.node.store.List(ctx, relay.UpPrefix, "", 1, kvstore.Rest)
+			page, err := l.node.store.List(ctx, relay.UpPrefix, "", 1, kvstore.PriorityBackground)
 			if err != nil {
 				clock.Sleep(ctx, time.Second)
 				continue
 			}
-			rev = page.Rev
+			rev = page.Revision
 		}
 		events, at, err := l.node.store.Watch(ctx, relay.UpPrefix, rev, 20*time.Second)
 		if errors.Is(err, kvstore.ErrCompacted) {
@@ -167,7 +167,7 @@
 
 // writeCommandBatches writes the parts that have changed, as many as one write can carry.
 func (l *leader) writeCommandBatches(node string, s *proxyState, parts []relay.CommandBatch) {
-	var ops []kvstore.Op
+	var ops []kvstore.Mutation
 	values := map[int][]byte{}
 	size := 0
 	for i := range parts {
@@ -181,7 +181,7 @@
 			break
 		}
 		values[part] = value
-		ops = append(ops, kvstore.Op{Put: relay.DownKey(node, part), Value: value})
+		ops = append(ops, kvstore.Mutation{Put: relay.DownKey(node, part), Value: value})
 	}
 	if len(ops) == 0 {
 		return
@@ -189,7 +189,7 @@
 	s.writing, s.next = true, time.Now().Add(relayWritten)
 	fence := l.term.Fence()
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, ops, kvstore.User)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Compare{fence}, ops, kvstore.PriorityUser)
 		l.post(func() {
 			s.writing = false
 			if err != nil {
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -52,11 +52,11 @@
 	store := kvstore.New(c.net.Dial("writer"), stateAddr, 1e6, 1e6)
 	const each = 8
 	for i := 0; i < changes; i += each {
-		var ops []kvstore.Op
+		var ops []kvstore.Mutation
 		for k := range each {
-			ops = append(ops, kvstore.Op{Put: fmt.Sprintf("%s%06d", jobstore.JobKey("wk-900000")+"/", i+k), Value: wire.Marshal(strings.Repeat("x", bytes))})
+			ops = append(ops, kvstore.Mutation{Put: fmt.Sprintf("%s%06d", jobstore.JobKey("wk-900000")+"/", i+k), Value: wire.Marshal(strings.Repeat("x", bytes))})
 		}
-		if _, err := store.Txn(c.t.Context(), nil, ops, kvstore.Lease); err != nil {
+		if _, err := store.Txn(c.t.Context(), nil, ops, kvstore.PriorityLease); err != nil {
 			c.t.Fatal(err)
 		}
 	}
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -20,12 +20,12 @@
 // array.
 func (n *Node) awaitGangs(ctx context.Context) {
 	for ctx.Err() == nil {
-		if _, err := n.store.Get(ctx, gangsKey, kvstore.Rest); err == nil {
+		if _, err := n.store.Get(ctx, gangsKey, kvstore.PriorityBackground); err == nil {
 			break
 		}
 		if n.peers.AllRunGangs() {
-			_, err := n.store.Txn(ctx, []kvstore.Cond{{Key: gangsKey}},
-				[]kvstore.Op{{Put: gangsKey, Value: wire.Marshal(map[string]bool{"gangs": true})}}, kvstore.Rest)
+			_, err := n.store.Txn(ctx, []kvstore.Compare{{Key: gangsKey}},
+				[]kvstore.Mutation{{Put: gangsKey, Value: wire.Marshal(map[string]bool{"gangs": true})}}, kvstore.PriorityBackground)
 			var conflict *kvstore.ConflictError
 			if err == nil || errors.As(err, &conflict) {
 				break
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -248,7 +248,7 @@
 	simulate(t, func(c *cluster) {
 		c.bringAbout()
 		store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := store.List(context.Background(), "", "", 1000, kvstore.Lease)
+		page, err := store.List(context.Background(), "", "", 1000, kvstore.PriorityLease)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -328,7 +328,7 @@
 		}
 		c.until("cancelled", 10*time.Second, func() bool { return c.ask(c.leader(), "POST", "/v1/jobs/wk-000001/abort", nil).Status == 200 })
 		s := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-		page, err := s.List(context.Background(), "", "", 1000, kvstore.Lease)
+		page, err := s.List(context.Background(), "", "", 1000, kvstore.PriorityLease)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -21,21 +21,21 @@
 		l.raise(now)
 		return
 	}
-	ops := min(l.node.settings.State.TxnOps, l.node.store.Writable(kvstore.Work))
+	ops := min(l.node.settings.State.TxnOps, l.node.store.WriteBudget(kvstore.PriorityScheduling))
 	fence := l.term.Fence()
-	batch := l.jobs.NextBatch(fence, ops, l.node.store.Writable(kvstore.Rest), int(l.node.valueBytes.Load()), now)
+	batch := l.jobs.NextBatch(fence, ops, l.node.store.WriteBudget(kvstore.PriorityBackground), int(l.node.valueBytes.Load()), now)
 	if batch == nil {
 		l.clearOrphans(fence)
 		return
 	}
 	l.writing = true
 	l.spawn(func() {
-		rev, err := l.node.store.Txn(l.ctx, batch.Conds, batch.Ops, kvstore.Work)
+		rev, err := l.node.store.Txn(l.ctx, batch.Conds, batch.Ops, kvstore.PriorityScheduling)
 		l.post(func() { l.written(batch, rev, err, fence, depose) })
 	})
 }
 
-func (l *leader) written(batch *jobstore.Batch, rev uint64, err error, fence kvstore.Cond, depose context.CancelCauseFunc) {
+func (l *leader) written(batch *jobstore.Batch, rev uint64, err error, fence kvstore.Compare, depose context.CancelCauseFunc) {
 	now := time.Now()
 	l.writing = false
 	if err == nil {
@@ -75,7 +75,7 @@
 			if key == fence.Key {
 				continue
 			}
-			it, err := l.node.store.Get(l.ctx, key, kvstore.User)
+			it, err := l.node.store.Get(l.ctx, key, kvstore.PriorityUser)
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				slog.Debug("conflict not read", "key", key, "err", err)
 				continue // the next try meets it again
@@ -92,9 +92,9 @@
 	switch {
 	case !ok:
 	case chunk >= 0:
-		l.jobs.ChunkRev(id, chunk, it.Rev)
+		l.jobs.ChunkRev(id, chunk, it.Revision)
 	case exists:
-		l.onJob(it.Value, it.Rev)
+		l.onJob(it.Value, it.Revision)
 	default:
 		if j := l.jobs.FoundDeleted(id); j != nil {
 			l.ended(j)
@@ -110,8 +110,8 @@
 	l.orphans = append(l.orphans, j.OrphanOps(1<<20)...)
 }
 
-func (l *leader) clearOrphans(fence kvstore.Cond) {
-	n := min(len(l.orphans), l.node.settings.State.TxnOps, l.node.store.Writable(kvstore.Rest))
+func (l *leader) clearOrphans(fence kvstore.Compare) {
+	n := min(len(l.orphans), l.node.settings.State.TxnOps, l.node.store.WriteBudget(kvstore.PriorityBackground))
 	if n == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 	l.orphans = l.orphans[n:]
 	l.writing = true
 	l.spawn(func() {
-		_, err := l.node.store.Txn(l.ctx, []kvstore.Cond{fence}, ops, kvstore.Rest)
+		_, err := l.node.store.Txn(l.ctx, []kvstore.Compare{fence}, ops, kvstore.PriorityBackground)
 		l.post(func() {
 			l.writing = false
 			if err != nil {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -268,7 +268,7 @@
 	switch {
 	case req.Method == "GET" && req.Path == "/keys":
 		limit, _ := strconv.Atoi(q["limit"])
-		page, size := kvstore.Page{Rev: s.rev}, 0
+		page, size := kvstore.Page{Revision: s.rev}, 0
 		for _, k := range s.list(q["starts"]) {
 			if k <= q["after"] {
 				continue
@@ -277,7 +277,7 @@
 				page.More = true
 				break
 			}
-			page.Items = append(page.Items, kvstore.Item{Key: k, Value: s.keys[k].value, Rev: s.keys[k].rev})
+			page.Items = append(page.Items, kvstore.Item{Key: k, Value: s.keys[k].value, Revision: s.keys[k].rev})
 		}
 		return ok(page)
 	case req.Method == "GET" && strings.HasPrefix(req.Path, "/keys/"):
@@ -286,7 +286,7 @@
 		if !found {
 			return wire.Response{Status: 404}
 		}
-		return ok(kvstore.Item{Key: k, Value: e.value, Rev: e.rev})
+		return ok(kvstore.Item{Key: k, Value: e.value, Revision: e.rev})
 	case req.Path == "/txn":
 		return s.txn(append([]byte(nil), req.Body...))
 	case req.Method == "POST" && req.Path == "/leases":
@@ -344,7 +344,7 @@
 		if s.keys[k].lease == id {
 			s.rev++
 			delete(s.keys, k)
-			s.event(kvstore.Event{Delete: k, Rev: s.rev})
+			s.event(kvstore.Event{Delete: k, Revision: s.rev})
 		}
 	}
 }
@@ -355,7 +355,7 @@
 func (s *Store) event(e kvstore.Event) {
 	s.events = append(s.events, e)
 	for len(s.events) > keptChanges {
-		s.dropped, s.events = s.events[0].Rev, s.events[1:]
+		s.dropped, s.events = s.events[0].Revision, s.events[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -392,17 +392,17 @@
 // changes tells whether a transaction changes a key that begins with prefix.
 func changes(body []byte, prefix string) bool {
 	var in struct {
-		Then []kvstore.Op `cbor:"then"`
+		Then []kvstore.Mutation `cbor:"then"`
 	}
-	return wire.Unmarshal(body, &in) == nil && slices.ContainsFunc(in.Then, func(o kvstore.Op) bool {
+	return wire.Unmarshal(body, &in) == nil && slices.ContainsFunc(in.Then, func(o kvstore.Mutation) bool {
 		return strings.HasPrefix(o.Put+o.Delete, prefix)
 	})
 }
 
 func (s *Store) apply(body []byte) wire.Response {
 	var in struct {
-		When []kvstore.Cond `cbor:"when"`
-		Then []kvstore.Op   `cbor:"then"`
+		When []kvstore.Compare  `cbor:"when"`
+		Then []kvstore.Mutation `cbor:"then"`
 	}
 	if wire.Unmarshal(body, &in) != nil {
 		return wire.Response{Status: 400}
@@ -410,7 +410,7 @@
 	s.changes += len(in.Then)
 	var failed []string
 	for _, c := range in.When {
-		if s.keys[c.Key].rev != c.Rev {
+		if s.keys[c.Key].rev != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -426,10 +426,10 @@
 	for _, op := range in.Then {
 		if op.Put != "" {
 			s.keys[op.Put] = entry{op.Value, s.rev, op.Lease}
-			s.event(kvstore.Event{Put: op.Put, Value: op.Value, Rev: s.rev})
+			s.event(kvstore.Event{Put: op.Put, Value: op.Value, Revision: s.rev})
 		} else if _, found := s.keys[op.Delete]; found {
 			delete(s.keys, op.Delete)
-			s.event(kvstore.Event{Delete: op.Delete, Rev: s.rev})
+			s.event(kvstore.Event{Delete: op.Delete, Revision: s.rev})
 		}
 	}
 	if s.downKey != "" && changes(body, s.downKey) {
@@ -455,7 +455,7 @@
 		}
 		var found []kvstore.Event
 		for _, e := range s.events {
-			if e.Rev > after && strings.HasPrefix(e.Put+e.Delete, q["starts"]) {
+			if e.Revision > after && strings.HasPrefix(e.Put+e.Delete, q["starts"]) {
 				found = append(found, e)
 			}
 		}
--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -36,8 +36,8 @@
 
 // Batch is one transaction's worth of changes.
 type Batch struct {
-	Conds  []kvstore.Cond
-	Ops    []kvstore.Op
+	Conds  []kvstore.Compare
+	Ops    []kvstore.Mutation
 	chunks []chunkWrite
 	ends   []endWrite
 	layout *layoutWrite // nil: of none
@@ -132,7 +132,7 @@
 // maxOps changes, fenced by the leader's term, or returns nil. What can wait is
 // left out once there are spareOps, and what is larger than the state service takes for
 // as long as it is. One batch is in flight at a time.
-func (b *Jobs) NextBatch(fence kvstore.Cond, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
+func (b *Jobs) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
 	if bt := b.nextLayout(fence, maxOps, valueBytes); bt != nil {
 		return bt
 	}
@@ -141,7 +141,7 @@
 		return nil
 	}
 	slices.SortFunc(candidates, candidate.compare)
-	out := &Batch{Conds: []kvstore.Cond{fence}}
+	out := &Batch{Conds: []kvstore.Compare{fence}}
 	for _, k := range candidates {
 		if len(out.Ops) >= maxOps || out.size > maxBatch || k.urgency < keyOverdue && len(out.Ops) >= spareOps {
 			break
@@ -179,14 +179,14 @@
 		return false
 	}
 	key := j.key(c.n)
-	out.Conds = append(out.Conds, kvstore.Cond{Key: key, Rev: c.rev})
+	out.Conds = append(out.Conds, kvstore.Compare{Key: key, Revision: c.rev})
 	w := chunkWrite{j: j, c: c, ends: ends}
 	if c.starts > 0 {
 		// A start is only recorded while its job is not cancelled.
-		out.Conds = append(out.Conds, kvstore.Cond{Key: JobKey(j.Spec.ID), Rev: j.Rev})
+		out.Conds = append(out.Conds, kvstore.Compare{Key: JobKey(j.Spec.ID), Revision: j.Rev})
 		w.starts = j.unrecordedIn(c)
 	}
-	out.Ops = append(out.Ops, kvstore.Op{Put: key, Value: value})
+	out.Ops = append(out.Ops, kvstore.Mutation{Put: key, Value: value})
 	out.chunks = append(out.chunks, w)
 	c.dirty, c.starts = false, 0 // set again by changes while it is in flight
 	return true
@@ -219,10 +219,10 @@
 	}
 	id := j.Spec.ID
 	w := endWrite{j: j}
-	out.Conds = append(out.Conds, kvstore.Cond{Key: JobKey(id), Rev: j.Rev})
+	out.Conds = append(out.Conds, kvstore.Compare{Key: JobKey(id), Revision: j.Rev})
 	out.Ops = append(out.Ops,
-		kvstore.Op{Put: EndKey(id), Value: wire.Marshal(Final{status, j.Spec.Tasks})},
-		kvstore.Op{Delete: JobKey(id)})
+		kvstore.Mutation{Put: EndKey(id), Value: wire.Marshal(Final{status, j.Spec.Tasks})},
+		kvstore.Mutation{Delete: JobKey(id)})
 	for n, c := range j.chunks {
 		if c.rev == 0 && !c.dirty {
 			continue
@@ -230,7 +230,7 @@
 		if len(out.Ops) >= min(maxOps, spareOps) {
 			break
 		}
-		out.Ops = append(out.Ops, kvstore.Op{Delete: j.key(n)})
+		out.Ops = append(out.Ops, kvstore.Mutation{Delete: j.key(n)})
 		w.gone = append(w.gone, n)
 	}
 	out.ends = append(out.ends, w)
@@ -399,11 +399,11 @@
 }
 
 // OrphanOps returns deletions of an ended job's remaining chunks, at most n.
-func (j *Job) OrphanOps(n int) []kvstore.Op {
+func (j *Job) OrphanOps(n int) []kvstore.Mutation {
 	n = min(n, len(j.orphans))
-	var ops []kvstore.Op
+	var ops []kvstore.Mutation
 	for _, c := range j.orphans[:n] {
-		ops = append(ops, kvstore.Op{Delete: chunkKey(j.Spec.ID, c)})
+		ops = append(ops, kvstore.Mutation{Delete: chunkKey(j.Spec.ID, c)})
 	}
 	j.orphans = j.orphans[n:]
 	return ops
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -14,7 +14,7 @@
 
 var (
 	t0    = time.Unix(1_000_000, 0)
-	fence = kvstore.Cond{Key: "lead/term", Rev: 7}
+	fence = kvstore.Compare{Key: "lead/term", Revision: 7}
 )
 
 func record(id string, tasks int, cancelled bool) []byte {
@@ -51,7 +51,7 @@
 
 func hasCond(bt *Batch, key string, rev uint64) bool {
 	for _, c := range bt.Conds {
-		if c.Key == key && c.Rev == rev {
+		if c.Key == key && c.Revision == rev {
 			return true
 		}
 	}
--- a/internal/jobstore/layout.go
+++ b/internal/jobstore/layout.go
@@ -27,7 +27,7 @@
 // by now: a chunk of theirs could be written again only once most of its tasks had ended. A
 // replica that was lost would never start again, and of a large array most tasks waited
 // for minutes while machines had room (an upgrade day of our own on omaruru-fares-next).
-func (b *Jobs) nextLayout(fence kvstore.Cond, maxOps, valueBytes int) *Batch {
+func (b *Jobs) nextLayout(fence kvstore.Compare, maxOps, valueBytes int) *Batch {
 	size := ChunkSize(valueBytes)
 	var next *Job
 	for j := range b.dirty {
@@ -43,8 +43,8 @@
 	w.record.Chunk, w.record.Base, w.record.Was, w.record.Arrival = size, newBase, next.record.Chunk, next.Arrival
 	key := JobKey(next.Spec.ID)
 	return &Batch{
-		Conds:  []kvstore.Cond{fence, {Key: key, Rev: next.Rev}},
-		Ops:    []kvstore.Op{{Put: key, Value: wire.Marshal(w.record)}},
+		Conds:  []kvstore.Compare{fence, {Key: key, Revision: next.Rev}},
+		Ops:    []kvstore.Mutation{{Put: key, Value: wire.Marshal(w.record)}},
 		layout: w,
 	}
 }
--- a/internal/jobstore/layout_test.go
+++ b/internal/jobstore/layout_test.go
@@ -84,7 +84,7 @@
 // apply carries out a batch if its conditions hold.
 func (s *store) apply(bt *Batch) (rev uint64, ok bool) {
 	for _, c := range bt.Conds[1:] {
-		if s.keys[c.Key].Rev != c.Rev {
+		if s.keys[c.Key].Revision != c.Revision {
 			return s.rev, false
 		}
 	}
@@ -94,7 +94,7 @@
 			delete(s.keys, op.Delete)
 			continue
 		}
-		s.keys[op.Put] = kvstore.Item{Key: op.Put, Value: op.Value, Rev: s.rev}
+		s.keys[op.Put] = kvstore.Item{Key: op.Put, Value: op.Value, Revision: s.rev}
 	}
 	return s.rev, true
 }
@@ -108,9 +108,9 @@
 		it := s.keys[key]
 		var err error
 		if n < 0 {
-			_, _, err = b.PutJob(it.Value, it.Rev)
+			_, _, err = b.PutJob(it.Value, it.Revision)
 		} else {
-			err = b.PutChunk(id, n, it.Value, it.Rev)
+			err = b.PutChunk(id, n, it.Value, it.Revision)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -128,7 +128,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := &store{keys: map[string]kvstore.Item{}}
 			r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Service, Priority: "high", Tasks: replicas, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-			s.apply(&Batch{Conds: []kvstore.Cond{fence}, Ops: []kvstore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+			s.apply(&Batch{Conds: []kvstore.Compare{fence}, Ops: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 			b := s.read(t)
 			j := b.Job("wk-000001")
 			for task := range replicas {
@@ -151,8 +151,8 @@
 				b.Failed(bt)
 				for key, it := range s.keys { // as a leader reads what has conflicted
 					if id, n, _ := SplitKey(key); n >= 0 {
-						b.ChunkRev(id, n, it.Rev)
-					} else if _, _, err := b.PutJob(it.Value, it.Rev); err != nil {
+						b.ChunkRev(id, n, it.Revision)
+					} else if _, _, err := b.PutJob(it.Value, it.Revision); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -170,7 +170,7 @@
 			}
 			record := func() {
 				it := s.keys[JobKey("wk-000001")]
-				if _, _, err := b.PutJob(it.Value, it.Rev); err != nil {
+				if _, _, err := b.PutJob(it.Value, it.Revision); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -232,7 +232,7 @@
 	const small = 2 << 10
 	s := &store{keys: map[string]kvstore.Item{}}
 	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-	s.apply(&Batch{Conds: []kvstore.Cond{fence}, Ops: []kvstore.Op{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+	s.apply(&Batch{Conds: []kvstore.Compare{fence}, Ops: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 	b := s.read(t)
 	j := b.Job("wk-000001")
 	now := t0
@@ -281,7 +281,7 @@
 	for _, op := range j.OrphanOps(1000) {
 		delete(s.keys, op.Delete)
 	}
-	if len(s.keys) != 1 || s.keys[EndKey("wk-000001")].Rev == 0 {
+	if len(s.keys) != 1 || s.keys[EndKey("wk-000001")].Revision == 0 {
 		t.Errorf("left: %v", slices.Sorted(maps.Keys(s.keys)))
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -24,40 +24,40 @@
 	ErrNotFound    = errors.New("kvstore: not found")
 	ErrNoSuchLease = errors.New("kvstore: no such lease")
 	ErrCompacted   = errors.New("kvstore: revision too old") // the keys have to be read again, by pages
-	ErrBudget      = fmt.Errorf("%w: over this node's own rate", ErrRefused)
+	ErrRateLimited = fmt.Errorf("%w: over this node's own rate", ErrRefused)
 )
 
-// Urgency orders requests when the budget runs short.
-type Urgency int
+// Priority orders requests when the budget runs short.
+type Priority int
 
 // From what may go into debt to what waits first.
 const (
-	Lease Urgency = iota // leadership: never held back here
-	User                 // submissions, cancellations, polls
-	Work                 // starts and ends of jobs
-	Rest                 // everything else
+	PriorityLease      Priority = iota // leadership: never held back here
+	PriorityUser                       // submissions, cancellations, polls
+	PriorityScheduling                 // starts and ends of jobs
+	PriorityBackground                 // everything else
 )
 
-// kept is the part of a second's rate that an urgency leaves to the more urgent.
+// reservedShare is the part of a second's rate that an urgency leaves to the more urgent.
 // Starts alone can use up all there is while a few arrays run, and then users
 // were refused at the node that leads (a quiet day of omaruru-fares-grown).
-var kept = [...]float64{Work: 0.25, Rest: 0.5}
+var reservedShare = [...]float64{PriorityScheduling: 0.25, PriorityBackground: 0.5}
 
 // Item is one key with its value and revision.
 type Item struct {
-	Key   string   `cbor:"path"`
-	Value wire.Raw `cbor:"value"`
-	Rev   uint64   `cbor:"stamp"`
+	Key      string   `cbor:"path"`
+	Value    wire.Raw `cbor:"value"`
+	Revision uint64   `cbor:"stamp"`
 }
 
-// Cond requires that a key has a revision; 0: that it does not exist.
-type Cond struct {
-	Key string `cbor:"path"`
-	Rev uint64 `cbor:"stamp"`
+// Compare requires that a key has a revision; 0: that it does not exist.
+type Compare struct {
+	Key      string `cbor:"path"`
+	Revision uint64 `cbor:"stamp"`
 }
 
-// Op is a put, with an optional lease, or a delete.
-type Op struct {
+// Mutation is a put, with an optional lease, or a delete.
+type Mutation struct {
 	Put    string   `cbor:"put,omitempty"`
 	Value  wire.Raw `cbor:"value,omitempty"`
 	Lease  uint64   `cbor:"hold,omitempty"`
@@ -71,10 +71,10 @@
 
 // Event is one change seen by a watch.
 type Event struct {
-	Put    string   `cbor:"put"`
-	Value  wire.Raw `cbor:"value"`
-	Rev    uint64   `cbor:"stamp"`
-	Delete string   `cbor:"drop"`
+	Put      string   `cbor:"put"`
+	Value    wire.Raw `cbor:"value"`
+	Revision uint64   `cbor:"stamp"`
+	Delete   string   `cbor:"drop"`
 }
 
 // Client talks to the state service. It is safe for concurrent use.
@@ -86,23 +86,23 @@
 
 	// Refused, if not nil, is told when a transaction is refused as too large, or else as
 	// one too many: the service's limits may be lower from now on.
-	Refused func(tooLarge bool)
+	OnRefused func(tooLarge bool)
 }
 
-// Lower sets lower rates.
-func (c *Client) Lower(rps, writeRPS float64) {
+// SetRates sets lower rates.
+func (c *Client) SetRates(rps, writeRPS float64) {
 	c.reqs.set(rps)
 	c.writes.set(writeRPS)
 }
 
 func (c *Client) refused(target string, tooLarge bool) {
-	if target == txnPath && c.Refused != nil {
-		c.Refused(tooLarge)
+	if target == txnPath && c.OnRefused != nil {
+		c.OnRefused(tooLarge)
 	}
 }
 
-// Served tells whether the service executed a request of this node lately.
-func (c *Client) Served(within time.Duration) bool {
+// ServedWithin tells whether the service executed a request of this node lately.
+func (c *Client) ServedWithin(within time.Duration) bool {
 	return time.Since(time.Unix(0, c.lastOK.Load())) < within
 }
 
@@ -129,9 +129,9 @@
 }
 
 // Get reads one key.
-func (c *Client) Get(ctx context.Context, key string, u Urgency) (Item, error) {
+func (c *Client) Get(ctx context.Context, key string, u Priority) (Item, error) {
 	if !c.reqs.take(1, u) {
-		return Item{}, ErrBudget
+		return Item{}, ErrRateLimited
 	}
 	var it Item
 	if err := c.do(ctx, "GET", "/keys/"+key, nil, &it); err != nil {
@@ -142,15 +142,15 @@
 
 // Page is one answer of a range read.
 type Page struct {
-	Items []Item `cbor:"items"`
-	More  bool   `cbor:"has_next"`
-	Rev   uint64 `cbor:"epoch"`
+	Items    []Item `cbor:"items"`
+	More     bool   `cbor:"has_next"`
+	Revision uint64 `cbor:"epoch"`
 }
 
 // List reads up to limit keys that begin with prefix, behind after.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int, u Urgency) (Page, error) {
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, u Priority) (Page, error) {
 	if !c.reqs.take(1, u) {
-		return Page{}, ErrBudget
+		return Page{}, ErrRateLimited
 	}
 	q := "/keys?starts=" + prefix + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
@@ -167,13 +167,13 @@
 
 // Txn applies ops if all conditions hold and returns the revision of the
 // change. A failed condition gives a *ConflictError.
-func (c *Client) Txn(ctx context.Context, conds []Cond, ops []Op, u Urgency) (uint64, error) {
+func (c *Client) Txn(ctx context.Context, conds []Compare, ops []Mutation, u Priority) (uint64, error) {
 	if !c.reqs.take(1, u) || !c.writes.take(len(ops), u) {
-		return 0, ErrBudget
+		return 0, ErrRateLimited
 	}
 	body := wire.Marshal(struct {
-		When []Cond `cbor:"when"`
-		Then []Op   `cbor:"then"`
+		When []Compare  `cbor:"when"`
+		Then []Mutation `cbor:"then"`
 	}{conds, ops})
 	var out struct {
 		Rev    uint64   `cbor:"epoch"`
@@ -186,12 +186,12 @@
 	return out.Rev, err
 }
 
-// Writable tells how many changes the budget would take now.
-func (c *Client) Writable(u Urgency) int { return c.writes.left(u) }
+// WriteBudget tells how many changes the budget would take now.
+func (c *Client) WriteBudget(u Priority) int { return c.writes.left(u) }
 
 // Grant opens a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	c.reqs.take(1, Lease)
+	c.reqs.take(1, PriorityLease)
 	var out struct {
 		Lease uint64 `cbor:"hold"`
 	}
@@ -201,20 +201,20 @@
 
 // Extend renews a lease; ErrNotFound says that it has ended.
 func (c *Client) Extend(ctx context.Context, lease uint64) error {
-	c.reqs.take(1, Lease)
+	c.reqs.take(1, PriorityLease)
 	return c.do(ctx, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, nil)
 }
 
 // Revoke ends a lease at once.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
-	c.reqs.take(1, Lease)
+	c.reqs.take(1, PriorityLease)
 	return c.do(ctx, "DELETE", "/leases/"+strconv.FormatUint(lease, 10), nil, nil)
 }
 
 // Watch waits up to wait for changes of keys that begin with prefix, after the
 // given revision, and returns them with the revision they reach to.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
-	c.reqs.take(1, Lease)
+	c.reqs.take(1, PriorityLease)
 	ctx, cancel := context.WithTimeout(ctx, wait+2*time.Second)
 	defer cancel()
 	return c.changes(ctx, prefix, after, wait)
@@ -224,8 +224,8 @@
 // revision, at once: a linearizable read, as the revision they reach to is the
 // service's own.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error) {
-	if !c.reqs.take(1, User) {
-		return nil, 0, ErrBudget
+	if !c.reqs.take(1, PriorityUser) {
+		return nil, 0, ErrRateLimited
 	}
 	return c.changes(ctx, prefix, after, 0)
 }
@@ -314,9 +314,9 @@
 	b.SetBurst(max(1, int(perSecond)))
 }
 
-func (b bucket) take(n int, u Urgency) bool {
+func (b bucket) take(n int, u Priority) bool {
 	now := time.Now()
-	if u == Lease {
+	if u == PriorityLease {
 		b.ReserveN(now, n)
 		return true
 	}
@@ -324,6 +324,6 @@
 }
 
 // left returns how much the urgency may take now.
-func (b bucket) left(u Urgency) int {
-	return max(0, int(b.Tokens()-kept[u]*float64(b.Burst())))
+func (b bucket) left(u Priority) int {
+	return max(0, int(b.Tokens()-reservedShare[u]*float64(b.Burst())))
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -55,10 +55,10 @@
 }
 
 // Fence returns the condition that every write of this term carries.
-func (r *Term) Fence() kvstore.Cond {
+func (r *Term) Fence() kvstore.Compare {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return kvstore.Cond{Key: TermKey, Rev: r.rev}
+	return kvstore.Compare{Key: TermKey, Revision: r.rev}
 }
 
 // Valid tells whether no other node can have been elected: the lease was
@@ -200,20 +200,20 @@
 
 func (c *Candidate) read(ctx context.Context) (standing, error) {
 	var s standing
-	page, err := c.Store.List(ctx, prefix, "", 10, kvstore.Lease)
+	page, err := c.Store.List(ctx, prefix, "", 10, kvstore.PriorityLease)
 	if err != nil {
 		return s, err
 	}
-	s.rev = page.Rev
+	s.rev = page.Revision
 	for _, it := range page.Items {
 		switch it.Key {
 		case holderKey:
-			s.hrev = it.Rev
+			s.hrev = it.Revision
 			err = wire.Unmarshal(it.Value, &s.holder)
 		case TermKey:
 			var t termValue
 			err = wire.Unmarshal(it.Value, &t)
-			s.term, s.trev = t.Term, it.Rev
+			s.term, s.trev = t.Term, it.Revision
 		}
 		if err != nil {
 			return s, fmt.Errorf("leadership: %s: %w", it.Key, err)
@@ -276,11 +276,11 @@
 func (c *Candidate) claim(ctx context.Context, r *Term, s standing) error {
 	term := s.term + 1
 	rev, err := c.Store.Txn(ctx,
-		[]kvstore.Cond{{Key: holderKey, Rev: s.hrev}, {Key: TermKey, Rev: s.trev}},
-		[]kvstore.Op{
+		[]kvstore.Compare{{Key: holderKey, Revision: s.hrev}, {Key: TermKey, Revision: s.trev}},
+		[]kvstore.Mutation{
 			{Put: holderKey, Value: wire.Marshal(holder{c.Node, term, r.lease}), Lease: r.lease},
 			{Put: TermKey, Value: wire.Marshal(termValue{term})},
-		}, kvstore.Lease)
+		}, kvstore.PriorityLease)
 	if errors.Is(err, kvstore.ErrUnknown) {
 		now, rerr := c.read(ctx)
 		if rerr == nil && now.holder.Lease == r.lease && now.term == term && now.hrev == now.trev {
@@ -306,7 +306,7 @@
 	if s.holder.Lease != r.lease {
 		return fmt.Errorf("leadership: raise: term %d is over", r.Number())
 	}
-	if s.trev != r.Fence().Rev {
+	if s.trev != r.Fence().Revision {
 		// An earlier raise that went unanswered was applied after all.
 		r.mu.Lock()
 		r.number, r.rev = s.term, s.trev
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -117,15 +117,15 @@
 			l.forget()
 			continue
 		}
-		var ops []kvstore.Op
+		var ops []kvstore.Mutation
 		batches, sent := l.nextBatches(time.Now())
 		for i, m := range batches {
-			ops = append(ops, kvstore.Op{Put: UpPrefix + l.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
+			ops = append(ops, kvstore.Mutation{Put: UpPrefix + l.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
 		}
 		if len(ops) == 0 {
 			continue
 		}
-		if _, err := l.Store.Txn(ctx, nil, ops, kvstore.User); err != nil {
+		if _, err := l.Store.Txn(ctx, nil, ops, kvstore.PriorityUser); err != nil {
 			slog.Debug("reports not relayed", "err", err)
 			continue
 		}
@@ -271,7 +271,7 @@
 	prefix := downPrefix + l.Node + "/"
 	var fresh []push
 	if *rev == 0 {
-		page, err := l.Store.List(ctx, prefix, "", 100, kvstore.Rest)
+		page, err := l.Store.List(ctx, prefix, "", 100, kvstore.PriorityBackground)
 		if err != nil {
 			return nil, err
 		}
@@ -280,7 +280,7 @@
 				return nil, err
 			}
 		}
-		*rev = page.Rev
+		*rev = page.Revision
 		return fresh, nil
 	}
 	events, at, err := l.Store.Watch(ctx, prefix, *rev, 5*time.Second)
