--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,9 +28,9 @@
 	now := time.Unix(0, 0)
 	f := New()
 	m := f.Add("vm-1", now)
-	book := jobstore.NewJobs()
-	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, Chunk: 9}
-	j, _, err := book.PutJob(wire.Marshal(rec), 1)
+	book := jobstore.New()
+	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, ChunkSize: 9}
+	j, _, err := book.ApplyRecord(wire.Marshal(rec), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,9 +46,9 @@
 		now = now.Add(time.Second)
 		switch word[0] {
 		case "start", "decide":
-			a := book.Start(j, int(number(1)), book.NextTry(number(2)), m.Name, number(3), now)
+			a := book.StartAttempt(j, int(number(1)), book.NextAttemptNumber(number(2)), m.Name, number(3), now)
 			a.Recorded = word[0] == "start"
-			tries[word[1]] = a.Try
+			tries[word[1]] = a.Number
 			m.Assign(a, now)
 		case "stop":
 			m.Stop(m.Assignments[key{name(word[1]), tries[word[1]]}], 0)
@@ -69,7 +69,7 @@
 					cause = "gone"
 				}
 				fmt.Fprintf(out, "> task %d: %s\n", o.Assignment.Task, cause)
-				book.End(o.Assignment.Attempt, o.Cause == CauseDone, now)
+				book.EndAttempt(o.Assignment.Attempt, o.Cause == CauseDone, now)
 			}
 			if fresh && len(outcomes) == 0 {
 				fmt.Fprintln(out, "> proves nothing")
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -76,7 +76,7 @@
 		switch {
 		case h.Stopping && (listed || !h.Sent.IsZero()):
 			need = append(need, h)
-		case !listed && !h.Stopping && h.Sendable() && h.Session == m.Session && jobstore.TryTerm(h.Try) == token:
+		case !listed && !h.Stopping && h.Dispatchable() && h.Incarnation == m.Session && jobstore.AttemptTerm(h.Number) == token:
 			// A start recorded under an earlier token is never sent again: the
 			// worker's next reports prove it gone.
 			need = append(need, h)
@@ -90,10 +90,10 @@
 			return out
 		}
 		if h.Stopping {
-			out = append(out, Order{"halt", h.Name(), h.Try, &h.WindDown})
+			out = append(out, Order{"halt", h.TaskName(), h.Number, &h.WindDown})
 			continue
 		}
-		out = append(out, Order{Verb: "run", Task: h.Name(), Try: h.Try})
+		out = append(out, Order{Verb: "run", Task: h.TaskName(), Try: h.Number})
 		if h.Sent.IsZero() {
 			h.Sent = now
 		}
@@ -110,7 +110,7 @@
 			// On the machine but in no record, so it must not be.
 			zero := 0.0
 			out = append(out, Order{"halt", k.task, k.try, &zero})
-		case jobstore.TryTerm(k.try) < m.Token && settled(k.task):
+		case jobstore.AttemptTerm(k.try) < m.Token && settled(k.task):
 			// Only now can no late copy of its start run it again.
 			out = append(out, Order{Verb: "forget", Task: k.task, Try: k.try})
 		}
@@ -123,7 +123,7 @@
 func (m *Machine) Halts(limit int) (out []Order) {
 	for _, h := range m.Sorted() {
 		if h.Job.Cancelled && h.Stopping && len(out) < limit {
-			out = append(out, Order{"halt", h.Name(), h.Try, &h.WindDown})
+			out = append(out, Order{"halt", h.TaskName(), h.Number, &h.WindDown})
 		}
 	}
 	if out != nil {
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -81,14 +81,14 @@
 // Assign books an attempt on its machine.
 func (m *Machine) Assign(a *jobstore.Attempt, now time.Time) *Assignment {
 	h := &Assignment{Attempt: a, Since: now}
-	m.Assignments[key{a.Name(), a.Try}] = h
+	m.Assignments[key{a.TaskName(), a.Number}] = h
 	m.Version++
 	return h
 }
 
 // Release forgets an attempt that was never sent.
 func (m *Machine) Release(a *jobstore.Attempt) {
-	k := key{a.Name(), a.Try}
+	k := key{a.TaskName(), a.Number}
 	delete(m.Assignments, k)
 	if s, listed := m.Seen[k]; listed && s.Status != Exited {
 		m.foreign = true
@@ -98,17 +98,17 @@
 
 // Renumber books an attempt that was never sent under its new number.
 func (m *Machine) Renumber(a *jobstore.Attempt, was uint64) {
-	old := key{a.Name(), was}
+	old := key{a.TaskName(), was}
 	if h := m.Assignments[old]; h != nil {
 		delete(m.Assignments, old)
-		m.Assignments[key{a.Name(), a.Try}] = h
+		m.Assignments[key{a.TaskName(), a.Number}] = h
 		m.Version++
 	}
 }
 
 // AssignmentOf returns the assignment of an attempt, or nil.
 func (m *Machine) AssignmentOf(a *jobstore.Attempt) *Assignment {
-	return m.Assignments[key{a.Name(), a.Try}]
+	return m.Assignments[key{a.TaskName(), a.Number}]
 }
 
 // Foreign tells whether the newest report listed a live attempt that was booked
@@ -148,7 +148,7 @@
 
 func compare(a, b *Assignment) int {
 	// The tasks of a gang share a try.
-	return cmp.Or(cmp.Compare(a.Try, b.Try), cmp.Compare(a.Task, b.Task))
+	return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
 }
 
 // Handle takes a report and returns what it proves. It returns false for a
@@ -176,7 +176,7 @@
 	for k, h := range m.Assignments {
 		s, listed := m.Seen[k]
 		switch {
-		case h.Session < r.Session:
+		case h.Incarnation < r.Session:
 			out = append(out, Outcome{h, CauseLost})
 		case listed && s.Status == Exited:
 			out = append(out, Outcome{h, s.Cause})
@@ -186,7 +186,7 @@
 				h.Running = now
 			}
 			continue
-		case jobstore.TryTerm(h.Try) < r.Token:
+		case jobstore.AttemptTerm(h.Number) < r.Token:
 			out = append(out, Outcome{h, CauseLost})
 		default:
 			h.Missing++
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -35,7 +35,7 @@
 			return t.Status == Exited
 		}
 	}
-	return jobstore.TryTerm(try) < r.Token
+	return jobstore.AttemptTerm(try) < r.Token
 }
 
 // TaskReport is one attempt as a worker has it.
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -44,7 +44,7 @@
 func (in *Intake) Confirm(ctx context.Context) error { return in.replica.confirm(ctx) }
 
 // Places returns where tasks of an unfinished job may be, by what was read last.
-func (in *Intake) Places(id string) []jobstore.Place { return in.replica.places(id) }
+func (in *Intake) Places(id string) []jobstore.Location { return in.replica.places(id) }
 
 // Run keeps the copy of the records that polls are answered from, until ctx ends.
 func (in *Intake) Run(ctx context.Context) { in.replica.run(ctx) }
@@ -129,7 +129,7 @@
 		}
 		return later()
 	}
-	rec := jobstore.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: in.ChunkSize}
+	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: in.ChunkSize}
 	_, err = in.Store.Txn(ctx,
 		[]kvstore.Compare{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
 		[]kvstore.Mutation{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
@@ -229,7 +229,7 @@
 	}
 	st, found, err := in.replica.status(id)
 	if err != nil || found {
-		if st.Status == jobstore.Cancelled {
+		if st.Status == jobstore.StatusCancelled {
 			err = in.mayTell(ctx, id)
 		}
 		return st, err
@@ -238,13 +238,13 @@
 	if err != nil {
 		return st, err
 	}
-	var end jobstore.Final
+	var end jobstore.FinalState
 	if err := wire.Unmarshal(it.Value, &end); err != nil {
 		return st, err
 	}
 	in.Finished(id, end.Status)
 	st = status{ID: id, Status: end.Status}
-	if end.Status == jobstore.Done {
+	if end.Status == jobstore.StatusDone {
 		st.Done = end.Tasks
 	}
 	return st, nil
@@ -262,7 +262,7 @@
 	if !in.Spread(ctx, id) {
 		return errUntold
 	}
-	in.Finished(id, jobstore.Cancelled)
+	in.Finished(id, jobstore.StatusCancelled)
 	return nil
 }
 
@@ -311,7 +311,7 @@
 			if in.Confirm(ctx) != nil || in.mayTell(ctx, id) != nil {
 				return later()
 			}
-			return answer(jobstore.Cancelled)
+			return answer(jobstore.StatusCancelled)
 		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			continue // read back what stands
 		}
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -52,7 +52,7 @@
 type tally struct {
 	rev  uint64
 	done int
-	live []jobstore.Place
+	live []jobstore.Location
 }
 
 // readShare is the part of the state service's rate that one node spends at most
@@ -194,7 +194,7 @@
 	case chunk >= 0 && e.Delete != "":
 		delete(v.chunks, chunk)
 	case chunk >= 0:
-		done, live, err := jobstore.ReadChunk(id, e.Value)
+		done, live, err := jobstore.DecodeChunk(id, e.Value)
 		if err != nil {
 			slog.Error("chunk unreadable", "key", e.Put, "err", err)
 		}
@@ -202,7 +202,7 @@
 	case e.Delete != "":
 		v.known, v.rev = false, e.Revision
 	default:
-		cancelled, base, err := jobstore.ReadRecord(e.Value)
+		cancelled, base, err := jobstore.DecodeRecordSummary(e.Value)
 		if err != nil {
 			slog.Error("job record unreadable", "key", e.Put, "err", err)
 		}
@@ -226,7 +226,7 @@
 	case v.broken:
 		return status{}, true, errBroken
 	case v.cancelled:
-		return status{ID: id, Status: jobstore.Cancelled}, true, nil
+		return status{ID: id, Status: jobstore.StatusCancelled}, true, nil
 	}
 	st = status{ID: id, Status: pending}
 	for n, c := range v.chunks {
@@ -242,7 +242,7 @@
 }
 
 // places returns where tasks of an unfinished job may be, by the copy.
-func (r *replica) places(id string) (out []jobstore.Place) {
+func (r *replica) places(id string) (out []jobstore.Location) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.jobs[id]; v != nil {
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -19,7 +19,7 @@
 	const id = "wk-000001"
 	store := kvstore.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }, "", 100, 100)
 	r := newReplica(store, 100, func([]string, time.Time) {})
-	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, Chunk: 1})
+	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1})
 	apply(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 7})
 	if err := r.load(context.Background()); err == nil {
 		t.Fatal("read from a service that is down")
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -66,7 +66,7 @@
 // they must be gone: those who know of it return the machines.
 type guard struct {
 	mu    sync.Mutex
-	watch map[string][]jobstore.Place // by machine
+	watch map[string][]jobstore.Location // by machine
 	gone  map[attempt]struct{}
 }
 
@@ -77,11 +77,11 @@
 }
 
 // look takes all that is recorded of cancelled jobs.
-func (g *guard) look(places []jobstore.Place) {
+func (g *guard) look(places []jobstore.Location) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	gone := map[attempt]struct{}{}
-	g.watch = map[string][]jobstore.Place{}
+	g.watch = map[string][]jobstore.Location{}
 	for _, p := range places {
 		a := attempt{p.Task, p.Try}
 		if _, ok := g.gone[a]; ok {
@@ -95,7 +95,7 @@
 
 // holding returns the machines, at most limit, of those places that are not known to be
 // gone.
-func (g *guard) holding(places []jobstore.Place, limit int) (machines []string) {
+func (g *guard) holding(places []jobstore.Location, limit int) (machines []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range places {
@@ -107,7 +107,7 @@
 }
 
 // prove marks those attempts that are watched on a machine as gone for which f says so.
-func (g *guard) prove(machine string, f func(jobstore.Place) bool) {
+func (g *guard) prove(machine string, f func(jobstore.Location) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.watch[machine] {
@@ -127,13 +127,13 @@
 
 // observe learns from a report what is gone, by the same proofs as a leader.
 func (g *guard) observe(r *agent.Report) {
-	g.prove(r.Machine, func(p jobstore.Place) bool { return r.Proves(p.Task, p.Try, p.Session) })
+	g.prove(r.Machine, func(p jobstore.Location) bool { return r.Proves(p.Task, p.Try, p.Session) })
 }
 
 // returned takes the cloud's word that machines are gone.
 func (g *guard) returned(machines []string) {
 	for _, m := range machines {
-		g.prove(m, func(jobstore.Place) bool { return true })
+		g.prove(m, func(jobstore.Location) bool { return true })
 	}
 }
 
@@ -183,7 +183,7 @@
 
 // places returns where tasks may be of jobs that were learnt to be cancelled at least d
 // ago.
-func (n *Node) places(d time.Duration) (out []jobstore.Place) {
+func (n *Node) places(d time.Duration) (out []jobstore.Location) {
 	for _, id := range n.cancelled.Learnt(d) {
 		out = append(out, n.intake.Places(id)...)
 	}
--- a/internal/controller/cancelled_test.go
+++ b/internal/controller/cancelled_test.go
@@ -158,7 +158,7 @@
 				c.hang(false)
 				c.net.Cut(nil)
 				c.store.Down(false)
-				c.until("answered", 20*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.Cancelled })
+				c.until("answered", 20*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
 				c.until("the other job runs", 2*time.Minute, func() bool { return c.referee.OnOf(other) == 4 })
 			})
 		})
@@ -235,7 +235,7 @@
 		time.Sleep(2 * time.Second)
 		told := func() bool {
 			on := c.referee.On()
-			if c.status(at, "wk-000001") != jobstore.Cancelled {
+			if c.status(at, "wk-000001") != jobstore.StatusCancelled {
 				return false
 			}
 			if on != 0 {
@@ -275,7 +275,7 @@
 		}
 		c.net.Cut(nil)
 		c.store.HoldBack(0, "")
-		c.over(20*time.Second, map[string]string{"wk-000002": jobstore.Cancelled})
+		c.over(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
 		c.until("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -64,7 +64,7 @@
 	switch status {
 	case "":
 		return 0
-	case jobstore.Done, jobstore.Cancelled:
+	case jobstore.StatusDone, jobstore.StatusCancelled:
 		return 2
 	}
 	return 1
@@ -79,7 +79,7 @@
 	if resp.Status != 404 && (resp.Status != 200 && resp.Status != 201 || wire.Unmarshal(resp.Body, &st) != nil || st.Status == "") {
 		return ""
 	}
-	if st.Status == jobstore.Cancelled {
+	if st.Status == jobstore.StatusCancelled {
 		w.referee.Told(id)
 	}
 	w.mu.Lock()
@@ -394,5 +394,5 @@
 }
 
 func (c *cluster) done(id string) func() bool {
-	return func() bool { return c.status(2, id) == jobstore.Done }
+	return func() bool { return c.status(2, id) == jobstore.StatusDone }
 }
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -17,7 +17,7 @@
 
 // mates returns how many tasks on other machines lose as much when one task stops.
 func (l *leader) mates(j *jobstore.Job) int {
-	if j.Gang() {
+	if j.IsGang() {
 		return j.Spec.Tasks - 1
 	}
 	return 0
@@ -30,7 +30,7 @@
 // It guards against gangs that nobody completes: a leader that ends while it records or
 // sends the starts of one, a machine that dies before the others have begun.
 func (l *leader) reconcileGang(j *jobstore.Job, now time.Time) {
-	if !j.Gang() || j.Cancelled || j.LiveTasks() == 0 || j.DoneTasks() > 0 || j.Whole() {
+	if !j.IsGang() || j.Cancelled || j.LiveTasks() == 0 || j.DoneTasks() > 0 || j.GangComplete() {
 		return
 	}
 	l.stopAttempts(j, now)
@@ -40,16 +40,16 @@
 // time; otherwise nobody is told, as a part would only lose the progress of all.
 func (l *leader) stopGang(j *jobstore.Job, now time.Time) {
 	reach := true
-	j.Attempts(func(a *jobstore.Attempt) {
+	j.EachAttempt(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		h := m.AssignmentOf(a)
 		reach = reach && h != nil && l.reaches(m, now)
 	})
-	if !reach || j.DoneTasks() > 0 || !j.Whole() {
+	if !reach || j.DoneTasks() > 0 || !j.GangComplete() {
 		slog.Debug("gang not stopped", "job", j.Spec.ID)
 		return
 	}
-	j.Attempts(func(a *jobstore.Attempt) {
+	j.EachAttempt(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		m.Stop(m.AssignmentOf(a), j.Spec.SaveS)
 	})
@@ -69,8 +69,8 @@
 
 // gangArrived notes what gangs usually bring.
 func (l *leader) gangArrived(j *jobstore.Job) {
-	if j.At.After(l.estimatesUntil) {
-		l.gangs.Add(float64(j.Spec.Tasks)*size(l.jobStates[j].need)*(l.expect(j)+l.fetchSeconds(j)), j.At)
+	if j.SubmittedAt.After(l.estimatesUntil) {
+		l.gangs.Add(float64(j.Spec.Tasks)*size(l.jobStates[j].need)*(l.expect(j)+l.fetchSeconds(j)), j.SubmittedAt)
 	}
 	if last := l.lastGangs[j.Spec.Class]; last.spec == nil || last.spec.Tasks <= j.Spec.Tasks {
 		l.lastGangs[j.Spec.Class] = gangKind{j.Spec, l.jobStates[j]}
@@ -88,8 +88,8 @@
 	if spare < 1 {
 		return nil
 	}
-	l.jobs.Jobs(func(j *jobstore.Job) {
-		if j.Gang() && l.jobStates[j].team >= 0 && !j.Cancelled {
+	l.jobs.Each(func(j *jobstore.Job) {
+		if j.IsGang() && l.jobStates[j].team >= 0 && !j.Cancelled {
 			spare -= float64(j.Spec.Tasks) * size(l.jobStates[j].need)
 		}
 	})
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -369,7 +369,7 @@
 			m["uid"] = id
 			c.accept(10*time.Second, i, m)
 		}
-		for !slices.ContainsFunc(ids, func(id string) bool { return c.status(0, id) == jobstore.Done }) {
+		for !slices.ContainsFunc(ids, func(id string) bool { return c.status(0, id) == jobstore.StatusDone }) {
 			on := 0
 			for _, id := range ids {
 				if n := c.referee.OnOf(id); n > 0 {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -43,7 +43,7 @@
 	loaded          atomic.Bool
 	gathered        bool
 	listed          bool // the cloud's list has been read
-	jobs            *jobstore.Jobs
+	jobs            *jobstore.Store
 	fleet           *agent.Fleet
 	machines        map[*agent.Machine]*machineState
 	jobStates       map[*jobstore.Job]*jobState
@@ -121,7 +121,7 @@
 		node: n, term: r, ctx: ctx,
 		events:    make(chan func(), max(minEvents, n.settings.Resources.MaxSockets)),
 		typeIndex: map[string]int{}, zoneIndex: map[string]int{}, teamIndex: map[string]int{},
-		jobs: jobstore.NewJobs(), fleet: agent.New(),
+		jobs: jobstore.New(), fleet: agent.New(),
 		machines: map[*agent.Machine]*machineState{}, jobStates: map[*jobstore.Job]*jobState{},
 		workerClients: map[string]*wire.Client{},
 		blocked:       map[pool]time.Time{}, renting: map[string]string{}, failed: map[string]bool{}, relays: map[string]*proxyState{},
@@ -279,12 +279,12 @@
 		}
 	}
 	now := time.Now()
-	l.jobs.Jobs(func(j *jobstore.Job) {
-		j.Attempts(func(a *jobstore.Attempt) {
+	l.jobs.Each(func(j *jobstore.Job) {
+		j.EachAttempt(func(a *jobstore.Attempt) {
 			l.machine(a.Machine, now).Assign(a, now)
 		})
 	})
-	l.jobs.Loaded()
+	l.jobs.FinishLoading()
 	slog.Info("records read", "term", l.term.Number(), "jobs", l.jobs.Len(), "machines", l.fleet.Size())
 	return rev, nil
 }
@@ -295,7 +295,7 @@
 		return fmt.Errorf("controller: unexpected key")
 	}
 	if chunk < 0 {
-		j, _, err := l.jobs.PutJob(it.Value, it.Revision)
+		j, _, err := l.jobs.ApplyRecord(it.Value, it.Revision)
 		if err == nil {
 			l.addJob(j)
 		}
@@ -305,7 +305,7 @@
 		l.orphans = append(l.orphans, kvstore.Mutation{Delete: it.Key})
 		return nil
 	}
-	return l.jobs.PutChunk(id, chunk, it.Value, it.Revision)
+	return l.jobs.LoadChunk(id, chunk, it.Value, it.Revision)
 }
 
 // addJob maps a job's names to dense indices.
@@ -334,12 +334,12 @@
 	}
 	l.jobStates[j] = st
 	l.replan = true
-	if j.Gang() && !j.Cancelled && st.team >= 0 {
+	if j.IsGang() && !j.Cancelled && st.team >= 0 {
 		l.gangArrived(j)
 	}
 	if s.Shape == job.Array && !j.Cancelled && st.team >= 0 && !l.opportunistic(j) {
-		if j.At.After(l.estimatesUntil) {
-			l.offered.Add(float64(s.Tasks)*size(st.need)*l.expect(j), j.At)
+		if j.SubmittedAt.After(l.estimatesUntil) {
+			l.offered.Add(float64(s.Tasks)*size(st.need)*l.expect(j), j.SubmittedAt)
 		}
 		l.lastArray = st
 	}
@@ -399,7 +399,7 @@
 
 func (l *leader) onChange(e *kvstore.Event) {
 	if id, chunk, ok := jobstore.SplitKey(e.Delete); e.Delete != "" && ok && chunk < 0 {
-		if j := l.jobs.SawDeleted(id); j != nil {
+		if j := l.jobs.RecordDeleted(id); j != nil {
 			l.ended(j)
 		}
 		return
@@ -411,7 +411,7 @@
 }
 
 func (l *leader) onJob(value []byte, rev uint64) {
-	j, news, err := l.jobs.PutJob(value, rev)
+	j, news, err := l.jobs.ApplyRecord(value, rev)
 	if err != nil {
 		slog.Error("job record unreadable", "err", err)
 		return
@@ -428,7 +428,7 @@
 // too, but the state service may be away for longer than their tasks may go on.
 func (l *leader) onCancelled(ids []string, now time.Time) {
 	for _, id := range ids {
-		if j := l.jobs.Cancel(id, now); j != nil {
+		if j := l.jobs.MarkCancelled(id, now); j != nil {
 			l.replan = true
 			l.stopAttempts(j, now)
 		}
@@ -443,19 +443,19 @@
 // where the ends of their jobs could not be recorded in time (inc-b469).
 func (l *leader) stopAttempts(j *jobstore.Job, now time.Time) {
 	if !l.writing {
-		for _, a := range l.jobs.DropUnrecorded(j, now) {
+		for _, a := range l.jobs.WithdrawUnrecorded(j, now) {
 			l.machine(a.Machine, now).Release(a)
 		}
 	}
 	var gone []*jobstore.Attempt
-	j.Attempts(func(a *jobstore.Attempt) {
+	j.EachAttempt(func(a *jobstore.Attempt) {
 		m := l.machine(a.Machine, now)
 		h := m.AssignmentOf(a)
 		switch {
 		case h == nil || !a.Recorded:
-		case j.Cancelled && l.node.guard.proven(a.Name(), a.Try):
+		case j.Cancelled && l.node.guard.proven(a.TaskName(), a.Number):
 			gone = append(gone, a)
-		case h.Sent.IsZero() && jobstore.TryTerm(a.Try) >= l.firstTerm:
+		case h.Sent.IsZero() && jobstore.AttemptTerm(a.Number) >= l.firstTerm:
 			gone = append(gone, a) // recorded by this leader and never sent
 		default:
 			m.Stop(h, 0)
@@ -463,7 +463,7 @@
 	})
 	for _, a := range gone {
 		l.machine(a.Machine, now).Release(a)
-		l.jobs.End(a, false, now)
+		l.jobs.EndAttempt(a, false, now)
 	}
 }
 
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -37,7 +37,7 @@
 				c.next = lowered
 				c.anew(60, 240)
 				c.runService(8)
-				want := map[string]string{"wk-000100": jobstore.Done, "wk-000101": jobstore.Done, gangID: jobstore.Done}
+				want := map[string]string{"wk-000100": jobstore.StatusDone, "wk-000101": jobstore.StatusDone, gangID: jobstore.StatusDone}
 				c.accept(10*time.Second, 0, submission("wk-000100", job.Array, 600, 10))
 				c.accept(10*time.Second, 1, submission("wk-000101", job.Array, 300, 20))
 				c.accept(10*time.Second, 2, gang(80, 60)) // more than one chunk of 2 KiB
@@ -55,7 +55,7 @@
 				for i := range cancelled {
 					id := jobID(200 + i)
 					c.until("cancelled", 10*time.Second, func() bool { return c.ask(i%3, "POST", "/v1/jobs/"+id+"/abort", nil).Status == 200 })
-					want[id] = jobstore.Cancelled
+					want[id] = jobstore.StatusCancelled
 				}
 				if n := len(c.store.Keys(jobstore.EndKey("wk-0002"))); n == cancelled {
 					t.Error("no cancellation waits to be recorded as ended")
@@ -113,7 +113,7 @@
 					chunks := func() int { return len(c.store.Keys(jobstore.JobKey(gangID) + "/")) }
 					c.store.Slow(400 * time.Millisecond)
 					c.until("a part is recorded", 2*time.Minute, func() bool { return chunks() > 0 })
-					if n := c.referee.OnOf(gangID); n != 0 || chunks() > tasks/jobstore.ChunkSize(limit.ValueBytes) {
+					if n := c.referee.OnOf(gangID); n != 0 || chunks() > tasks/jobstore.TasksPerChunk(limit.ValueBytes) {
 						t.Errorf("%d tasks on, %d chunks recorded", n, chunks())
 					}
 					c.nextLeader()
@@ -123,7 +123,7 @@
 				if n := c.referee.OnOf(gangID); n != tasks {
 					t.Errorf("%d tasks on as it runs", n)
 				}
-				c.over(3*time.Minute, map[string]string{gangID: jobstore.Done})
+				c.over(3*time.Minute, map[string]string{gangID: jobstore.StatusDone})
 				if got := c.cloud.Gangs.Counted(); got.Began != 1 || got.Incomplete != 0 {
 					t.Errorf("%+v", got)
 				}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -35,7 +35,7 @@
 						ended++
 					}
 				}
-				if s := c.status(i%3, id(i)); s == jobstore.Done && ended < 3 {
+				if s := c.status(i%3, id(i)); s == jobstore.StatusDone && ended < 3 {
 					t.Errorf("%s is called done with %d of 3 tasks", id(i), ended)
 				}
 			}
@@ -61,7 +61,7 @@
 				c.until("cancelled or done", time.Minute, func() bool {
 					return c.ask(0, "POST", "/v1/jobs/"+id(i)+"/abort", nil).Status == 200
 				})
-				cancelled[i] = c.status((i+1)%3, id(i)) == jobstore.Cancelled
+				cancelled[i] = c.status((i+1)%3, id(i)) == jobstore.StatusCancelled
 			}
 			if i%5 == 4 {
 				c.nextLeader()
@@ -70,9 +70,9 @@
 		c.store.LateWrites(0)
 		time.Sleep(15 * time.Second) // the last late ones are applied
 		for i := range 12 {
-			want := jobstore.Done
+			want := jobstore.StatusDone
 			if cancelled[i] {
-				want = jobstore.Cancelled
+				want = jobstore.StatusCancelled
 			}
 			c.until(id(i)+" "+want, 3*time.Minute, func() bool { return c.status(i%3, id(i)) == want })
 		}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -103,7 +103,7 @@
 	n.intake = &api.Intake{
 		Store:     n.store,
 		Teams:     s.Teams,
-		ChunkSize: jobstore.ChunkSize(s.State.ValueBytes),
+		ChunkSize: jobstore.TasksPerChunk(s.State.ValueBytes),
 		Types: func() []cloud.Type {
 			if t := n.types.Load(); t != nil {
 				return *t
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -39,7 +39,7 @@
 		}
 		l.drain(m, now)
 	})
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		l.reconcileGang(j, now)
 		if j.Cancelled {
 			l.stopAttempts(j, now)
@@ -73,7 +73,7 @@
 		switch {
 		case s.Shape == job.Service:
 			m.Stop(h, s.SaveS)
-		case s.CheckpointS > 0 && h.Job.Gang():
+		case s.CheckpointS > 0 && h.Job.IsGang():
 			if m.Recall.Sub(now) < save+saveLeeway+l.node.settings.Workers.GangPeer {
 				l.stopGang(h.Job, now)
 			}
@@ -133,7 +133,7 @@
 	for i, t := range l.node.settings.Teams {
 		out[i] = placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, Opportunistic: t.Opportunistic()}
 	}
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		if t := l.jobStates[j].team; t >= 0 {
 			out[t].CPUsUsed += float64(j.LiveTasks()) * j.Spec.CPUs
 			out[t].GPUsUsed += float64(j.LiveTasks()) * j.Spec.GPUs
@@ -191,9 +191,9 @@
 
 // waitingJobs returns the jobs of which tasks may start, by arrival.
 func (l *leader) waitingJobs(now time.Time) (waiting []*jobstore.Job) {
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		// A gang starts anew only once all of it is gone: a part would wait in vain.
-		parted := j.Gang() && j.LiveTasks() > 0
+		parted := j.IsGang() && j.LiveTasks() > 0
 		if j.WaitingTasks() > 0 && !parted && l.jobStates[j].team >= 0 && !now.Before(l.jobStates[j].notBefore) {
 			waiting = append(waiting, j)
 		}
@@ -211,7 +211,7 @@
 		st, s := l.jobStates[j], j.Spec
 		v := placement.Job{
 			Team: st.team, Priority: l.priority(j), Arrival: j.Arrival, Ratio: l.ratio(j, now), Beyond: beyond[j] && !first[j],
-			Need: st.need, Waiting: l.wanted(j), Tasks: s.Tasks, Gang: j.Gang(),
+			Need: st.need, Waiting: l.wanted(j), Tasks: s.Tasks, Gang: j.IsGang(),
 			Types: st.types, Zone: st.zone, Spot: s.Spot, OneZone: s.OneZone, Apart: s.Apart, Avoid: l.avoid(st),
 			Urgent: s.Shape != job.Array, Displace: l.displaces(j, now) && !beyond[j], Overdue: l.overdue(j, now),
 		}
@@ -235,7 +235,7 @@
 	first := map[*jobstore.Job]bool{}
 	seen := map[int]bool{}
 	for _, j := range waiting {
-		if team := l.jobStates[j].team; j.Gang() && !seen[team] {
+		if team := l.jobStates[j].team; j.IsGang() && !seen[team] {
 			seen[team], first[j] = true, true
 		}
 	}
@@ -248,7 +248,7 @@
 	if !l.gangs.Empty() {
 		late /= 2 // room kept for gangs keeps no job waiting for long
 	}
-	return now.Sub(j.At) > late && j.LiveTasks() == 0 && j.DoneTasks() == 0
+	return now.Sub(j.SubmittedAt) > late && j.LiveTasks() == 0 && j.DoneTasks() == 0
 }
 
 // startAssigned books the attempts that a pass has placed; they are sent once they are
@@ -263,16 +263,16 @@
 			continue // the state service has shown meanwhile that it takes less
 		}
 		next[a.Job] = task + 1
-		if tries[a.Job] == 0 || !j.Gang() {
-			tries[a.Job] = l.jobs.NextTry(l.term.Number())
+		if tries[a.Job] == 0 || !j.IsGang() {
+			tries[a.Job] = l.jobs.NextAttemptNumber(l.term.Number())
 		}
-		h := m.Assign(l.jobs.Start(j, task, tries[a.Job], m.Name, m.Session, now), now)
+		h := m.Assign(l.jobs.StartAttempt(j, task, tries[a.Job], m.Name, m.Session, now), now)
 		m.Images.Use(j.Spec.Image, j.Spec.ImageGB, l.types[m.Type].Disk, now)
 		if st := l.jobStates[j]; st.failing() {
 			st.notBefore = now.Add(st.backoff)
 			st.backoff = min(2*st.backoff, maxBackoff)
 		}
-		slog.Debug("attempt placed", "task", h.Name(), "try", h.Try, "machine", m.Name)
+		slog.Debug("attempt placed", "task", h.TaskName(), "try", h.Number, "machine", m.Name)
 	}
 }
 
@@ -280,8 +280,8 @@
 func (l *leader) stopPreempted(stops []placement.Stop, waiting []*jobstore.Job, assigned [][]*agent.Assignment, now time.Time) {
 	for _, s := range stops {
 		h := assigned[s.Machine][s.Task]
-		slog.Info("task preempted", "task", h.Name(), "machine", h.Machine, "for", waiting[s.For].Spec.ID)
-		if h.Job.Gang() {
+		slog.Info("task preempted", "task", h.TaskName(), "machine", h.Machine, "for", waiting[s.For].Spec.ID)
+		if h.Job.IsGang() {
 			l.stopGang(h.Job, now)
 			continue
 		}
@@ -303,7 +303,7 @@
 			patience = o.Within / 2
 		}
 	}
-	return now.Sub(j.At) >= patience && !l.opportunistic(j)
+	return now.Sub(j.SubmittedAt) >= patience && !l.opportunistic(j)
 }
 
 // priority returns a waiting job's priority: of teams without a guarantee the lowest, whatever they say. They
@@ -322,7 +322,7 @@
 // each other by zone is not placed on a guess.
 func (l *leader) inZones(j *jobstore.Job) (in []int, known bool) {
 	in, known = make([]int, len(l.zones)), true
-	j.Attempts(func(a *jobstore.Attempt) {
+	j.EachAttempt(func(a *jobstore.Attempt) {
 		if m := l.fleet.Machine(a.Machine); m != nil && m.Zone >= 0 {
 			in[m.Zone]++
 		} else {
@@ -339,14 +339,14 @@
 		return 0
 	}
 	run := l.expect(j)
-	return float64(j.WaitingTasks()) * run / (run + max(0, now.Sub(j.At).Seconds()))
+	return float64(j.WaitingTasks()) * run / (run + max(0, now.Sub(j.SubmittedAt).Seconds()))
 }
 
 // beyond tells which jobs do not fit into their team's guarantee together with
 // the team's earlier unfinished jobs.
 func (l *leader) beyond() map[*jobstore.Job]bool {
 	jobs := make([]*jobstore.Job, 0, l.jobs.Len())
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		if l.jobStates[j].team >= 0 && !j.Cancelled {
 			jobs = append(jobs, j)
 		}
--- a/internal/controller/place_test.go
+++ b/internal/controller/place_test.go
@@ -20,20 +20,20 @@
 func TestUnknownZone(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := &leader{fleet: agent.New(), zones: []string{"a", "b"}}
-	book := jobstore.NewJobs()
-	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 3}, Chunk: 4}
-	j, _, err := book.PutJob(wire.Marshal(rec), 1)
+	book := jobstore.New()
+	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 3}, ChunkSize: 4}
+	j, _, err := book.ApplyRecord(wire.Marshal(rec), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.fleet.Add("vm-1", now).Zone = 1
 	unknown := l.fleet.Add("vm-2", now)
 	unknown.Zone = -1
-	book.Start(j, 0, book.NextTry(1), "vm-1", 1, now)
+	book.StartAttempt(j, 0, book.NextAttemptNumber(1), "vm-1", 1, now)
 	if in, known := l.inZones(j); !known || !reflect.DeepEqual(in, []int{0, 1}) {
 		t.Errorf("%v, known %v", in, known)
 	}
-	book.Start(j, 1, book.NextTry(1), "vm-2", 1, now)
+	book.StartAttempt(j, 1, book.NextAttemptNumber(1), "vm-2", 1, now)
 	if in, known := l.inZones(j); known || in[1] != 1 {
 		t.Errorf("%v, known %v", in, known)
 	}
@@ -48,7 +48,7 @@
 func TestGangBeforeGangsToCome(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}}
-	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: jobstore.NewJobs(), lastGangs: map[string]gangKind{},
+	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: jobstore.New(), lastGangs: map[string]gangKind{},
 		types: []cloud.Type{{Name: "box", CPUs: 4, BootS: 50}}, gangs: autoscaler.Offered{Memory: time.Minute}}
 	need := placement.Amounts{placement.CPU: 1}
 	l.lastGangs["class"] = gangKind{&job.Spec{Class: "class", Shape: job.Gang, Priority: "standard", Tasks: 4}, &jobState{zone: -1, need: need}}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -239,7 +239,7 @@
 			}
 		}
 	})
-	l.jobs.Jobs(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
+	l.jobs.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	starts, chunks, ends := l.jobs.Backlog()
 	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
 	slog.Debug("fleet", "machines", all, "spot", spot, "up", up, "empty", empty, "cpus", cpus, "free", free, "waiting", waiting, "rent", d.Rent, "return", len(d.Return))
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -80,8 +80,8 @@
 	}
 	for _, h := range m.Assignments {
 		if h.Running.Equal(now) {
-			slog.Debug("attempt running", "task", h.Name(), "try", h.Try, "machine", m.Name,
-				"placed_s", h.Since.Sub(h.Job.At).Seconds(), "running_s", now.Sub(h.Job.At).Seconds())
+			slog.Debug("attempt running", "task", h.TaskName(), "try", h.Number, "machine", m.Name,
+				"placed_s", h.Since.Sub(h.Job.SubmittedAt).Seconds(), "running_s", now.Sub(h.Job.SubmittedAt).Seconds())
 		}
 	}
 	return m
@@ -122,7 +122,7 @@
 		return true
 	}
 	j := l.jobs.Job(id)
-	return j == nil || j.Durable(n)
+	return j == nil || j.ResultDurable(n)
 }
 
 // expect returns about how many seconds a task of a job runs.
@@ -152,8 +152,8 @@
 // and as many writes for one, machines were rented for them, and they counted in their
 // team's guarantee before the good ones (operations of both ops deployments).
 func (l *leader) wanted(j *jobstore.Job) int {
-	n := j.Startable(int(l.node.valueBytes.Load()))
-	if l.jobStates[j].failing() && !j.Gang() {
+	n := j.StartableTasks(int(l.node.valueBytes.Load()))
+	if l.jobStates[j].failing() && !j.IsGang() {
 		return min(1, n)
 	}
 	return n
@@ -161,10 +161,10 @@
 
 func (l *leader) outcome(m *agent.Machine, o agent.Outcome, now time.Time) {
 	a := o.Assignment.Attempt
-	slog.Debug("attempt ended", "task", a.Name(), "try", a.Try, "machine", m.Name, "cause", o.Cause)
-	l.jobs.End(a, o.Cause == agent.CauseDone, now)
+	slog.Debug("attempt ended", "task", a.TaskName(), "try", a.Number, "machine", m.Name, "cause", o.Cause)
+	l.jobs.EndAttempt(a, o.Cause == agent.CauseDone, now)
 	l.replan = true
-	if a.Job.Gang() && o.Cause != agent.CauseDone {
+	if a.Job.IsGang() && o.Cause != agent.CauseDone {
 		l.reconcileGang(a.Job, now)
 	}
 	st := l.jobStates[a.Job]
--- a/internal/controller/roll_test.go
+++ b/internal/controller/roll_test.go
@@ -79,12 +79,12 @@
 			c.accept(10*time.Second, turn%3, submission(kept, job.Array, 30, 6))
 			c.accept(10*time.Second, (turn+1)%3, submission(gone, job.Array, 30, 60))
 			c.until("both have begun", time.Minute, func() bool { return c.begun(kept) > 0 && c.begun(gone) > 0 })
-			want[kept] = jobstore.Done
+			want[kept] = jobstore.StatusDone
 			if turn > 0 { // by the version that does not lead, of a job that came under the other
 				earlier := jobID(11 + 2*(turn-1))
 				by := c.otherVersion()
 				c.until("cancelled", 10*time.Second, func() bool { return c.ask(by, "POST", "/v1/jobs/"+earlier+"/abort", nil).Status == 200 })
-				want[earlier] = jobstore.Cancelled
+				want[earlier] = jobstore.StatusCancelled
 			}
 		}
 		if now := c.term(); now < before+6 {
@@ -93,7 +93,7 @@
 		}
 		last := jobID(11 + 2*5)
 		c.until("cancelled", 10*time.Second, func() bool { return c.ask(0, "POST", "/v1/jobs/"+last+"/abort", nil).Status == 200 })
-		want[last] = jobstore.Cancelled
+		want[last] = jobstore.StatusCancelled
 		c.over(3*time.Minute, want)
 		for i := range 3 {
 			c.replace(i, time.Second)
@@ -114,7 +114,7 @@
 		c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 		c.large()
 		c.runService(8)
-		want := map[string]string{"wk-000010": jobstore.Done, "wk-000011": jobstore.Done}
+		want := map[string]string{"wk-000010": jobstore.StatusDone, "wk-000011": jobstore.StatusDone}
 		c.accept(10*time.Second, 0, submission("wk-000010", job.Array, 200, 10))
 		c.until("tasks run", time.Minute, func() bool { return c.begun("wk-000010") > 20 })
 		before := c.term()
@@ -175,7 +175,7 @@
 				c.lead(!oldLeads)
 				c.net.Hold(nil)
 				c.start(old)
-				c.over(3*time.Minute, map[string]string{"wk-000010": jobstore.Done})
+				c.over(3*time.Minute, map[string]string{"wk-000010": jobstore.StatusDone})
 				c.startedOnce()
 			})
 		})
@@ -210,7 +210,7 @@
 				}
 				c.start(by)
 				c.store.Down(false)
-				c.until("answered", 10*time.Second, func() bool { return c.status(c.leaderOr(0), "wk-000010") == jobstore.Cancelled })
+				c.until("answered", 10*time.Second, func() bool { return c.status(c.leaderOr(0), "wk-000010") == jobstore.StatusCancelled })
 			})
 		})
 	}
@@ -278,7 +278,7 @@
 						time.Sleep(6 * time.Second)
 					}
 					c.accept(20*time.Second, 2, submission("wk-000011", job.Array, 30, 5))
-					c.over(3*time.Minute, map[string]string{"wk-000010": jobstore.Done, "wk-000011": jobstore.Done})
+					c.over(3*time.Minute, map[string]string{"wk-000010": jobstore.StatusDone, "wk-000011": jobstore.StatusDone})
 					c.startedOnce()
 					if n := c.begun("wk-000001"); n != 8 {
 						c.t.Errorf("8 replicas were started %d times", n)
@@ -324,7 +324,7 @@
 			c.start(i)
 			c.until("known", 10*time.Second, func() bool { return c.status(i, gangID) != "503" })
 		}
-		c.over(time.Minute, map[string]string{gangID: jobstore.Done})
+		c.over(time.Minute, map[string]string{gangID: jobstore.StatusDone})
 	})
 }
 
@@ -338,7 +338,7 @@
 			c.replace(i, time.Second)
 			time.Sleep(6 * time.Second)
 		}
-		c.over(2*time.Minute, map[string]string{gangID: jobstore.Done})
+		c.over(2*time.Minute, map[string]string{gangID: jobstore.StatusDone})
 		c.startedOnce()
 	})
 }
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -119,7 +119,7 @@
 			if s := c.ask(i%3, "POST", "/v1/jobs/"+id(i)+"/abort", nil).Status; s != 200 {
 				t.Errorf("abort: %d", s)
 			}
-			if s := c.status((i+1)%3, id(i)); s != jobstore.Cancelled {
+			if s := c.status((i+1)%3, id(i)); s != jobstore.StatusCancelled {
 				t.Errorf("another node says %s after the cancellation was told", s)
 			}
 		}
@@ -246,7 +246,7 @@
 				c.store.Down(outage)
 				c.until("task gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
 				c.store.Down(false)
-				c.until("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.Cancelled })
+				c.until("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
 				time.Sleep(time.Minute)
 				if n := c.referee.Begun()["wk-000001/0"]; n != 1 {
 					t.Errorf("started %d times", n)
--- a/internal/controller/size_bench_test.go
+++ b/internal/controller/size_bench_test.go
@@ -32,7 +32,7 @@
 			spec.CPUs = 2
 			spec.OneZone = shape == job.Gang
 		}
-		items = append(items, fleetRecord{key: jobstore.JobKey(id), value: wire.Marshal(jobstore.Record{Spec: spec, AtMS: time.Now().UnixMilli(), Chunk: 145})})
+		items = append(items, fleetRecord{key: jobstore.JobKey(id), value: wire.Marshal(jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: 145})})
 		if live {
 			items[len(items)-1].first, items[len(items)-1].tasks = first, tasks
 		}
@@ -81,7 +81,7 @@
 	now := time.Now()
 	tasks := make([][]agent.TaskReport, machines)
 	for _, r := range records(machines) {
-		j, _, err := l.jobs.PutJob(r.value, 1)
+		j, _, err := l.jobs.ApplyRecord(r.value, 1)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -89,11 +89,11 @@
 		for t := range r.tasks {
 			m := (r.first + t) % machines
 			try := uint64(1)<<24 + uint64(r.first+t)
-			a := l.jobs.Start(j, t, try, machineName(m), 1, now)
+			a := l.jobs.StartAttempt(j, t, try, machineName(m), 1, now)
 			a.Recorded = true
 			hold := l.machine(a.Machine, now).Assign(a, now)
 			hold.Sent, hold.Since = now, now.Add(-time.Duration((r.first+t)*7919%60_000)*time.Millisecond) // they end one after the other
-			tasks[m] = append(tasks[m], agent.TaskReport{Task: a.Name(), Try: try, Status: agent.Running})
+			tasks[m] = append(tasks[m], agent.TaskReport{Task: a.TaskName(), Try: try, Status: agent.Running})
 		}
 	}
 	for m := range machines {
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -34,7 +34,7 @@
 				c.net.Cut(nil)
 				c.until("the node cut off answers", 10*time.Second, func() bool { return c.status(cut, "wk-000001") == "running" })
 				c.accept(10*time.Second, cut, submission("wk-000002", job.Array, 4, 5))
-				c.until("done", time.Minute, func() bool { return c.status(cut, "wk-000002") == jobstore.Done })
+				c.until("done", time.Minute, func() bool { return c.status(cut, "wk-000002") == jobstore.StatusDone })
 				if now := c.term(); now > before+2 {
 					t.Errorf("terms %d to %d", before, now)
 				}
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -59,7 +59,7 @@
 // byImportance returns the jobs that wait for machines, the most important first: services
 // and gangs, which start whole, and arrays.
 func (l *leader) byImportance() (whole, arrays []*jobstore.Job) {
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		switch {
 		case l.jobStates[j].team < 0 || j.WaitingTasks() == 0:
 		case j.Spec.Shape == job.Array:
@@ -94,7 +94,7 @@
 	}
 	team.CPUsUsed += float64(n) * j.Spec.CPUs
 	team.GPUsUsed += float64(n) * j.Spec.GPUs
-	d.out = append(d.out, autoscaler.Demand{Need: st.need, Types: st.types, Zone: st.zone, Spot: j.Spec.Spot, OneZone: j.Gang() && j.Spec.OneZone, Tasks: n})
+	d.out = append(d.out, autoscaler.Demand{Need: st.need, Types: st.types, Zone: st.zone, Spot: j.Spec.Spot, OneZone: j.IsGang() && j.Spec.OneZone, Tasks: n})
 	return n
 }
 
@@ -103,9 +103,9 @@
 func (d *demandList) addWhole(j *jobstore.Job) {
 	team := &d.teams[d.l.jobStates[j].team]
 	switch {
-	case j.Gang() && j.LiveTasks() > 0:
+	case j.IsGang() && j.LiveTasks() > 0:
 		// It starts anew where it was, or as a whole later.
-	case j.Gang() && within(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
+	case j.IsGang() && within(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
 		// A part of it is of no use.
 	default:
 		d.add(j, d.l.wanted(j))
@@ -144,7 +144,7 @@
 	for i := range l.types {
 		boot = math.Max(boot, l.types[i].BootS)
 	}
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		if j.Spec.Shape != job.Array || j.Cancelled || l.jobStates[j].team < 0 {
 			return
 		}
@@ -201,7 +201,7 @@
 	if due == 0 {
 		due = 4 * j.Spec.Expect()
 	}
-	return due - now.Sub(j.At)
+	return due - now.Sub(j.SubmittedAt)
 }
 
 // reserve keeps room free for services to come, which start at once or miss
@@ -209,7 +209,7 @@
 func (l *leader) reserve() []autoscaler.Demand {
 	var cpus float64
 	var typical *jobstore.Job
-	l.jobs.Jobs(func(j *jobstore.Job) {
+	l.jobs.Each(func(j *jobstore.Job) {
 		if j.Spec.Shape == job.Service && !j.Cancelled {
 			cpus += float64(j.Spec.Tasks) * j.Spec.CPUs
 			if typical == nil || j.Spec.CPUs > typical.Spec.CPUs {
--- a/internal/controller/together_test.go
+++ b/internal/controller/together_test.go
@@ -65,7 +65,7 @@
 			}()
 			c.until("another node knows it", time.Minute, func() bool { return c.status((i+1)%3, id) != "404" })
 			<-sent
-			want[id] = jobstore.Done
+			want[id] = jobstore.StatusDone
 			if i%4 == 1 {
 				c.until("cancelled or done", time.Minute, func() bool {
 					return c.ask((i+2)%3, "POST", "/v1/jobs/"+id+"/abort", nil).Status == 200
@@ -153,7 +153,7 @@
 		c.abort(1, "wk-000002")
 		c.accept(5*time.Second, 2, submission("wk-000003", job.Array, 16, 5))
 		// A new term proves in half a minute that they were never sent; it need not come to that.
-		c.over(15*time.Second, map[string]string{"wk-000003": jobstore.Done, "wk-000002": jobstore.Cancelled})
+		c.over(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
 		c.until("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 		if n := c.referee.Begun()["wk-000002/0"]; n != 0 {
 			t.Errorf("started %d times", n)
@@ -229,7 +229,7 @@
 			c.start(i)
 		}
 		c.until("service whole", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
-		c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.Done, "wk-000003": jobstore.Cancelled})
+		c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled})
 		if n := c.referee.Begun()["wk-000003/0"]; n != 1 {
 			t.Errorf("a cancelled task was started %d times", n)
 		}
@@ -295,7 +295,7 @@
 			begin := time.Now()
 			c.store.HoldBack(20, jobstore.JobKey(jobID(i))+"/")
 			c.accept(time.Minute, i%3, submission(jobID(i), job.Array, 8, 6))
-			want[jobID(i)] = jobstore.Done
+			want[jobID(i)] = jobstore.StatusDone
 			time.Sleep(5 * time.Second)
 			if n := c.referee.OnOf(jobID(i)); n != 0 {
 				t.Errorf("%d tasks begun whose starts are not recorded", n)
@@ -399,7 +399,7 @@
 		begin := time.Now()
 		for i := 2; i < 12; i++ {
 			c.accept(20*time.Second, i%3, submission(jobID(i), job.Array, 4, 15))
-			want[jobID(i)] = jobstore.Done
+			want[jobID(i)] = jobstore.StatusDone
 			if i%3 == 0 {
 				c.until("cancelled", 20*time.Second, func() bool { return c.ask(i%3, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
 				want[jobID(i)] = c.status(i%3, jobID(i))
--- a/internal/controller/together_work_test.go
+++ b/internal/controller/together_work_test.go
@@ -61,14 +61,14 @@
 				m["rank"] = "best_effort"
 			}
 			c.accept(10*time.Second, i%3, m)
-			want[jobID(i)] = jobstore.Done
+			want[jobID(i)] = jobstore.StatusDone
 		}
 		time.Sleep(20 * time.Second)
 		urgent := submission("wk-000010", job.Service, 8, 0)
 		urgent["rank"] = "high"
 		c.accept(10*time.Second, 0, urgent)
 		c.until("the urgent service runs", 40*time.Second, func() bool { return c.referee.OnOf("wk-000010") == 8 })
-		if c.status(0, jobID(0)) == jobstore.Done && c.status(0, jobID(1)) == jobstore.Done && c.status(0, jobID(5)) == jobstore.Done {
+		if c.status(0, jobID(0)) == jobstore.StatusDone && c.status(0, jobID(1)) == jobstore.StatusDone && c.status(0, jobID(5)) == jobstore.StatusDone {
 			t.Error("there was room for all")
 		}
 		c.net.Hold(nil)
@@ -91,7 +91,7 @@
 				defer wg.Done()
 				id := jobID(i)
 				c.accept(time.Minute, i%3, submission(id, job.Array, 1, 3))
-				s := jobstore.Done
+				s := jobstore.StatusDone
 				if i%4 == 0 {
 					time.Sleep(time.Duration(i%5) * time.Second)
 					var st struct {
@@ -113,7 +113,7 @@
 		c.over(2*time.Minute, want)
 		cancelled := 0
 		for _, s := range want {
-			if s == jobstore.Cancelled {
+			if s == jobstore.StatusCancelled {
 				cancelled++
 			}
 		}
@@ -158,7 +158,7 @@
 			c.until("over", 20*time.Second, func() bool { return stage(c.status(i%3, id)) == 2 })
 			states[c.status(i%3, id)]++
 		}
-		if states[jobstore.Done] == 0 || states[jobstore.Cancelled] == 0 {
+		if states[jobstore.StatusDone] == 0 || states[jobstore.StatusCancelled] == 0 {
 			t.Errorf("the end was not met: %v", states)
 		}
 	})
@@ -228,7 +228,7 @@
 			}
 			c.accept(5*time.Second, i%3, m)
 			if shape == job.Array {
-				want[jobID(i)] = jobstore.Done
+				want[jobID(i)] = jobstore.StatusDone
 			}
 		}
 		c.until("they run", time.Minute, func() bool { return c.referee.On() >= 24 })
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -187,7 +187,7 @@
 		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
 		c.start(old)
 		c.store.Down(false)
-		c.until("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.Cancelled })
+		c.until("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
 	})
 }
 
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -101,8 +101,8 @@
 							}
 						}
 					}
-					c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.Done, "wk-000003": jobstore.Cancelled,
-						"wk-000004": jobstore.Done, "wk-000005": jobstore.Cancelled})
+					c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled,
+						"wk-000004": jobstore.StatusDone, "wk-000005": jobstore.StatusCancelled})
 					c.until("the service runs", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
 					if kept[jobstore.JobKey(gangID)] != nil {
 						c.until("the gang runs again, whole", time.Minute, func() bool { return c.cloud.Gangs.Counted().Began == 1 })
@@ -361,7 +361,7 @@
 			case strings.HasPrefix(it.Key, "end/"):
 				var f oldFinal
 				read(it.Key, it.Value, &f)
-				if f.Status != jobstore.Done || f.Tasks != 2 {
+				if f.Status != jobstore.StatusDone || f.Tasks != 2 {
 					t.Errorf("%s: %+v", it.Key, f)
 				}
 				form = "end"
@@ -445,7 +445,7 @@
 		want := map[string]string{}
 		for i := 2; i < 6; i++ {
 			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
-			want[jobID(i)] = jobstore.Done
+			want[jobID(i)] = jobstore.StatusDone
 		}
 		c.next = &config.State{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 		for i := range 3 {
@@ -460,13 +460,13 @@
 		}
 		for i := 6; i < 10; i++ {
 			c.accept(30*time.Second, i%3, submission(jobID(i), job.Array, 100, 8))
-			want[jobID(i)] = jobstore.Done
+			want[jobID(i)] = jobstore.StatusDone
 		}
 		c.accept(30*time.Second, 0, gang(8, 10))
-		want[gangID] = jobstore.Done
+		want[gangID] = jobstore.StatusDone
 		for _, i := range []int{3, 7} {
 			c.until("cancelled", 30*time.Second, func() bool { return c.ask(1, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
-			want[jobID(i)] = jobstore.Cancelled
+			want[jobID(i)] = jobstore.StatusCancelled
 		}
 		c.until("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		c.nextLeader()
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -30,7 +30,7 @@
 	}
 	l.writing = true
 	l.spawn(func() {
-		rev, err := l.node.store.Txn(l.ctx, batch.Conds, batch.Ops, kvstore.PriorityScheduling)
+		rev, err := l.node.store.Txn(l.ctx, batch.Compares, batch.Mutations, kvstore.PriorityScheduling)
 		l.post(func() { l.written(batch, rev, err, fence, depose) })
 	})
 }
@@ -39,7 +39,7 @@
 	now := time.Now()
 	l.writing = false
 	if err == nil {
-		starts, ended := l.jobs.Committed(batch, rev)
+		starts, ended := l.jobs.BatchCommitted(batch, rev)
 		for _, a := range starts {
 			if a.Job.Cancelled {
 				continue // stopAttempts halts it; it was never sent
@@ -51,7 +51,7 @@
 		}
 		return
 	}
-	l.jobs.Failed(batch)
+	l.jobs.BatchFailed(batch)
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
 		slog.Debug("batch not written", "err", err)
@@ -92,11 +92,11 @@
 	switch {
 	case !ok:
 	case chunk >= 0:
-		l.jobs.ChunkRev(id, chunk, it.Revision)
+		l.jobs.SetChunkRevision(id, chunk, it.Revision)
 	case exists:
 		l.onJob(it.Value, it.Revision)
 	default:
-		if j := l.jobs.FoundDeleted(id); j != nil {
+		if j := l.jobs.RecordFoundDeleted(id); j != nil {
 			l.ended(j)
 		}
 	}
@@ -106,8 +106,8 @@
 func (l *leader) ended(j *jobstore.Job) {
 	l.replan = true
 	delete(l.jobStates, j)
-	j.Attempts(func(a *jobstore.Attempt) { l.machine(a.Machine, time.Now()).Release(a) })
-	l.orphans = append(l.orphans, j.OrphanOps(1<<20)...)
+	j.EachAttempt(func(a *jobstore.Attempt) { l.machine(a.Machine, time.Now()).Release(a) })
+	l.orphans = append(l.orphans, j.GarbageMutations(1<<20)...)
 }
 
 func (l *leader) clearOrphans(fence kvstore.Compare) {
@@ -143,7 +143,7 @@
 			need = true
 		}
 		for _, h := range m.Assignments {
-			if h.Stopping && h.Missing >= 2 && jobstore.TryTerm(h.Try) == l.term.Number() {
+			if h.Stopping && h.Missing >= 2 && jobstore.AttemptTerm(h.Number) == l.term.Number() {
 				need = true
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 		l.post(func() {
 			l.writing = false
-			l.jobs.Renumber(l.term.Number(), func(a *jobstore.Attempt, was uint64) {
+			l.jobs.RenumberUnrecorded(l.term.Number(), func(a *jobstore.Attempt, was uint64) {
 				l.machine(a.Machine, time.Now()).Renumber(a, was)
 			})
 		})
--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -36,12 +36,12 @@
 
 // Batch is one transaction's worth of changes.
 type Batch struct {
-	Conds  []kvstore.Compare
-	Ops    []kvstore.Mutation
-	chunks []chunkWrite
-	ends   []endWrite
-	layout *layoutWrite // nil: of none
-	size   int          // in bytes, about
+	Compares  []kvstore.Compare
+	Mutations []kvstore.Mutation
+	chunks    []chunkWrite
+	ends      []endWrite
+	layout    *layoutWrite // nil: of none
+	size      int          // in bytes, about
 }
 
 type chunkWrite struct {
@@ -82,7 +82,7 @@
 }
 
 // candidates returns all changes that may be written now.
-func (b *Jobs) candidates(now time.Time) (out []candidate) {
+func (b *Store) candidates(now time.Time) (out []candidate) {
 	for j := range b.dirty {
 		if j.over() {
 			out = append(out, j.endCandidate(now))
@@ -132,7 +132,7 @@
 // maxOps changes, fenced by the leader's term, or returns nil. What can wait is
 // left out once there are spareOps, and what is larger than the state service takes for
 // as long as it is. One batch is in flight at a time.
-func (b *Jobs) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
+func (b *Store) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
 	if bt := b.nextLayout(fence, maxOps, valueBytes); bt != nil {
 		return bt
 	}
@@ -141,12 +141,12 @@
 		return nil
 	}
 	slices.SortFunc(candidates, candidate.compare)
-	out := &Batch{Conds: []kvstore.Compare{fence}}
+	out := &Batch{Compares: []kvstore.Compare{fence}}
 	for _, k := range candidates {
-		if len(out.Ops) >= maxOps || out.size > maxBatch || k.urgency < keyOverdue && len(out.Ops) >= spareOps {
+		if len(out.Mutations) >= maxOps || out.size > maxBatch || k.urgency < keyOverdue && len(out.Mutations) >= spareOps {
 			break
 		}
-		if k.c == nil && k.urgency >= keyOverdue && maxOps-len(out.Ops) < endOps {
+		if k.c == nil && k.urgency >= keyOverdue && maxOps-len(out.Mutations) < endOps {
 			break // less urgent changes would use up what it waits for
 		}
 		if k.c == nil {
@@ -157,7 +157,7 @@
 			break
 		}
 	}
-	if len(out.Ops) == 0 {
+	if len(out.Mutations) == 0 {
 		return nil
 	}
 	return out
@@ -175,18 +175,18 @@
 		return true
 	}
 	value := wire.Marshal(v)
-	if out.size += len(value) + opBytes; out.size > maxBatch && len(out.Ops) > 0 {
+	if out.size += len(value) + opBytes; out.size > maxBatch && len(out.Mutations) > 0 {
 		return false
 	}
 	key := j.key(c.n)
-	out.Conds = append(out.Conds, kvstore.Compare{Key: key, Revision: c.rev})
+	out.Compares = append(out.Compares, kvstore.Compare{Key: key, Revision: c.rev})
 	w := chunkWrite{j: j, c: c, ends: ends}
 	if c.starts > 0 {
 		// A start is only recorded while its job is not cancelled.
-		out.Conds = append(out.Conds, kvstore.Compare{Key: JobKey(j.Spec.ID), Revision: j.Rev})
+		out.Compares = append(out.Compares, kvstore.Compare{Key: JobKey(j.Spec.ID), Revision: j.Revision})
 		w.starts = j.unrecordedIn(c)
 	}
-	out.Ops = append(out.Ops, kvstore.Mutation{Put: key, Value: value})
+	out.Mutations = append(out.Mutations, kvstore.Mutation{Put: key, Value: value})
 	out.chunks = append(out.chunks, w)
 	c.dirty, c.starts = false, 0 // set again by changes while it is in flight
 	return true
@@ -194,8 +194,8 @@
 
 // unrecordedIn returns the attempts of a chunk's tasks that are not recorded, by task.
 func (j *Job) unrecordedIn(c *chunk) (out []*Attempt) {
-	first := c.n * j.record.Chunk
-	for t := first; t < first+j.record.Chunk; t++ {
+	first := c.n * j.record.ChunkSize
+	for t := first; t < first+j.record.ChunkSize; t++ {
 		if a := j.live[t]; a != nil && !a.Recorded {
 			out = append(out, a)
 		}
@@ -210,27 +210,27 @@
 // of the five changes that a job of one task costs the fifth can wait.
 func (out *Batch) addEnd(j *Job, maxOps, spareOps int) {
 	out.size += opBytes
-	if maxOps-len(out.Ops) < endOps {
+	if maxOps-len(out.Mutations) < endOps {
 		return
 	}
-	status := Done
+	status := StatusDone
 	if j.Cancelled {
-		status = Cancelled
+		status = StatusCancelled
 	}
 	id := j.Spec.ID
 	w := endWrite{j: j}
-	out.Conds = append(out.Conds, kvstore.Compare{Key: JobKey(id), Revision: j.Rev})
-	out.Ops = append(out.Ops,
-		kvstore.Mutation{Put: EndKey(id), Value: wire.Marshal(Final{status, j.Spec.Tasks})},
+	out.Compares = append(out.Compares, kvstore.Compare{Key: JobKey(id), Revision: j.Revision})
+	out.Mutations = append(out.Mutations,
+		kvstore.Mutation{Put: EndKey(id), Value: wire.Marshal(FinalState{status, j.Spec.Tasks})},
 		kvstore.Mutation{Delete: JobKey(id)})
 	for n, c := range j.chunks {
 		if c.rev == 0 && !c.dirty {
 			continue
 		}
-		if len(out.Ops) >= min(maxOps, spareOps) {
+		if len(out.Mutations) >= min(maxOps, spareOps) {
 			break
 		}
-		out.Ops = append(out.Ops, kvstore.Mutation{Delete: j.key(n)})
+		out.Mutations = append(out.Mutations, kvstore.Mutation{Delete: j.key(n)})
 		w.gone = append(w.gone, n)
 	}
 	out.ends = append(out.ends, w)
@@ -238,7 +238,7 @@
 
 // Backlog returns how many starts wait to be written and in how many chunks, and how
 // many ends of jobs do.
-func (b *Jobs) Backlog() (starts, chunks, ends int) {
+func (b *Store) Backlog() (starts, chunks, ends int) {
 	for j := range b.dirty {
 		if j.over() {
 			ends++
@@ -258,9 +258,9 @@
 	return starts, chunks, ends
 }
 
-// Committed takes the news that the batch was applied at rev. It returns the
+// BatchCommitted takes the news that the batch was applied at rev. It returns the
 // attempts that may now be sent and the jobs that have ended.
-func (b *Jobs) Committed(bt *Batch, rev uint64) (starts []*Attempt, ended []*Job) {
+func (b *Store) BatchCommitted(bt *Batch, rev uint64) (starts []*Attempt, ended []*Job) {
 	for _, w := range bt.chunks {
 		w.c.rev = rev
 		w.j.sendable = unknown
@@ -271,7 +271,7 @@
 			}
 		}
 		for t, end := range w.j.unwritten {
-			if end <= w.ends && t/w.j.record.Chunk == w.c.n {
+			if end <= w.ends && t/w.j.record.ChunkSize == w.c.n {
 				delete(w.j.unwritten, t)
 			}
 		}
@@ -295,10 +295,10 @@
 	return starts, ended
 }
 
-// Failed takes the news that the batch was not applied, or may not have been.
+// BatchFailed takes the news that the batch was not applied, or may not have been.
 // Everything in it is written again, under the same conditions: of two
 // transactions with the same condition at most one is ever applied.
-func (b *Jobs) Failed(bt *Batch) {
+func (b *Store) BatchFailed(bt *Batch) {
 	for _, w := range bt.chunks {
 		w.c.dirty = true
 		w.c.starts += len(w.starts)
@@ -306,24 +306,24 @@
 	}
 }
 
-// ChunkRev takes the revision found when a chunk's condition has failed: an
+// SetChunkRevision takes the revision found when a chunk's condition has failed: an
 // unanswered write of ours was applied after all. Only this leader's term can
 // have written it, so memory is the newer state.
-func (b *Jobs) ChunkRev(id string, n int, rev uint64) {
-	if j := b.jobs[id]; j != nil && j.chunks[n-j.record.Base] != nil {
-		j.chunks[n-j.record.Base].rev = rev
+func (b *Store) SetChunkRevision(id string, n int, rev uint64) {
+	if j := b.jobs[id]; j != nil && j.chunks[n-j.record.FirstChunk] != nil {
+		j.chunks[n-j.record.FirstChunk].rev = rev
 	}
 }
 
-// FoundDeleted drops a job whose record a read has found deleted: its end was recorded, by a
+// RecordFoundDeleted drops a job whose record a read has found deleted: its end was recorded, by a
 // transaction that had no answer. The watch has yet to tell of it.
-func (b *Jobs) FoundDeleted(id string) *Job {
+func (b *Store) RecordFoundDeleted(id string) *Job {
 	b.ended[id] = struct{}{}
 	return b.dropEnded(id)
 }
 
-// SawDeleted drops a job of whose record's deletion the watch tells.
-func (b *Jobs) SawDeleted(id string) *Job {
+// RecordDeleted drops a job of whose record's deletion the watch tells.
+func (b *Store) RecordDeleted(id string) *Job {
 	delete(b.ended, id)
 	return b.dropEnded(id)
 }
@@ -331,7 +331,7 @@
 // dropEnded drops a job that has ended. Whether all of its chunks were deleted with it is not
 // known, so their deletion is left to OrphanOps; otherwise they stayed until another leader
 // read the records (TestLimitsLoweredUnderLoad).
-func (b *Jobs) dropEnded(id string) *Job {
+func (b *Store) dropEnded(id string) *Job {
 	j := b.drop(id)
 	if j != nil {
 		j.leaveChunks()
@@ -342,7 +342,7 @@
 // leaveChunks leaves what is stored of a job's chunks for deletion.
 func (j *Job) leaveChunks() {
 	for n := range j.chunks {
-		j.orphans = append(j.orphans, j.record.Base+n)
+		j.orphans = append(j.orphans, j.record.FirstChunk+n)
 	}
 	j.orphans = append(j.orphans, j.old...)
 }
@@ -353,7 +353,7 @@
 // written, such a job was written again and again, each time in vain, and used up the
 // rate that the ends of others waited for (inc-1671: 175 cancelled jobs not ended, 105
 // empty machines not returned).
-func (b *Jobs) drop(id string) *Job {
+func (b *Store) drop(id string) *Job {
 	j := b.jobs[id]
 	if j != nil {
 		delete(b.jobs, id)
@@ -362,21 +362,21 @@
 	return j
 }
 
-// DropUnrecorded takes back the attempts of a cancelled job that no batch has
+// WithdrawUnrecorded takes back the attempts of a cancelled job that no batch has
 // recorded: their starts were never sent.
-func (b *Jobs) DropUnrecorded(j *Job, now time.Time) (dropped []*Attempt) {
+func (b *Store) WithdrawUnrecorded(j *Job, now time.Time) (dropped []*Attempt) {
 	for _, a := range j.live {
 		if !a.Recorded {
 			dropped = append(dropped, a)
 		}
 	}
 	for _, a := range dropped {
-		b.End(a, false, now)
+		b.EndAttempt(a, false, now)
 	}
 	return dropped
 }
 
-func (b *Jobs) clean(j *Job) {
+func (b *Store) clean(j *Job) {
 	if j.over() {
 		return
 	}
@@ -388,18 +388,18 @@
 	delete(b.dirty, j)
 }
 
-// Durable tells whether the last end of the job's task is recorded. It is asked for
+// ResultDurable tells whether the last end of the job's task is recorded. It is asked for
 // each task: a chunk as a whole is hardly ever clean while a large array runs, and
 // machines that had done their part of it could not be returned (66 to 85 of 260 in
 // the tail of steady of omaruru-fares-grown).
-func (j *Job) Durable(task int) bool {
+func (j *Job) ResultDurable(task int) bool {
 	_, unwritten := j.unwritten[task]
-	c := j.chunks[task/j.record.Chunk]
+	c := j.chunks[task/j.record.ChunkSize]
 	return !unwritten && c != nil && c.rev != 0
 }
 
-// OrphanOps returns deletions of an ended job's remaining chunks, at most n.
-func (j *Job) OrphanOps(n int) []kvstore.Mutation {
+// GarbageMutations returns deletions of an ended job's remaining chunks, at most n.
+func (j *Job) GarbageMutations(n int) []kvstore.Mutation {
 	n = min(n, len(j.orphans))
 	var ops []kvstore.Mutation
 	for _, c := range j.orphans[:n] {
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -10,17 +10,17 @@
 
 const termShift = 24
 
-// TryTerm returns the term under which an attempt was made. Attempts are
+// AttemptTerm returns the term under which an attempt was made. Attempts are
 // numbered within a term, so that no number is ever used twice.
-func TryTerm(try uint64) uint64 { return try >> termShift }
+func AttemptTerm(try uint64) uint64 { return try >> termShift }
 
-// State of a task.
-type State uint8
+// TaskState of a task.
+type TaskState uint8
 
 // States of a task.
 const (
-	Waiting State = iota
-	Live
+	TaskWaiting TaskState = iota
+	TaskLive
 	TaskDone
 )
 
@@ -36,15 +36,15 @@
 // Job is an unfinished job.
 type Job struct {
 	Spec        *job.Spec
-	Rev         uint64 // of its record
+	Revision    uint64 // of its record
 	Arrival     uint64
-	At          time.Time
+	SubmittedAt time.Time
 	Cancelled   bool
 	CancelledAt time.Time
 	Team        int // dense, set by the controller
 
 	record  Record
-	tasks   []State
+	tasks   []TaskState
 	live    map[int]*Attempt
 	done    int
 	next    int // no waiting task below it
@@ -64,17 +64,17 @@
 // LiveTasks returns how many tasks have an attempt that is not proven gone.
 func (j *Job) LiveTasks() int { return len(j.live) }
 
-// Startable returns how many of the waiting tasks may start now: those whose chunks have
+// StartableTasks returns how many of the waiting tasks may start now: those whose chunks have
 // room for their attempts. All have, but in jobs whose chunks were laid out for larger
 // values than the state service takes by now: as many as fit are live at once, and what
 // is stored larger is written again once it fits. It takes the bytes of a value.
-func (j *Job) Startable(valueBytes int) int {
-	if j.record.Chunk <= ChunkSize(valueBytes) {
+func (j *Job) StartableTasks(valueBytes int) int {
+	if j.record.ChunkSize <= TasksPerChunk(valueBytes) {
 		return j.WaitingTasks()
 	}
 	n := 0
-	for first := 0; first < len(j.tasks); first += j.record.Chunk {
-		n += min(j.room(first/j.record.Chunk, valueBytes), j.waitingIn(first))
+	for first := 0; first < len(j.tasks); first += j.record.ChunkSize {
+		n += min(j.room(first/j.record.ChunkSize, valueBytes), j.waitingIn(first))
 	}
 	return min(n, j.WaitingTasks())
 }
@@ -82,17 +82,17 @@
 // room returns for how many more live attempts a chunk's value has room.
 func (j *Job) room(n, valueBytes int) int {
 	live := 0
-	for t := n * j.record.Chunk; t < min((n+1)*j.record.Chunk, len(j.tasks)); t++ {
-		if j.tasks[t] == Live {
+	for t := n * j.record.ChunkSize; t < min((n+1)*j.record.ChunkSize, len(j.tasks)); t++ {
+		if j.tasks[t] == TaskLive {
 			live++
 		}
 	}
-	return max(0, ChunkSize(valueBytes)-live)
+	return max(0, TasksPerChunk(valueBytes)-live)
 }
 
 func (j *Job) waitingIn(first int) (n int) {
-	for _, s := range j.tasks[first:min(first+j.record.Chunk, len(j.tasks))] {
-		if s == Waiting {
+	for _, s := range j.tasks[first:min(first+j.record.ChunkSize, len(j.tasks))] {
+		if s == TaskWaiting {
 			n++
 		}
 	}
@@ -102,8 +102,8 @@
 // NextStartable returns the first task at or after from that may start, or -1.
 func (j *Job) NextStartable(from, valueBytes int) int {
 	t := j.NextWaiting(from)
-	for t >= 0 && j.record.Chunk > ChunkSize(valueBytes) && j.room(t/j.record.Chunk, valueBytes) == 0 {
-		t = j.NextWaiting((t/j.record.Chunk + 1) * j.record.Chunk)
+	for t >= 0 && j.record.ChunkSize > TasksPerChunk(valueBytes) && j.room(t/j.record.ChunkSize, valueBytes) == 0 {
+		t = j.NextWaiting((t/j.record.ChunkSize + 1) * j.record.ChunkSize)
 	}
 	return t
 }
@@ -119,15 +119,15 @@
 // NextWaiting returns the first waiting task at or after from, or -1.
 func (j *Job) NextWaiting(from int) int {
 	for t := max(from, j.next); t < len(j.tasks); t++ {
-		if j.tasks[t] == Waiting {
+		if j.tasks[t] == TaskWaiting {
 			return t
 		}
 	}
 	return -1
 }
 
-// Attempts calls f for each live attempt.
-func (j *Job) Attempts(f func(*Attempt)) {
+// EachAttempt calls f for each live attempt.
+func (j *Job) EachAttempt(f func(*Attempt)) {
 	for _, a := range j.live {
 		f(a)
 	}
@@ -139,16 +139,16 @@
 // Attempt is one try to run a task on one machine in one of its sessions. It
 // is live until there is proof that it is gone.
 type Attempt struct {
-	Job      *Job
-	Task     int
-	Try      uint64
-	Machine  string
-	Session  uint64
-	Recorded bool // durable: only then may the start be sent
+	Job         *Job
+	Task        int
+	Number      uint64
+	Machine     string
+	Incarnation uint64
+	Recorded    bool // durable: only then may the start be sent
 }
 
-// Name returns the protocol's name of the attempt's task.
-func (a *Attempt) Name() string { return taskName(a.Job.Spec.ID, a.Task) }
+// TaskName returns the protocol's name of the attempt's task.
+func (a *Attempt) TaskName() string { return taskName(a.Job.Spec.ID, a.Task) }
 
 func taskName(id string, task int) string { return id + "/" + strconv.Itoa(task) }
 
@@ -165,34 +165,34 @@
 	j.done++
 }
 
-// Gang tells whether the job's tasks run together or not at all.
-func (j *Job) Gang() bool { return j.Spec.Shape == job.Gang }
+// IsGang tells whether the job's tasks run together or not at all.
+func (j *Job) IsGang() bool { return j.Spec.Shape == job.Gang }
 
-// Whole tells whether an attempt to run a gang is complete: each of its tasks has a live
+// GangComplete tells whether an attempt to run a gang is complete: each of its tasks has a live
 // attempt, and all share one number.
-func (j *Job) Whole() bool {
+func (j *Job) GangComplete() bool {
 	if len(j.live) != len(j.tasks) {
 		return false
 	}
 	for _, a := range j.live {
-		if a.Try != j.live[0].Try {
+		if a.Number != j.live[0].Number {
 			return false
 		}
 	}
 	return true
 }
 
-// Sendable tells whether the start of an attempt may be sent: it is recorded, and so are
+// Dispatchable tells whether the start of an attempt may be sent: it is recorded, and so are
 // those of the whole gang if it is of one.
 //
 // It guards against a gang of which only a part is known to whoever leads next.
-func (a *Attempt) Sendable() bool {
-	if !a.Recorded || !a.Job.Gang() {
+func (a *Attempt) Dispatchable() bool {
+	if !a.Recorded || !a.Job.IsGang() {
 		return a.Recorded
 	}
 	if a.Job.sendable == unknown {
 		a.Job.sendable = no
-		if a.Job.recorded() && a.Job.Whole() {
+		if a.Job.recorded() && a.Job.GangComplete() {
 			a.Job.sendable = yes
 		}
 	}
@@ -217,8 +217,8 @@
 }
 
 func (j *Job) chunkValue(n int) *chunkValue {
-	first := n * j.record.Chunk
-	last := min(first+j.record.Chunk, len(j.tasks))
+	first := n * j.record.ChunkSize
+	last := min(first+j.record.ChunkSize, len(j.tasks))
 	var v chunkValue
 	var sb strings.Builder
 	for t := first; t < last; t++ {
@@ -242,7 +242,7 @@
 	v.Done = sb.String()
 	for t := first; t < last; t++ {
 		if a := j.live[t]; a != nil {
-			v.Live = append(v.Live, attemptValue{Task: t, Try: a.Try, Machine: a.Machine, Session: a.Session})
+			v.Live = append(v.Live, attemptValue{Task: t, Try: a.Number, Machine: a.Machine, Session: a.Incarnation})
 		}
 	}
 	return &v
--- a/internal/jobstore/layout.go
+++ b/internal/jobstore/layout.go
@@ -27,11 +27,11 @@
 // by now: a chunk of theirs could be written again only once most of its tasks had ended. A
 // replica that was lost would never start again, and of a large array most tasks waited
 // for minutes while machines had room (an upgrade day of our own on omaruru-fares-next).
-func (b *Jobs) nextLayout(fence kvstore.Compare, maxOps, valueBytes int) *Batch {
-	size := ChunkSize(valueBytes)
+func (b *Store) nextLayout(fence kvstore.Compare, maxOps, valueBytes int) *Batch {
+	size := TasksPerChunk(valueBytes)
 	var next *Job
 	for j := range b.dirty {
-		if j.record.Chunk > size && j.record.Base == 0 && !j.Cancelled && !j.over() && j.tooLarge(valueBytes) &&
+		if j.record.ChunkSize > size && j.record.FirstChunk == 0 && !j.Cancelled && !j.over() && j.tooLarge(valueBytes) &&
 			(next == nil || j.Arrival < next.Arrival) {
 			next = j
 		}
@@ -40,12 +40,12 @@
 		return nil
 	}
 	w := &layoutWrite{j: next, record: next.record}
-	w.record.Chunk, w.record.Base, w.record.Was, w.record.Arrival = size, newBase, next.record.Chunk, next.Arrival
+	w.record.ChunkSize, w.record.FirstChunk, w.record.PreviousChunkSize, w.record.Arrival = size, newBase, next.record.ChunkSize, next.Arrival
 	key := JobKey(next.Spec.ID)
 	return &Batch{
-		Conds:  []kvstore.Compare{fence, {Key: key, Revision: next.Rev}},
-		Ops:    []kvstore.Mutation{{Put: key, Value: wire.Marshal(w.record)}},
-		layout: w,
+		Compares:  []kvstore.Compare{fence, {Key: key, Revision: next.Revision}},
+		Mutations: []kvstore.Mutation{{Put: key, Value: wire.Marshal(w.record)}},
+		layout:    w,
 	}
 }
 
@@ -59,11 +59,11 @@
 }
 
 // layOut takes a new layout, of which no chunk is known to be written yet.
-func (b *Jobs) layOut(j *Job, size int, since time.Time) {
+func (b *Store) layOut(j *Job, size int, since time.Time) {
 	for n := range j.chunks {
 		j.old = append(j.old, n)
 	}
-	j.record.Chunk = size
+	j.record.ChunkSize = size
 	j.chunks = map[int]*chunk{}
 	j.layAll(since)
 	for _, a := range j.live {
@@ -76,7 +76,7 @@
 
 // layAll sees to it that every chunk is written.
 func (j *Job) layAll(since time.Time) {
-	for n := range (len(j.tasks) + j.record.Chunk - 1) / j.record.Chunk {
+	for n := range (len(j.tasks) + j.record.ChunkSize - 1) / j.record.ChunkSize {
 		if j.chunks[n] == nil {
 			j.chunks[n] = &chunk{n: n, dirty: true, since: since}
 		}
@@ -84,14 +84,14 @@
 }
 
 // laidOut takes the news that a layout was written at rev.
-func (b *Jobs) laidOut(w *layoutWrite, rev uint64) {
+func (b *Store) laidOut(w *layoutWrite, rev uint64) {
 	j := w.j
-	if j.Rev >= rev {
+	if j.Revision >= rev {
 		return // the watch was first
 	}
-	b.layOut(j, w.record.Chunk, j.At)
-	j.record, j.Rev = w.record, rev
+	b.layOut(j, w.record.ChunkSize, j.SubmittedAt)
+	j.record, j.Revision = w.record, rev
 }
 
 // key returns the key of a chunk.
-func (j *Job) key(n int) string { return chunkKey(j.Spec.ID, j.record.Base+n) }
+func (j *Job) key(n int) string { return chunkKey(j.Spec.ID, j.record.FirstChunk+n) }
--- a/internal/jobstore/layout_test.go
+++ b/internal/jobstore/layout_test.go
@@ -15,15 +15,15 @@
 // until it fits, fewer of its tasks start, and all of the job is done in the end.
 func TestChunkLaidOutForMore(t *testing.T) {
 	const small = 2 << 10
-	b := NewJobs()
-	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, Chunk: ChunkSize(8 << 10), Base: newBase, Was: 200}
-	j, _, err := b.PutJob(wire.Marshal(r), 1)
+	b := New()
+	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, ChunkSize: TasksPerChunk(8 << 10), FirstChunk: newBase, PreviousChunkSize: 200}
+	j, _, err := b.ApplyRecord(wire.Marshal(r), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var live []*Attempt
 	for task := range 300 {
-		live = append(live, b.Start(j, task, b.NextTry(1), "vm-000001", 1, t0))
+		live = append(live, b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000001", 1, t0))
 	}
 	rev := uint64(1)
 	write := func(valueBytes int, now time.Time) (wrote int) {
@@ -32,14 +32,14 @@
 			if bt == nil {
 				return wrote
 			}
-			for _, op := range bt.Ops {
+			for _, op := range bt.Mutations {
 				if op.Value != nil && len(op.Value) > valueBytes {
 					t.Fatalf("a value of %d bytes", len(op.Value))
 				}
 			}
 			rev++
-			wrote += len(bt.Ops)
-			b.Committed(bt, rev)
+			wrote += len(bt.Mutations)
+			b.BatchCommitted(bt, rev)
 		}
 	}
 	if n := write(8<<10, t0); n != 3 {
@@ -47,11 +47,11 @@
 	}
 	now := t0.Add(time.Minute)
 	for _, a := range live[:20] {
-		b.End(a, false, now) // they have to start again
+		b.EndAttempt(a, false, now) // they have to start again
 	}
 	now = now.Add(time.Minute)
-	if n := write(small, now); n != 0 || j.Startable(small) != 0 || j.Startable(8<<10) != 20 {
-		t.Errorf("%d written, %d and %d may start", n, j.Startable(small), j.Startable(8<<10))
+	if n := write(small, now); n != 0 || j.StartableTasks(small) != 0 || j.StartableTasks(8<<10) != 20 {
+		t.Errorf("%d written, %d and %d may start", n, j.StartableTasks(small), j.StartableTasks(8<<10))
 	}
 	if task := j.NextStartable(0, small); task != -1 {
 		t.Errorf("task %d may start where none may", task)
@@ -59,12 +59,12 @@
 	for rest := live[20:]; j.DoneTasks() < 300; {
 		k := min(50, len(rest))
 		for _, a := range rest[:k] {
-			b.End(a, true, now)
+			b.EndAttempt(a, true, now)
 		}
 		rest = rest[k:]
-		for next := 0; j.Startable(small) > 0; {
+		for next := 0; j.StartableTasks(small) > 0; {
 			task := j.NextStartable(next, small)
-			rest = append(rest, b.Start(j, task, b.NextTry(1), "vm-000001", 1, now))
+			rest = append(rest, b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000001", 1, now))
 			next = task + 1
 		}
 		now = now.Add(time.Minute)
@@ -83,13 +83,13 @@
 
 // apply carries out a batch if its conditions hold.
 func (s *store) apply(bt *Batch) (rev uint64, ok bool) {
-	for _, c := range bt.Conds[1:] {
+	for _, c := range bt.Compares[1:] {
 		if s.keys[c.Key].Revision != c.Revision {
 			return s.rev, false
 		}
 	}
 	s.rev++
-	for _, op := range bt.Ops {
+	for _, op := range bt.Mutations {
 		if op.Put == "" {
 			delete(s.keys, op.Delete)
 			continue
@@ -100,17 +100,17 @@
 }
 
 // read returns the book of a new leader.
-func (s *store) read(t *testing.T) *Jobs {
+func (s *store) read(t *testing.T) *Store {
 	t.Helper()
-	b := NewJobs()
+	b := New()
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
 		id, n, _ := SplitKey(key)
 		it := s.keys[key]
 		var err error
 		if n < 0 {
-			_, _, err = b.PutJob(it.Value, it.Revision)
+			_, _, err = b.ApplyRecord(it.Value, it.Revision)
 		} else {
-			err = b.PutChunk(id, n, it.Value, it.Revision)
+			err = b.LoadChunk(id, n, it.Value, it.Revision)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -127,32 +127,32 @@
 	for _, name := range []string{"answered", "answer lost", "the watch is first", "changes meanwhile", "not applied"} {
 		t.Run(name, func(t *testing.T) {
 			s := &store{keys: map[string]kvstore.Item{}}
-			r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Service, Priority: "high", Tasks: replicas, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-			s.apply(&Batch{Conds: []kvstore.Compare{fence}, Ops: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+			r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Service, Priority: "high", Tasks: replicas, CPUs: 1}, ChunkSize: TasksPerChunk(8 << 10)}
+			s.apply(&Batch{Compares: []kvstore.Compare{fence}, Mutations: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 			b := s.read(t)
 			j := b.Job("wk-000001")
 			for task := range replicas {
-				b.Start(j, task, b.NextTry(1), "vm-000001", 1, t0)
+				b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000001", 1, t0)
 			}
 			commit := func(valueBytes int, now time.Time) bool {
 				bt := b.NextBatch(fence, 4, 4, valueBytes, now)
 				if bt == nil {
 					return false
 				}
-				for _, op := range bt.Ops {
+				for _, op := range bt.Mutations {
 					if len(op.Value) > valueBytes {
 						t.Fatalf("a value of %d bytes", len(op.Value))
 					}
 				}
 				if rev, ok := s.apply(bt); ok {
-					b.Committed(bt, rev)
+					b.BatchCommitted(bt, rev)
 					return true
 				}
-				b.Failed(bt)
+				b.BatchFailed(bt)
 				for key, it := range s.keys { // as a leader reads what has conflicted
 					if id, n, _ := SplitKey(key); n >= 0 {
-						b.ChunkRev(id, n, it.Revision)
-					} else if _, _, err := b.PutJob(it.Value, it.Revision); err != nil {
+						b.SetChunkRevision(id, n, it.Revision)
+					} else if _, _, err := b.ApplyRecord(it.Value, it.Revision); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -160,49 +160,49 @@
 			}
 			commit(8<<10, t0)
 			now := t0.Add(time.Minute)
-			b.End(j.LiveAttempt(50), false, now)
-			if j.Startable(small) != 0 {
+			b.EndAttempt(j.LiveAttempt(50), false, now)
+			if j.StartableTasks(small) != 0 {
 				t.Fatal("it may start before there is room for it")
 			}
 			bt := b.NextBatch(fence, 4, 4, small, now.Add(time.Minute))
-			if bt == nil || len(bt.Ops) != 1 {
+			if bt == nil || len(bt.Mutations) != 1 {
 				t.Fatalf("not laid out anew: %+v", bt)
 			}
 			record := func() {
 				it := s.keys[JobKey("wk-000001")]
-				if _, _, err := b.PutJob(it.Value, it.Revision); err != nil {
+				if _, _, err := b.ApplyRecord(it.Value, it.Revision); err != nil {
 					t.Fatal(err)
 				}
 			}
 			switch name {
 			case "answered":
 				rev, _ := s.apply(bt)
-				b.Committed(bt, rev)
+				b.BatchCommitted(bt, rev)
 			case "answer lost":
 				s.apply(bt)
-				b.Failed(bt)
+				b.BatchFailed(bt)
 				record()
 			case "the watch is first":
 				rev, _ := s.apply(bt)
 				record()
-				b.Committed(bt, rev)
+				b.BatchCommitted(bt, rev)
 			case "changes meanwhile":
 				rev, _ := s.apply(bt)
-				b.End(j.LiveAttempt(7), false, now)
-				b.Committed(bt, rev)
+				b.EndAttempt(j.LiveAttempt(7), false, now)
+				b.BatchCommitted(bt, rev)
 			case "not applied":
-				b.Failed(bt)
+				b.BatchFailed(bt)
 				commit(small, now.Add(time.Minute))
 			}
 			for task := j.NextStartable(0, small); task >= 0; task = j.NextStartable(0, small) {
-				b.Start(j, task, b.NextTry(1), "vm-000002", 1, now)
+				b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000002", 1, now)
 			}
 			// A leader that ends before all of the new layout is written loses nothing.
 			commit(small, now)
 			half := s.read(t)
-			half.Loaded()
-			if k := half.Job("wk-000001"); k.LiveTasks() < replicas-2 || k.record.Chunk != ChunkSize(small) {
-				t.Errorf("%d tasks live for a leader in the middle, laid out for %d", k.LiveTasks(), k.record.Chunk)
+			half.FinishLoading()
+			if k := half.Job("wk-000001"); k.LiveTasks() < replicas-2 || k.record.ChunkSize != TasksPerChunk(small) {
+				t.Errorf("%d tasks live for a leader in the middle, laid out for %d", k.LiveTasks(), k.record.ChunkSize)
 			}
 			for range 20 {
 				now = now.Add(time.Minute)
@@ -211,16 +211,16 @@
 			again := s.read(t).Job("wk-000001")
 			for task := range replicas {
 				mine, kept := j.LiveAttempt(task), again.LiveAttempt(task)
-				if mine == nil || kept == nil || !mine.Recorded || mine.Try != kept.Try || mine.Machine != kept.Machine {
+				if mine == nil || kept == nil || !mine.Recorded || mine.Number != kept.Number || mine.Machine != kept.Machine {
 					t.Fatalf("task %d: %+v, kept %+v", task, mine, kept)
 				}
 			}
-			b.End(j.LiveAttempt(0), false, now)
-			if _, _, err := b.PutJob(wire.Marshal(func() Record { r := j.record; r.CancelledMS = 1; return r }()), s.rev+1); err != nil {
+			b.EndAttempt(j.LiveAttempt(0), false, now)
+			if _, _, err := b.ApplyRecord(wire.Marshal(func() Record { r := j.record; r.CancelledMS = 1; return r }()), s.rev+1); err != nil {
 				t.Fatal(err)
 			}
-			if again.record.Chunk != ChunkSize(small) || again.Arrival != j.Arrival {
-				t.Errorf("laid out for %d tasks, arrived at %d and %d", again.record.Chunk, again.Arrival, j.Arrival)
+			if again.record.ChunkSize != TasksPerChunk(small) || again.Arrival != j.Arrival {
+				t.Errorf("laid out for %d tasks, arrived at %d and %d", again.record.ChunkSize, again.Arrival, j.Arrival)
 			}
 		})
 	}
@@ -231,8 +231,8 @@
 func TestArrayLaidOutAnew(t *testing.T) {
 	const small = 2 << 10
 	s := &store{keys: map[string]kvstore.Item{}}
-	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, Chunk: ChunkSize(8 << 10)}
-	s.apply(&Batch{Conds: []kvstore.Compare{fence}, Ops: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
+	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, ChunkSize: TasksPerChunk(8 << 10)}
+	s.apply(&Batch{Compares: []kvstore.Compare{fence}, Mutations: []kvstore.Mutation{{Put: JobKey("wk-000001"), Value: wire.Marshal(r)}}})
 	b := s.read(t)
 	j := b.Job("wk-000001")
 	now := t0
@@ -244,21 +244,21 @@
 			}
 			rev, ok := s.apply(bt)
 			if !ok {
-				t.Fatalf("conflict: %+v", bt.Conds)
+				t.Fatalf("conflict: %+v", bt.Compares)
 			}
-			b.Committed(bt, rev)
+			b.BatchCommitted(bt, rev)
 		}
 	}
 	for task := range 300 {
-		b.Start(j, task, b.NextTry(1), "vm-000001", 1, now)
+		b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000001", 1, now)
 	}
 	write(8 << 10)
 	for task := range 20 {
-		b.End(j.LiveAttempt(task), task < 10, now)
+		b.EndAttempt(j.LiveAttempt(task), task < 10, now)
 	}
 	now = now.Add(time.Minute)
 	write(small)
-	if n := j.Startable(small); n != 10 {
+	if n := j.StartableTasks(small); n != 10 {
 		t.Errorf("%d of 10 may start", n)
 	}
 	k := s.read(t).Job("wk-000001")
@@ -266,11 +266,11 @@
 		t.Errorf("a new leader finds %d done, %d live, %d that wait", k.DoneTasks(), k.LiveTasks(), k.WaitingTasks())
 	}
 	for task := j.NextStartable(0, small); task >= 0; task = j.NextStartable(task+1, small) {
-		b.Start(j, task, b.NextTry(1), "vm-000002", 1, now)
+		b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000002", 1, now)
 	}
 	for task := range 300 {
 		if a := j.LiveAttempt(task); a != nil {
-			b.End(a, true, now)
+			b.EndAttempt(a, true, now)
 		}
 		if task%50 == 0 {
 			now = now.Add(time.Minute)
@@ -278,7 +278,7 @@
 		}
 	}
 	write(small)
-	for _, op := range j.OrphanOps(1000) {
+	for _, op := range j.GarbageMutations(1000) {
 		delete(s.keys, op.Delete)
 	}
 	if len(s.keys) != 1 || s.keys[EndKey("wk-000001")].Revision == 0 {
--- a/internal/jobstore/record.go
+++ b/internal/jobstore/record.go
@@ -38,25 +38,25 @@
 
 // Record is the value under a job's key.
 type Record struct {
-	Spec        *job.Spec `cbor:"spec"`
-	AtMS        int64     `cbor:"at_ms"`                  // submission, time of day
-	Arrival     uint64    `cbor:"arrival,omitempty"`      // first revision, kept when cancelled
-	CancelledMS int64     `cbor:"cancelled_ms,omitempty"` // 0: not cancelled
-	Chunk       int       `cbor:"chunk"`                  // tasks in one chunk
-	Base        int       `cbor:"base,omitempty"`         // number of the first chunk; not 0: laid out anew
-	Was         int       `cbor:"was,omitempty"`          // tasks in one chunk before that
+	Spec              *job.Spec `cbor:"spec"`
+	SubmittedMS       int64     `cbor:"at_ms"`                  // submission, time of day
+	Arrival           uint64    `cbor:"arrival,omitempty"`      // first revision, kept when cancelled
+	CancelledMS       int64     `cbor:"cancelled_ms,omitempty"` // 0: not cancelled
+	ChunkSize         int       `cbor:"chunk"`                  // tasks in one chunk
+	FirstChunk        int       `cbor:"base,omitempty"`         // number of the first chunk; not 0: laid out anew
+	PreviousChunkSize int       `cbor:"was,omitempty"`          // tasks in one chunk before that
 }
 
-// Final is the value under a finished job's key.
-type Final struct {
+// FinalState is the value under a finished job's key.
+type FinalState struct {
 	Status string `cbor:"status"` // Done or Cancelled
 	Tasks  int    `cbor:"tasks"`
 }
 
 // Final states, in the protocol's words since users are told them verbatim.
 const (
-	Done      = "done"
-	Cancelled = "withdrawn"
+	StatusDone      = "done"
+	StatusCancelled = "withdrawn"
 )
 
 // chunkValue is the value of one chunk. An attempt is a list of task number,
@@ -80,9 +80,9 @@
 	restBytes    = 64
 )
 
-// ChunkSize returns how many tasks fit into one chunk with all of them live. Should names
+// TasksPerChunk returns how many tasks fit into one chunk with all of them live. Should names
 // be so long that they do not, fewer of them are live at once (Job.Startable).
-func ChunkSize(valueBytes int) int {
+func TasksPerChunk(valueBytes int) int {
 	return max(1, min(1024, (valueBytes-restBytes)/attemptBytes))
 }
 
@@ -101,15 +101,15 @@
 // DecodeRecord reads the value of a job's key.
 func DecodeRecord(value []byte) (Record, error) {
 	var r Record
-	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.Chunk < 1 {
+	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.ChunkSize < 1 {
 		return r, fmt.Errorf("jobstore: job record: %w", err)
 	}
 	return r, nil
 }
 
-// ReadRecord reads from the value of a job's key whether it is cancelled, and the number of
+// DecodeRecordSummary reads from the value of a job's key whether it is cancelled, and the number of
 // the first chunk that counts.
-func ReadRecord(value []byte) (cancelled bool, base int, err error) {
+func DecodeRecordSummary(value []byte) (cancelled bool, base int, err error) {
 	var r struct {
 		CancelledMS int64 `cbor:"cancelled_ms"`
 		Base        int   `cbor:"base"`
@@ -120,22 +120,22 @@
 	return r.CancelledMS != 0, r.Base, nil
 }
 
-// Place is a live attempt by its record.
-type Place struct {
+// Location is a live attempt by its record.
+type Location struct {
 	Task    string // the protocol's name
 	Try     uint64
 	Machine string
 	Session uint64
 }
 
-// ReadChunk returns how many tasks a chunk's value says are done, and its live attempts.
-func ReadChunk(id string, value []byte) (done int, live []Place, err error) {
+// DecodeChunk returns how many tasks a chunk's value says are done, and its live attempts.
+func DecodeChunk(id string, value []byte) (done int, live []Location, err error) {
 	var v chunkValue
 	if err := wire.Unmarshal(value, &v); err != nil {
 		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
 	}
 	for _, a := range v.Live {
-		live = append(live, Place{taskName(id, a.Task), a.Try, a.Machine, a.Session})
+		live = append(live, Location{taskName(id, a.Task), a.Try, a.Machine, a.Session})
 	}
 	err = eachInRanges(v.Done, func(int) error { done++; return nil })
 	return done, live, err
