--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -63,8 +63,8 @@
 		jobs: map[string]entry{}, peers: map[string]peer{}, since: time.Now()}
 }
 
-// Note takes jobs that are cancelled, durably, and returns those that are news.
-func (r *Register) Note(ids ...string) (news []string) {
+// Add takes jobs that are cancelled, durably, and returns those that are news.
+func (r *Register) Add(ids ...string) (news []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.note(ids, time.Now())
@@ -103,16 +103,16 @@
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
 
-// Knows tells whether a job is known to be cancelled.
-func (r *Register) Knows(id string) bool {
+// Contains tells whether a job is known to be cancelled.
+func (r *Register) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.jobs[id]
 	return ok
 }
 
-// Learnt returns the jobs learnt at least d ago and still kept.
-func (r *Register) Learnt(d time.Duration) (ids []string) {
+// LearnedBefore returns the jobs learnt at least d ago and still kept.
+func (r *Register) LearnedBefore(d time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -124,8 +124,8 @@
 	return ids
 }
 
-// Read takes all cancelled jobs from a read of the records that was sent at asOf.
-func (r *Register) Read(ids []string, asOf time.Time) (news []string) {
+// MergeRead takes all cancelled jobs from a read of the records that was sent at asOf.
+func (r *Register) MergeRead(ids []string, asOf time.Time) (news []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news = r.note(ids, time.Now())
@@ -135,8 +135,8 @@
 	return news
 }
 
-// Age tells how long ago all cancellations told until then were known.
-func (r *Register) Age() (d time.Duration, ok bool) {
+// Staleness tells how long ago all cancellations told until then were known.
+func (r *Register) Staleness() (d time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return age(time.Now(), r.asOf), !r.asOf.IsZero()
@@ -144,11 +144,11 @@
 
 // Statement is what one controller tells another of its register.
 type Statement struct {
-	Jobs   []string
-	Seq    uint64        // the number of the last one learnt
-	Memory time.Duration // for how long it has remembered
-	Age    time.Duration // how long ago it knew all that was told until then
-	Knows  bool          // whether it ever did
+	Jobs     []string
+	Sequence uint64        // the number of the last one learnt
+	Memory   time.Duration // for how long it has remembered
+	Age      time.Duration // how long ago it knew all that was told until then
+	Knows    bool          // whether it ever did
 }
 
 // State returns what to tell other controllers.
@@ -157,16 +157,16 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.expire(now)
-	s := Statement{Jobs: make([]string, 0, len(r.jobs)), Seq: r.seq, Memory: now.Sub(r.since), Age: age(now, r.asOf), Knows: !r.asOf.IsZero()}
+	s := Statement{Jobs: make([]string, 0, len(r.jobs)), Sequence: r.seq, Memory: now.Sub(r.since), Age: age(now, r.asOf), Knows: !r.asOf.IsZero()}
 	for id := range r.jobs {
 		s.Jobs = append(s.Jobs, id)
 	}
 	return s
 }
 
-// Answered takes the answer of another controller to what was told it, up to seq, by a
+// MergeAnswer takes the answer of another controller to what was told it, up to seq, by a
 // request sent at sent: it holds that now, and theirs is what it said.
-func (r *Register) Answered(node string, seq uint64, sent time.Time, theirs Statement) {
+func (r *Register) MergeAnswer(node string, seq uint64, sent time.Time, theirs Statement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -203,9 +203,9 @@
 	}
 }
 
-// Held tells whether a majority of the controllers, this one included, holds a job's
+// HeldByMajority tells whether a majority of the controllers, this one included, holds a job's
 // cancellation, by what they have answered lately.
-func (r *Register) Held(id string) bool {
+func (r *Register) HeldByMajority(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, ok := r.jobs[id]
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -10,10 +10,10 @@
 func exchange(a *Register, name string, b *Register) {
 	sent, s := time.Now(), a.State()
 	time.Sleep(5 * time.Millisecond)
-	b.Note(s.Jobs...)
+	b.Add(s.Jobs...)
 	theirs := b.State()
 	time.Sleep(5 * time.Millisecond)
-	a.Answered(name, s.Seq, sent, theirs)
+	a.MergeAnswer(name, s.Sequence, sent, theirs)
 }
 
 func three() (a, b, c *Register) {
@@ -25,23 +25,23 @@
 func TestHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _ := three()
-		a.Note("wk-000001")
-		if a.Held("wk-000001") {
+		a.Add("wk-000001")
+		if a.HeldByMajority("wk-000001") {
 			t.Error("held by one of three")
 		}
 		exchange(a, "b", b)
-		if !a.Held("wk-000001") || !b.Knows("wk-000001") {
+		if !a.HeldByMajority("wk-000001") || !b.Contains("wk-000001") {
 			t.Error("not held by two of three")
 		}
-		a.Note("wk-000002")
-		if a.Held("wk-000002") || a.Held("wk-000003") {
+		a.Add("wk-000002")
+		if a.HeldByMajority("wk-000002") || a.HeldByMajority("wk-000003") {
 			t.Error("held though nobody was told")
 		}
 		time.Sleep(heldFor)
-		if a.Held("wk-000001") {
+		if a.HeldByMajority("wk-000001") {
 			t.Error("still held after a silence")
 		}
-		if one := New(1, time.Minute); len(one.Note("wk-000001")) != 1 || !one.Held("wk-000001") {
+		if one := New(1, time.Minute); len(one.Add("wk-000001")) != 1 || !one.HeldByMajority("wk-000001") {
 			t.Error("not held by one of one")
 		}
 	})
@@ -52,7 +52,7 @@
 func TestAge(t *testing.T) {
 	fresh := func(t *testing.T, r *Register, want bool) {
 		t.Helper()
-		d, ok := r.Age()
+		d, ok := r.Staleness()
 		if got := ok && d < time.Second; got != want {
 			t.Errorf("age %v, known %v; fresh wanted: %v", d, ok, want)
 		}
@@ -61,7 +61,7 @@
 		a, b, c = three()
 		time.Sleep(5 * time.Second)
 		for _, r := range []*Register{a, b, c} {
-			r.Read(nil, time.Now())
+			r.MergeRead(nil, time.Now())
 		}
 		time.Sleep(10 * time.Second) // the state service refuses all
 		return a, b, c
@@ -76,7 +76,7 @@
 		"alone": func(t *testing.T) {
 			a, _, _ := begin()
 			fresh(t, a, false)
-			a.Read(nil, time.Now())
+			a.MergeRead(nil, time.Now())
 			fresh(t, a, true)
 		},
 		"with one of two": func(t *testing.T) {
@@ -92,7 +92,7 @@
 			exchange(a, "b", b)
 			fresh(t, a, false)
 			exchange(b, "a", a)
-			if d, ok := b.Age(); !ok || d < 20*time.Second {
+			if d, ok := b.Staleness(); !ok || d < 20*time.Second {
 				t.Errorf("age %v, known %v: it can know no more than the other", d, ok)
 			}
 		},
@@ -108,13 +108,13 @@
 			a, b, _ := begin()
 			sent, s := time.Now(), b.State()
 			time.Sleep(10 * time.Second)
-			a.Answered("b", 0, sent, s)
+			a.MergeAnswer("b", 0, sent, s)
 			fresh(t, a, false)
 		},
 		"more than it keeps": func(t *testing.T) {
 			a, b, _ := begin()
 			for i := range maxKept + 1 {
-				a.Note(string(rune('A'+i/64%64)) + string(rune('A'+i%64)) + string(rune('A'+i/4096)))
+				a.Add(string(rune('A'+i/64%64)) + string(rune('A'+i%64)) + string(rune('A'+i/4096)))
 			}
 			exchange(a, "b", b)
 			fresh(t, a, false)
@@ -128,13 +128,13 @@
 func TestKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(3, time.Minute)
-		a.Note("wk-000001")
+		a.Add("wk-000001")
 		time.Sleep(time.Minute + time.Second)
-		if s := a.State(); len(s.Jobs) != 1 || len(a.Learnt(time.Minute)) != 1 {
+		if s := a.State(); len(s.Jobs) != 1 || len(a.LearnedBefore(time.Minute)) != 1 {
 			t.Errorf("%d kept", len(s.Jobs))
 		}
 		time.Sleep(beyond)
-		if s := a.State(); len(s.Jobs) != 0 || a.Knows("wk-000001") {
+		if s := a.State(); len(s.Jobs) != 0 || a.Contains("wk-000001") {
 			t.Errorf("%d kept", len(s.Jobs))
 		}
 	})
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -47,7 +47,7 @@
 // and keeps their tasks alive for longer than users were promised. Its workers try the
 // other nodes, and where none may answer them their tasks end.
 func (n *Node) mayExtendLease() bool {
-	d, ok := n.cancelled.Age()
+	d, ok := n.cancelled.Staleness()
 	w := &n.settings.Workers
 	// Where a lease leaves no time at all the promise cannot be kept by leases.
 	return ok && d < max(w.Cancel-w.Lease-leaseSlack, 2*knowWithin)
@@ -184,7 +184,7 @@
 // places returns where tasks may be of jobs that were learnt to be cancelled at least d
 // ago.
 func (n *Node) places(d time.Duration) (out []jobstore.Location) {
-	for _, id := range n.cancelled.Learnt(d) {
+	for _, id := range n.cancelled.LearnedBefore(d) {
 		out = append(out, n.intake.Places(id)...)
 	}
 	return out
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -110,10 +110,10 @@
 			}
 			return nil
 		},
-		Cancelled: func(id string) { n.onCancelled(n.cancelled.Note(id)) },
+		Cancelled: func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		Spread:    func(ctx context.Context, id string) bool { return n.peers.Spread(ctx, id) },
 		Gangs:     n.gangs.Load,
-		Learned:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.Read(ids, asOf)) },
+		Learned:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
 		Changed: func(id string) {
 			select {
 			case n.changed <- id:
@@ -403,7 +403,7 @@
 	now := 0.0
 	for _, t := range r.Tasks {
 		id, _, _ := agent.SplitTask(t.Task)
-		if t.Status != agent.Exited && len(out) < maxOrders && n.cancelled.Knows(id) {
+		if t.Status != agent.Exited && len(out) < maxOrders && n.cancelled.Contains(id) {
 			out = append(out, agent.Order{Verb: "halt", Task: t.Task, Try: t.Try, WindDown: &now})
 		}
 	}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -43,7 +43,7 @@
 		l.reconcileGang(j, now)
 		if j.Cancelled {
 			l.stopAttempts(j, now)
-		} else if l.node.cancelled.Knows(j.Spec.ID) {
+		} else if l.node.cancelled.Contains(j.Spec.ID) {
 			l.onCancelled([]string{j.Spec.ID}, now) // it was told of while its events were full
 		}
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -108,7 +108,7 @@
 // Spread sees to it that a majority of the controllers holds a job's cancellation, and
 // tells whether it does. Those that wait at once share a heartbeat.
 func (n *Net) Spread(ctx context.Context, id string) bool {
-	if n.Register.Held(id) {
+	if n.Register.HeldByMajority(id) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -126,7 +126,7 @@
 	}
 	for range n.Others {
 		<-over
-		if n.Register.Held(id) {
+		if n.Register.HeldByMajority(id) {
 			return true
 		}
 	}
@@ -225,7 +225,7 @@
 		b.KnownMs = uint64(s.Age.Milliseconds()) + 2 // rounded up, and one more
 	}
 	b.Gone = within(n.Gone(), maxHeartbeat-proto.Size(b))
-	return marshal(b), s.Seq
+	return marshal(b), s.Sequence
 }
 
 // maxHeartbeat is the size that a heartbeat may have: that of a request body, less its fields' tags. The
@@ -299,7 +299,7 @@
 	if !ok {
 		return
 	}
-	n.Register.Answered(o.Node, seq, sent, statement(b))
+	n.Register.MergeAnswer(o.Node, seq, sent, statement(b))
 	// Only the answer to one's own heartbeat is a sign of life. One that comes in may be a
 	// late copy: taken for a sign, it kept workers waiting for a leader that could not
 	// be reached until their leases ran out (TestRepeats).
@@ -324,7 +324,7 @@
 		return nil, false
 	}
 	n.Learned(b.Leader, b.Term)
-	if news := n.Register.Note(b.Cancelled...); len(news) > 0 {
+	if news := n.Register.Add(b.Cancelled...); len(news) > 0 {
 		n.Cancelled(news)
 	}
 	n.LearnGone(b.Gone)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,9 +14,9 @@
 // gone, is one that another controller takes, old or new.
 func TestLargestBeat(t *testing.T) {
 	register := cancellation.New(3, 51*time.Second)
-	register.Read(nil, time.Now())
+	register.MergeRead(nil, time.Now())
 	for i := range 4096 {
-		register.Note(fmt.Sprintf("wk-%06d", i))
+		register.Add(fmt.Sprintf("wk-%06d", i))
 	}
 	var gone []*Attempt
 	for i := range 5000 {
