--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -19,17 +19,17 @@
 	"tulipshelf/internal/wire"
 )
 
-// Intake answers users.
-type Intake struct {
-	Store     *kvstore.Client
-	Teams     []config.Team
-	ChunkSize int
-	Types     func() []cloud.Type                       // nil while the catalog is unknown
-	Changed   func(id string)                           // a job was submitted or cancelled here
-	Cancelled func(id string)                           // it was cancelled, durably
-	Gangs     func() bool                               // whether all controllers run gangs; nil: they do
-	Spread    func(ctx context.Context, id string) bool // whether most controllers hold that it is
-	Learned   func(cancelled []string, asOf time.Time)  // jobs newly found cancelled by a read sent then
+// Handler answers users.
+type Handler struct {
+	Store                 *kvstore.Client
+	Teams                 []config.Team
+	ChunkSize             int
+	Types                 func() []cloud.Type                       // nil while the catalog is unknown
+	OnChanged             func(id string)                           // a job was submitted or cancelled here
+	OnCancelled           func(id string)                           // it was cancelled, durably
+	GangsSupported        func() bool                               // whether all controllers run gangs; nil: they do
+	ReplicateCancellation func(ctx context.Context, id string) bool // whether most controllers hold that it is
+	OnCancellationsRead   func(cancelled []string, asOf time.Time)  // jobs newly found cancelled by a read sent then
 
 	replica *replica
 
@@ -38,16 +38,16 @@
 }
 
 // Init readies the intake for a state service that allows rps requests a second.
-func (in *Intake) Init(rps float64) { in.replica = newReplica(in.Store, rps, in.Learned) }
+func (in *Handler) Init(rps float64) { in.replica = newReplica(in.Store, rps, in.OnCancellationsRead) }
 
-// Confirm reads what has changed in the records, after the call.
-func (in *Intake) Confirm(ctx context.Context) error { return in.replica.confirm(ctx) }
+// Refresh reads what has changed in the records, after the call.
+func (in *Handler) Refresh(ctx context.Context) error { return in.replica.confirm(ctx) }
 
-// Places returns where tasks of an unfinished job may be, by what was read last.
-func (in *Intake) Places(id string) []jobstore.Location { return in.replica.places(id) }
+// Locations returns where tasks of an unfinished job may be, by what was read last.
+func (in *Handler) Locations(id string) []jobstore.Location { return in.replica.places(id) }
 
 // Run keeps the copy of the records that polls are answered from, until ctx ends.
-func (in *Intake) Run(ctx context.Context) { in.replica.run(ctx) }
+func (in *Handler) Run(ctx context.Context) { in.replica.run(ctx) }
 
 // maxFinal bounds the cache of final states; any entry can be read again.
 const maxFinal = 20_000
@@ -80,7 +80,7 @@
 func later() wire.Response { return wire.Response{Status: 503, RetryAfter: 1} }
 
 // Serve answers a request for a path under /v1/jobs.
-func (in *Intake) Serve(ctx context.Context, req *wire.Request) wire.Response {
+func (in *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
 	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
 	rest := strings.TrimPrefix(req.Path, "/v1/jobs")
@@ -102,7 +102,7 @@
 	return wire.Response{Status: 405}
 }
 
-func (in *Intake) submit(ctx context.Context, body []byte) wire.Response {
+func (in *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
 		return fail(400, err.Error())
@@ -122,7 +122,7 @@
 		}
 		return refusal
 	}
-	if spec.Shape == job.Gang && in.Gangs != nil && !in.Gangs() {
+	if spec.Shape == job.Gang && in.GangsSupported != nil && !in.GangsSupported() {
 		// A controller of an earlier version may lead yet, or next.
 		if st, err := in.lookup(ctx, id); err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
@@ -136,7 +136,7 @@
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		in.Changed(id)
+		in.OnChanged(id)
 		return wire.Response{Status: 201, Body: wire.Marshal(brief{id, pending})}
 	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 		// Known already, or perhaps written just now: what stands decides.
@@ -150,7 +150,7 @@
 }
 
 // check returns the checked submission or the answer that refuses it.
-func (in *Intake) check(body []byte) (*job.Spec, wire.Response) {
+func (in *Handler) check(body []byte) (*job.Spec, wire.Response) {
 	spec, err := job.Decode(body)
 	if err != nil {
 		return nil, fail(400, err.Error())
@@ -206,7 +206,7 @@
 	return (s.Types == nil || in(s.Types, t.Name)) && (s.Zone == "" || in(t.Zones, s.Zone))
 }
 
-func (in *Intake) poll(ctx context.Context, id string) wire.Response {
+func (in *Handler) poll(ctx context.Context, id string) wire.Response {
 	if s, ok := in.cached(id); ok {
 		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
 	}
@@ -223,7 +223,7 @@
 // lookup returns a job's state from the copy of the records, brought up to date
 // after the call, or from its final state. The copy comes first: a job that ends
 // in between is found by the read.
-func (in *Intake) lookup(ctx context.Context, id string) (status, error) {
+func (in *Handler) lookup(ctx context.Context, id string) (status, error) {
 	if err := in.replica.confirm(ctx); err != nil {
 		return status{}, err
 	}
@@ -242,7 +242,7 @@
 	if err := wire.Unmarshal(it.Value, &end); err != nil {
 		return st, err
 	}
-	in.Finished(id, end.Status)
+	in.CacheFinal(id, end.Status)
 	st = status{ID: id, Status: end.Status}
 	if end.Status == jobstore.StatusDone {
 		st.Done = end.Tasks
@@ -258,15 +258,15 @@
 //
 // It guards against the end of the only controller that knows of a cancellation, in an
 // outage of the state service that outlasts that time, while workers go to another.
-func (in *Intake) mayTell(ctx context.Context, id string) error {
-	if !in.Spread(ctx, id) {
+func (in *Handler) mayTell(ctx context.Context, id string) error {
+	if !in.ReplicateCancellation(ctx, id) {
 		return errUntold
 	}
-	in.Finished(id, jobstore.StatusCancelled)
+	in.CacheFinal(id, jobstore.StatusCancelled)
 	return nil
 }
 
-func (in *Intake) abort(ctx context.Context, id string) wire.Response {
+func (in *Handler) abort(ctx context.Context, id string) wire.Response {
 	answer := func(s string) wire.Response {
 		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
 	}
@@ -304,11 +304,11 @@
 		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
-			in.Cancelled(id)
-			in.Changed(id) // the leader needs the revision of the record too
+			in.OnCancelled(id)
+			in.OnChanged(id) // the leader needs the revision of the record too
 			// No task of it is recorded as started from now on; where those are that were
 			// is read before it is told, for whoever has to end them.
-			if in.Confirm(ctx) != nil || in.mayTell(ctx, id) != nil {
+			if in.Refresh(ctx) != nil || in.mayTell(ctx, id) != nil {
 				return later()
 			}
 			return answer(jobstore.StatusCancelled)
@@ -320,15 +320,15 @@
 	return later()
 }
 
-func (in *Intake) cached(id string) (string, bool) {
+func (in *Handler) cached(id string) (string, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	s, ok := in.final[id]
 	return s, ok
 }
 
-// Finished notes a durable final state, so that later polls need no read.
-func (in *Intake) Finished(id, state string) {
+// CacheFinal notes a durable final state, so that later polls need no read.
+func (in *Handler) CacheFinal(id, state string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.final == nil {
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -27,7 +27,7 @@
 	read := func() error {
 		ctx, cancel := context.WithTimeout(ctx, knowWithin)
 		defer cancel()
-		return n.intake.Confirm(ctx)
+		return n.intake.Refresh(ctx)
 	}
 	for ctx.Err() == nil {
 		wait := knowWithin
@@ -185,7 +185,7 @@
 // ago.
 func (n *Node) places(d time.Duration) (out []jobstore.Location) {
 	for _, id := range n.cancelled.LearnedBefore(d) {
-		out = append(out, n.intake.Places(id)...)
+		out = append(out, n.intake.Locations(id)...)
 	}
 	return out
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -35,7 +35,7 @@
 	store      *kvstore.Client
 	cloud      *cloud.Client
 	candidate  *leadership.Candidate
-	intake     *api.Intake
+	intake     *api.Handler
 	types      atomic.Pointer[[]cloud.Type]
 	peers      *peer.Net
 	proxy      *relay.Proxy
@@ -100,7 +100,7 @@
 		PreferOther: func() bool {
 			return n.peers.RedirectedElsewhere(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
 		}}
-	n.intake = &api.Intake{
+	n.intake = &api.Handler{
 		Store:     n.store,
 		Teams:     s.Teams,
 		ChunkSize: jobstore.TasksPerChunk(s.State.ValueBytes),
@@ -110,11 +110,11 @@
 			}
 			return nil
 		},
-		Cancelled: func(id string) { n.onCancelled(n.cancelled.Add(id)) },
-		Spread:    func(ctx context.Context, id string) bool { return n.peers.Spread(ctx, id) },
-		Gangs:     n.gangs.Load,
-		Learned:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
-		Changed: func(id string) {
+		OnCancelled:           func(id string) { n.onCancelled(n.cancelled.Add(id)) },
+		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.Spread(ctx, id) },
+		GangsSupported:        n.gangs.Load,
+		OnCancellationsRead:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
+		OnChanged: func(id string) {
 			select {
 			case n.changed <- id:
 			default: // the watch finds it
