--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -164,7 +164,7 @@
 	for clock.Sleep(ctx, time.Second) {
 		n.guard.look(n.places(0))
 		leader, _ := n.candidate.Leader()
-		if l := n.leader.Load(); l != nil && l.loaded.Load() || n.peers.Leads(leader, proxyUnheard) {
+		if l := n.leader.Load(); l != nil && l.loaded.Load() || n.peers.LeadingWithin(leader, proxyUnheard) {
 			continue // it knows what this node knows, and the places better
 		}
 		late := time.Duration(guardAfter * float64(n.settings.Workers.Cancel))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -37,7 +37,7 @@
 	candidate  *leadership.Candidate
 	intake     *api.Handler
 	types      atomic.Pointer[[]cloud.Type]
-	peers      *peer.Net
+	peers      *peer.Group
 	proxy      *relay.Proxy
 	changed    chan string // jobs to tell the leader of
 	leader     atomic.Pointer[leader]
@@ -98,7 +98,7 @@
 	n.proxy = &relay.Proxy{Node: s.Node, Store: n.store, Dial: net.Dial, ValueBytes: s.State.ValueBytes, TxnOps: s.State.TxnOps}
 	n.candidate = &leadership.Candidate{Node: s.Node, TTL: o.LeaderLease, Store: n.store,
 		PreferOther: func() bool {
-			return n.peers.RedirectedElsewhere(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
+			return n.peers.MostRedirected(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
 		}}
 	n.intake = &api.Handler{
 		Store:     n.store,
@@ -111,7 +111,7 @@
 			return nil
 		},
 		OnCancelled:           func(id string) { n.onCancelled(n.cancelled.Add(id)) },
-		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.Spread(ctx, id) },
+		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.ReplicateCancellation(ctx, id) },
 		GangsSupported:        n.gangs.Load,
 		OnCancellationsRead:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
 		OnChanged: func(id string) {
@@ -122,11 +122,11 @@
 		},
 	}
 	n.intake.Init(s.State.RPS)
-	n.peers = &peer.Net{Dial: net.Dial, Node: s.Node, Known: n.candidate.Leader, Learned: n.candidate.ObserveTerm, Changed: n.onChanged,
-		Redirected: n.redirectedCount, Register: n.cancelled, Cancelled: n.onCancelled,
-		Gone: n.guard.known, LearnGone: n.guard.learn, Served: func() bool { return n.store.ServedWithin(readyServed) }}
+	n.peers = &peer.Group{Dial: net.Dial, Node: s.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm, OnChanged: n.onChanged,
+		Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
+		ConfirmedGone: n.guard.known, OnConfirmedGone: n.guard.learn, StoreReachable: func() bool { return n.store.ServedWithin(readyServed) }}
 	for _, p := range s.Peers {
-		n.peers.Others = append(n.peers.Others, peer.Other{Node: p.Node, Addr: p.Addr})
+		n.peers.Members = append(n.peers.Members, peer.Member{Node: p.Node, Addr: p.Addr})
 	}
 	return n
 }
@@ -206,7 +206,7 @@
 		case <-ctx.Done():
 			return
 		case id := <-n.changed:
-			n.peers.Tell(ctx, id)
+			n.peers.NotifyLeader(ctx, id)
 		}
 	}
 }
@@ -325,7 +325,7 @@
 // removal within two minutes the load balancer waits twice as long before it tries a node
 // again (days of our own with several outages: up to 50,000 questions found no node).
 func (n *Node) ready() bool {
-	return n.types.Load() != nil && (n.store.ServedWithin(readyServed) || n.peers.NobodyServed(readyHeard))
+	return n.types.Load() != nil && (n.store.ServedWithin(readyServed) || n.peers.StoreServesNobody(readyHeard))
 }
 
 // redirection is the body of an answer that sends a worker to another node.
@@ -357,7 +357,7 @@
 // sent back to it.
 func (n *Node) proxyReport(r *agent.Report) (wire.Response, bool) {
 	leader, term, ok := n.candidate.Confirmed(proxyConfirmed)
-	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.Token > term || n.peers.Heard(leader, proxyUnheard) {
+	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.Token > term || n.peers.ReachableWithin(leader, proxyUnheard) {
 		return wire.Response{}, false
 	}
 	answer := n.proxy.Answer(r, leader, term)
@@ -369,7 +369,7 @@
 // state service, nor from the leader last known.
 func (n *Node) isolated() bool {
 	leader, _ := n.candidate.Leader()
-	return !n.store.ServedWithin(isolatedAfter) && !n.peers.Leads(leader, proxyUnheard)
+	return !n.store.ServedWithin(isolatedAfter) && !n.peers.LeadingWithin(leader, proxyUnheard)
 }
 
 const isolatedAfter = 3 * time.Second
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -339,7 +339,7 @@
 			answered++
 		}
 	})
-	others := l.node.peers.RedirectedElsewhere(handOverWithin)
+	others := l.node.peers.MostRedirected(handOverWithin)
 	if others <= handOverTimes*max(heard, 1) || answered < others && now.Sub(l.started) < handOverLost {
 		l.redirectedSince = time.Time{}
 		return
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,27 +27,27 @@
 	changedPath   = "/changed"
 )
 
-// Other is another controller.
-type Other struct {
+// Member is another controller.
+type Member struct {
 	Node string
 	Addr string
 }
 
-// Net speaks with the other controllers.
-type Net struct {
-	Dial       wire.DialFunc // nil: TCP
-	Node       string
-	Others     []Other
-	Known      func() (leader string, term uint64) // what this node knows
-	Learned    func(leader string, term uint64)    // what another node knows
-	Changed    func(jobs []string)                 // jobs changed elsewhere
-	Redirected func() int                          // machines that came to this node, which does not lead
+// Group speaks with the other controllers.
+type Group struct {
+	Dial         wire.DialFunc // nil: TCP
+	Node         string
+	Members      []Member
+	Leadership   func() (leader string, term uint64) // what this node knows
+	OnLeadership func(leader string, term uint64)    // what another node knows
+	OnChanged    func(jobs []string)                 // jobs changed elsewhere
+	Redirected   func() int                          // machines that came to this node, which does not lead
 
-	Served    func() bool            // whether the state service serves this node
-	Register  *cancellation.Register // of cancelled jobs
-	Cancelled func(jobs []string)    // jobs are news there
-	Gone      func() []*Attempt      // of cancelled jobs, though recorded as live
-	LearnGone func([]*Attempt)       // the same of another node
+	StoreReachable  func() bool            // whether the state service serves this node
+	Register        *cancellation.Register // of cancelled jobs
+	OnCancelled     func(jobs []string)    // jobs are news there
+	ConfirmedGone   func() []*Attempt      // of cancelled jobs, though recorded as live
+	OnConfirmedGone func([]*Attempt)       // the same of another node
 
 	mu         sync.Mutex
 	rounds     map[string]*round        // heartbeats to come for which somebody waits
@@ -72,16 +72,16 @@
 )
 
 // Run sends heartbeats until ctx ends.
-func (n *Net) Run(ctx context.Context) {
+func (n *Group) Run(ctx context.Context) {
 	n.mu.Lock()
 	n.began = time.Now()
 	n.rounds, n.wake = map[string]*round{}, map[string]chan struct{}{}
-	for _, o := range n.Others {
+	for _, o := range n.Members {
 		n.wake[o.Node] = make(chan struct{}, 1)
 	}
 	n.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, o := range n.Others {
+	for _, o := range n.Members {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -105,16 +105,16 @@
 	wg.Wait()
 }
 
-// Spread sees to it that a majority of the controllers holds a job's cancellation, and
+// ReplicateCancellation sees to it that a majority of the controllers holds a job's cancellation, and
 // tells whether it does. Those that wait at once share a heartbeat.
-func (n *Net) Spread(ctx context.Context, id string) bool {
+func (n *Group) ReplicateCancellation(ctx context.Context, id string) bool {
 	if n.Register.HeldByMajority(id) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	over := make(chan struct{}, len(n.Others))
-	for _, o := range n.Others {
+	over := make(chan struct{}, len(n.Members))
+	for _, o := range n.Members {
 		done := n.join(o)
 		go func() {
 			select {
@@ -124,7 +124,7 @@
 			over <- struct{}{}
 		}()
 	}
-	for range n.Others {
+	for range n.Members {
 		<-over
 		if n.Register.HeldByMajority(id) {
 			return true
@@ -135,7 +135,7 @@
 
 // join returns what is closed after the next heartbeat to another controller that begins
 // from now on.
-func (n *Net) join(o Other) <-chan struct{} {
+func (n *Group) join(o Member) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.wake[o.Node] == nil {
@@ -153,9 +153,9 @@
 	return r.done
 }
 
-// Heard tells whether a node has been heard within d, or might have been had
+// ReachableWithin tells whether a node has been heard within d, or might have been had
 // this node run for so long.
-func (n *Net) Heard(node string, d time.Duration) bool {
+func (n *Group) ReachableWithin(node string, d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t, ok := n.heard[node]
@@ -165,16 +165,16 @@
 	return time.Since(t) < d
 }
 
-// Leads tells whether a node has said within d that it leads.
-func (n *Net) Leads(node string, d time.Duration) bool {
+// LeadingWithin tells whether a node has said within d that it leads.
+func (n *Group) LeadingWithin(node string, d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Since(n.leading[node]) < d
 }
 
-// RedirectedElsewhere returns how many machines another node, heard within d, has seen
+// MostRedirected returns how many machines another node, heard within d, has seen
 // come by though it does not lead: the most of any.
-func (n *Net) RedirectedElsewhere(d time.Duration) int {
+func (n *Group) MostRedirected(d time.Duration) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	most := 0
@@ -187,10 +187,10 @@
 }
 
 // AllRunGangs tells whether every other node has said that its version runs gangs.
-func (n *Net) AllRunGangs() bool {
+func (n *Group) AllRunGangs() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, o := range n.Others {
+	for _, o := range n.Members {
 		if !n.gangs[o.Node] {
 			return false
 		}
@@ -198,9 +198,9 @@
 	return true
 }
 
-// NobodyServed tells whether others were heard within d and none of them is served by
+// StoreServesNobody tells whether others were heard within d and none of them is served by
 // the state service.
-func (n *Net) NobodyServed(d time.Duration) bool {
+func (n *Group) StoreServesNobody(d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	nobody := false
@@ -216,15 +216,15 @@
 }
 
 // own returns this node's heartbeat, and the number of the last cancellation in it.
-func (n *Net) own() ([]byte, uint64) {
-	leader, term := n.Known()
+func (n *Group) own() ([]byte, uint64) {
+	leader, term := n.Leadership()
 	s := n.Register.State()
-	b := &Heartbeat{Node: n.Node, Term: term, Leader: leader, Redirected: uint32(n.Redirected()), Served: n.Served(),
+	b := &Heartbeat{Node: n.Node, Term: term, Leader: leader, Redirected: uint32(n.Redirected()), Served: n.StoreReachable(),
 		Cancelled: s.Jobs, Gangs: true, MemoryMs: uint64(s.Memory.Milliseconds())}
 	if s.Knows {
 		b.KnownMs = uint64(s.Age.Milliseconds()) + 2 // rounded up, and one more
 	}
-	b.Gone = within(n.Gone(), maxHeartbeat-proto.Size(b))
+	b.Gone = within(n.ConfirmedGone(), maxHeartbeat-proto.Size(b))
 	return marshal(b), s.Sequence
 }
 
@@ -261,7 +261,7 @@
 	return b
 }
 
-func (n *Net) client(o Other) *wire.Client {
+func (n *Group) client(o Member) *wire.Client {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.clients == nil {
@@ -275,7 +275,7 @@
 	return c
 }
 
-func (n *Net) post(ctx context.Context, o Other, path string, body []byte) ([]byte, bool) {
+func (n *Group) post(ctx context.Context, o Member, path string, body []byte) ([]byte, bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c := n.client(o)
@@ -288,7 +288,7 @@
 	return resp.Body, true
 }
 
-func (n *Net) sendHeartbeat(ctx context.Context, o Other) {
+func (n *Group) sendHeartbeat(ctx context.Context, o Member) {
 	sent := time.Now()
 	own, seq := n.own()
 	body, ok := n.post(ctx, o, heartbeatPath, own)
@@ -318,27 +318,27 @@
 
 // take learns who leads and what is cancelled; a late copy names a lower term, and what
 // is cancelled stays so.
-func (n *Net) take(body []byte) (*Heartbeat, bool) {
+func (n *Group) take(body []byte) (*Heartbeat, bool) {
 	var b Heartbeat
 	if err := proto.Unmarshal(body, &b); err != nil || b.Node == "" {
 		return nil, false
 	}
-	n.Learned(b.Leader, b.Term)
+	n.OnLeadership(b.Leader, b.Term)
 	if news := n.Register.Add(b.Cancelled...); len(news) > 0 {
-		n.Cancelled(news)
+		n.OnCancelled(news)
 	}
-	n.LearnGone(b.Gone)
+	n.OnConfirmedGone(b.Gone)
 	return &b, true
 }
 
-// Tell passes on that a job has changed: to the leader, if one is known.
-func (n *Net) Tell(ctx context.Context, job string) {
-	leader, _ := n.Known()
+// NotifyLeader passes on that a job has changed: to the leader, if one is known.
+func (n *Group) NotifyLeader(ctx context.Context, job string) {
+	leader, _ := n.Leadership()
 	if leader == n.Node {
-		n.Changed([]string{job})
+		n.OnChanged([]string{job})
 		return
 	}
-	for _, o := range n.Others {
+	for _, o := range n.Members {
 		if o.Node == leader {
 			n.post(ctx, o, changedPath, marshal(&Changed{Jobs: []string{job}}))
 		}
@@ -346,7 +346,7 @@
 }
 
 // Serve answers another controller.
-func (n *Net) Serve(_ context.Context, req *wire.Request) wire.Response {
+func (n *Group) Serve(_ context.Context, req *wire.Request) wire.Response {
 	if req.Method != "POST" {
 		return wire.Response{Status: 405}
 	}
@@ -362,7 +362,7 @@
 		if err := proto.Unmarshal(req.Body, &c); err != nil {
 			return wire.Response{Status: 400}
 		}
-		n.Changed(c.Jobs)
+		n.OnChanged(c.Jobs)
 		return wire.Response{Status: 200}
 	}
 	return wire.Response{Status: 404}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,8 +22,8 @@
 	for i := range 5000 {
 		gone = append(gone, &Attempt{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Try: 1<<40 + uint64(i)})
 	}
-	sender := &Net{Node: "shelf-0", Known: func() (string, uint64) { return "shelf-1", 1 << 30 }, Redirected: func() int { return 6000 },
-		Served: func() bool { return true }, Register: register, Gone: func() []*Attempt { return gone }}
+	sender := &Group{Node: "shelf-0", Leadership: func() (string, uint64) { return "shelf-1", 1 << 30 }, Redirected: func() int { return 6000 },
+		StoreReachable: func() bool { return true }, Register: register, ConfirmedGone: func() []*Attempt { return gone }}
 	beat, _ := sender.own()
 	if len(beat) > wire.MaxBody {
 		t.Fatalf("a beat of %d bytes, %d may be sent", len(beat), wire.MaxBody)
@@ -32,9 +32,9 @@
 		t.Errorf("a beat of %d bytes leaves attempts out that would fit", len(beat))
 	}
 	taken, told := 0, 0
-	receiver := &Net{Node: "shelf-1", Known: sender.Known, Learned: func(string, uint64) {}, Redirected: func() int { return 0 },
-		Served: sender.Served, Register: cancellation.New(3, 51*time.Second), Cancelled: func(jobs []string) { taken += len(jobs) },
-		Gone: func() []*Attempt { return nil }, LearnGone: func(a []*Attempt) { told += len(a) }}
+	receiver := &Group{Node: "shelf-1", Leadership: sender.Leadership, OnLeadership: func(string, uint64) {}, Redirected: func() int { return 0 },
+		StoreReachable: sender.StoreReachable, Register: cancellation.New(3, 51*time.Second), OnCancelled: func(jobs []string) { taken += len(jobs) },
+		ConfirmedGone: func() []*Attempt { return nil }, OnConfirmedGone: func(a []*Attempt) { told += len(a) }}
 	message := wire.AppendRequest(nil, "POST", heartbeatPath, "10.0.0.2:8081", beat)
 	req, _, err := wire.ParseRequest(message)
 	if err != nil {
