--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -26,7 +26,7 @@
 
 func replay(t *testing.T, trace []byte) []byte {
 	now := time.Unix(0, 0)
-	f := New()
+	f := NewRegistry()
 	m := f.Add("vm-1", now)
 	book := jobstore.New()
 	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, ChunkSize: 9}
@@ -53,13 +53,13 @@
 		case "stop":
 			m.Stop(m.Assignments[key{name(word[1]), tries[word[1]]}], 0)
 		case "report":
-			r := &Report{Machine: m.Name, Session: number(1), Tick: number(2), Token: number(3)}
+			r := &Heartbeat{Machine: m.Name, Incarnation: number(1), Sequence: number(2), FencingToken: number(3)}
 			for _, w := range word[4:] {
 				task, state, _ := strings.Cut(w, "=")
 				status, cause, _ := strings.Cut(state, "/")
-				r.Tasks = append(r.Tasks, TaskReport{Task: name(task), Try: tries[task], Status: status, Cause: cause})
+				r.Tasks = append(r.Tasks, ReportedTask{Task: name(task), Attempt: tries[task], Status: status, Cause: cause})
 			}
-			outcomes, fresh := m.Handle(r, 26*time.Second, now)
+			outcomes, fresh := m.ApplyHeartbeat(r, 26*time.Second, now)
 			if !fresh {
 				fmt.Fprintln(out, "> stale, ignored")
 			}
@@ -74,15 +74,15 @@
 			if fresh && len(outcomes) == 0 {
 				fmt.Fprintln(out, "> proves nothing")
 			}
-			if !m.DeafSince.IsZero() {
+			if !m.UnresponsiveSince.IsZero() {
 				fmt.Fprintln(out, "> seems deaf")
 			}
 		case "answer":
-			m.Answered(number(1), 26*time.Second, now)
+			m.HeartbeatAnswered(number(1), 26*time.Second, now)
 		case "pass":
 			now = now.Add(time.Duration(number(1)) * time.Second)
 		case "orders":
-			orders := m.Orders(number(1), 10, func(string) bool { return true }, now)
+			orders := m.PendingCommands(number(1), 10, func(string) bool { return true }, now)
 			for _, o := range orders {
 				fmt.Fprintf(out, "> %s %s\n", o.Verb, strings.TrimPrefix(o.Task, "wk-000001/"))
 			}
@@ -99,9 +99,9 @@
 // arrives; its dense index is given to the next one.
 func TestReturnedStaysGone(t *testing.T) {
 	now := time.Unix(0, 0)
-	f := New()
+	f := NewRegistry()
 	a, b := f.Add("vm-1", now), f.Add("vm-2", now)
-	f.Removed("vm-1", now)
+	f.Remove("vm-1", now)
 	if f.Add("vm-1", now) != nil {
 		t.Error("vm-1 is back")
 	}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -22,83 +22,83 @@
 	deafAfter   = 8 * time.Second
 )
 
-// Answered notes that a report is answered under the given token.
-func (m *Machine) Answered(term uint64, lease time.Duration, now time.Time) {
+// HeartbeatAnswered notes that a report is answered under the given token.
+func (m *Machine) HeartbeatAnswered(term uint64, lease time.Duration, now time.Time) {
 	if now.Sub(m.answers.last) >= lease/2 {
 		m.answers.since = now
 	}
 	m.answers.last, m.answers.term = now, term
 }
 
-// Hears notes that the machine has answered or heeded something. A session that has
+// MarkResponsive notes that the machine has answered or heeded something. A session that has
 // ended may also be that of a machine which was back at once.
-func (m *Machine) Hears() { m.DeafSince, m.answers.unheeded = time.Time{}, 0 }
+func (m *Machine) MarkResponsive() { m.UnresponsiveSince, m.answers.unheeded = time.Time{}, 0 }
 
-// listen judges from a new report whether answers and commands reach the machine.
+// detectUnresponsive judges from a new report whether answers and commands reach the machine.
 // It guards against one whose reports arrive while nothing gets back to it: it
 // looks healthy, takes up no start, and loses what it has with each lease. Signs
 // are a token that does not rise, starts that do not appear, and a session that
 // ended although its reports had been answered.
-func (m *Machine) listen(r *Report, known bool, session, token uint64, lease time.Duration, now time.Time) {
-	if r.Token > token {
-		m.Hears()
+func (m *Machine) detectUnresponsive(r *Heartbeat, known bool, session, token uint64, lease time.Duration, now time.Time) {
+	if r.FencingToken > token {
+		m.MarkResponsive()
 		return
 	}
 	deaf := false
-	if r.Token < m.answers.term {
+	if r.FencingToken < m.answers.term {
 		m.answers.unheeded++
 		deaf = m.answers.unheeded >= deafReports
 	}
 	// Answers that have only just begun again prove nothing: a cut hands out the reports
 	// that it held back, and behind them those of the next session (apart of both fleet
 	// deployments: 350 and 360 sound machines given up at once).
-	if known && r.Session > session && now.Sub(m.answers.last) < lease/2 && now.Sub(m.answers.since) >= lease {
+	if known && r.Incarnation > session && now.Sub(m.answers.last) < lease/2 && now.Sub(m.answers.since) >= lease {
 		deaf = true
 	}
 	for k, h := range m.Assignments {
-		if _, listed := m.Seen[k]; !listed && m.Via == "" && h.Missing >= deafReports && !h.Sent.IsZero() && now.Sub(h.Sent) >= deafAfter {
+		if _, listed := m.Reported[k]; !listed && m.RelayedBy == "" && h.MissedHeartbeats >= deafReports && !h.FirstSent.IsZero() && now.Sub(h.FirstSent) >= deafAfter {
 			deaf = true
 		}
 	}
-	if deaf && m.DeafSince.IsZero() {
-		m.DeafSince = now
+	if deaf && m.UnresponsiveSince.IsZero() {
+		m.UnresponsiveSince = now
 	}
 }
 
-// Orders returns the commands that the machine needs under the given token, at
+// PendingCommands returns the commands that the machine needs under the given token, at
 // most limit, and marks starts as sent. Starts already listed are left out. An
 // exited task is only forgotten once settled says that its result is durable.
-func (m *Machine) Orders(token uint64, limit int, settled func(task string) bool, now time.Time) []Order {
+func (m *Machine) PendingCommands(token uint64, limit int, settled func(task string) bool, now time.Time) []Command {
 	m.urgent = false
 	var need []*Assignment
 	for k, h := range m.Assignments {
-		_, listed := m.Seen[k]
+		_, listed := m.Reported[k]
 		switch {
-		case h.Stopping && (listed || !h.Sent.IsZero()):
+		case h.Stopping && (listed || !h.FirstSent.IsZero()):
 			need = append(need, h)
-		case !listed && !h.Stopping && h.Dispatchable() && h.Incarnation == m.Session && jobstore.AttemptTerm(h.Number) == token:
+		case !listed && !h.Stopping && h.Dispatchable() && h.Incarnation == m.Incarnation && jobstore.AttemptTerm(h.Number) == token:
 			// A start recorded under an earlier token is never sent again: the
 			// worker's next reports prove it gone.
 			need = append(need, h)
 		}
 	}
 	slices.SortFunc(need, compare)
-	var out []Order
+	var out []Command
 	for _, h := range need {
 		if len(out) == limit {
 			m.urgent = true
 			return out
 		}
 		if h.Stopping {
-			out = append(out, Order{"halt", h.TaskName(), h.Number, &h.WindDown})
+			out = append(out, Command{"halt", h.TaskName(), h.Number, &h.GracePeriodS})
 			continue
 		}
-		out = append(out, Order{Verb: "run", Task: h.TaskName(), Try: h.Number})
-		if h.Sent.IsZero() {
-			h.Sent = now
+		out = append(out, Command{Verb: "run", Task: h.TaskName(), Attempt: h.Number})
+		if h.FirstSent.IsZero() {
+			h.FirstSent = now
 		}
 	}
-	for k, s := range m.Seen {
+	for k, s := range m.Reported {
 		if len(out) == limit {
 			break
 		}
@@ -106,24 +106,24 @@
 			continue
 		}
 		switch {
-		case s.Status != Exited:
+		case s.Status != StatusExited:
 			// On the machine but in no record, so it must not be.
 			zero := 0.0
-			out = append(out, Order{"halt", k.task, k.try, &zero})
-		case jobstore.AttemptTerm(k.try) < m.Token && settled(k.task):
+			out = append(out, Command{"halt", k.task, k.try, &zero})
+		case jobstore.AttemptTerm(k.try) < m.FencingToken && settled(k.task):
 			// Only now can no late copy of its start run it again.
-			out = append(out, Order{Verb: "forget", Task: k.task, Try: k.try})
+			out = append(out, Command{Verb: "forget", Task: k.task, Attempt: k.try})
 		}
 	}
 	return out
 }
 
-// Halts returns the commands that end what is left of cancelled jobs, at most limit.
+// HaltCommands returns the commands that end what is left of cancelled jobs, at most limit.
 // They are right whoever leads by now: a job that is cancelled stays so.
-func (m *Machine) Halts(limit int) (out []Order) {
-	for _, h := range m.Sorted() {
+func (m *Machine) HaltCommands(limit int) (out []Command) {
+	for _, h := range m.SortedAssignments() {
 		if h.Job.Cancelled && h.Stopping && len(out) < limit {
-			out = append(out, Order{"halt", h.TaskName(), h.Number, &h.WindDown})
+			out = append(out, Command{"halt", h.TaskName(), h.Number, &h.GracePeriodS})
 		}
 	}
 	if out != nil {
@@ -134,18 +134,18 @@
 
 // Stop asks for an assigned attempt to be halted.
 func (m *Machine) Stop(h *Assignment, windDown float64) {
-	if h.Stopping && h.WindDown <= windDown {
+	if h.Stopping && h.GracePeriodS <= windDown {
 		return
 	}
-	h.Stopping, h.WindDown = true, windDown
+	h.Stopping, h.GracePeriodS = true, windDown
 	m.Version++
 	m.urgent = true
 }
 
-// Kick marks the machine as having commands to push.
-func (m *Machine) Kick() { m.urgent = true }
+// MarkUrgent marks the machine as having commands to push.
+func (m *Machine) MarkUrgent() { m.urgent = true }
 
 // Urgent tells whether commands wait that should not wait for a report.
 func (m *Machine) Urgent() bool {
-	return m.urgent && m.Known && !m.Pushing && !m.Gone && m.Via == ""
+	return m.urgent && m.Registered && !m.RequestInFlight && !m.Gone && m.RelayedBy == ""
 }
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Fleet is all machines that this leader knows.
-type Fleet struct {
+// Registry is all machines that this leader knows.
+type Registry struct {
 	byName map[string]*Machine
 	all    []*Machine
 	free   int // no dense index below it is free
@@ -15,22 +15,22 @@
 	pruned time.Time // when names that are long gone were last dropped
 }
 
-// New returns an empty registry.
-func New() *Fleet {
-	return &Fleet{byName: map[string]*Machine{}, gone: map[string]time.Time{}}
+// NewRegistry returns an empty registry.
+func NewRegistry() *Registry {
+	return &Registry{byName: map[string]*Machine{}, gone: map[string]time.Time{}}
 }
 
 // Machine returns the machine of that name, or nil.
-func (f *Fleet) Machine(name string) *Machine { return f.byName[name] }
+func (f *Registry) Machine(name string) *Machine { return f.byName[name] }
 
 // At returns the machine with a dense index.
-func (f *Fleet) At(i int) *Machine { return f.all[i] }
+func (f *Registry) At(i int) *Machine { return f.all[i] }
 
 // Size returns one more than the largest dense index.
-func (f *Fleet) Size() int { return len(f.all) }
+func (f *Registry) Size() int { return len(f.all) }
 
 // Each calls fn for each machine that is not gone, in order of index.
-func (f *Fleet) Each(fn func(*Machine)) {
+func (f *Registry) Each(fn func(*Machine)) {
 	for _, m := range f.all {
 		if !m.Gone {
 			fn(m)
@@ -40,11 +40,11 @@
 
 // Add returns the machine of that name and makes it if it is new. A name that
 // was returned stays gone: names are never given twice, and lists lag.
-func (f *Fleet) Add(name string, now time.Time) *Machine {
+func (f *Registry) Add(name string, now time.Time) *Machine {
 	if m := f.byName[name]; m != nil {
 		return m
 	}
-	if f.Returned(name) {
+	if f.WasReturned(name) {
 		return nil
 	}
 	i := f.free
@@ -53,7 +53,7 @@
 	}
 	f.free = i + 1
 	m := &Machine{Index: i, Name: name, Created: now, IdleSince: now,
-		Seen: map[key]Seen{}, Assignments: map[key]*Assignment{}, Blamed: map[string]struct{}{}}
+		Reported: map[key]TaskState{}, Assignments: map[key]*Assignment{}, FailedJobs: map[string]struct{}{}}
 	f.byName[name] = m
 	if i == len(f.all) {
 		f.all = append(f.all, m)
@@ -63,8 +63,8 @@
 	return m
 }
 
-// Returned tells whether the machine of that name has been returned.
-func (f *Fleet) Returned(name string) bool {
+// WasReturned tells whether the machine of that name has been returned.
+func (f *Registry) WasReturned(name string) bool {
 	_, ok := f.gone[name]
 	return ok
 }
@@ -76,9 +76,9 @@
 	pruneEvery = time.Minute
 )
 
-// Removed takes the cloud's word (200 to a return) that a machine and all on it
+// Remove takes the cloud's word (200 to a return) that a machine and all on it
 // are gone.
-func (f *Fleet) Removed(name string, now time.Time) []Outcome {
+func (f *Registry) Remove(name string, now time.Time) []Outcome {
 	f.gone[name] = now
 	if now.Sub(f.pruned) >= pruneEvery {
 		f.pruned = now
@@ -96,11 +96,11 @@
 	m.Gone = true
 	f.free = min(f.free, m.Index)
 	var out []Outcome
-	for _, h := range m.Sorted() {
+	for _, h := range m.SortedAssignments() {
 		out = append(out, Outcome{h, CauseLost})
 	}
 	m.Assignments = nil
-	m.Seen = nil
+	m.Reported = nil
 	m.Version++
 	return out
 }
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -126,8 +126,8 @@
 }
 
 // observe learns from a report what is gone, by the same proofs as a leader.
-func (g *guard) observe(r *agent.Report) {
-	g.prove(r.Machine, func(p jobstore.Location) bool { return r.Proves(p.Task, p.Try, p.Session) })
+func (g *guard) observe(r *agent.Heartbeat) {
+	g.prove(r.Machine, func(p jobstore.Location) bool { return r.ConfirmsGone(p.Task, p.Try, p.Session) })
 }
 
 // returned takes the cloud's word that machines are gone.
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -57,8 +57,8 @@
 
 // reaches tells whether a machine has been heard lately and gets what it is told.
 func (l *leader) reaches(m *agent.Machine, now time.Time) bool {
-	return m.Known && !m.Gone && m.Via == "" && !m.Unreached && !m.Pushing && m.DeafSince.IsZero() && !m.Failed &&
-		now.Sub(m.Heard) < l.node.settings.Workers.Report*3/2
+	return m.Registered && !m.Gone && m.RelayedBy == "" && !m.ProbeFailed && !m.RequestInFlight && m.UnresponsiveSince.IsZero() && !m.Failed &&
+		now.Sub(m.LastHeartbeat) < l.node.settings.Workers.Report*3/2
 }
 
 // gangKind is what a gang of a class needs.
@@ -155,5 +155,5 @@
 	if h.Job.Spec.Shape == job.Service {
 		return time.Time{}
 	}
-	return h.Since.Add(time.Duration(l.expect(h.Job) * float64(time.Second)))
+	return h.AssignedAt.Add(time.Duration(l.expect(h.Job) * float64(time.Second)))
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -44,7 +44,7 @@
 	gathered        bool
 	listed          bool // the cloud's list has been read
 	jobs            *jobstore.Store
-	fleet           *agent.Fleet
+	fleet           *agent.Registry
 	machines        map[*agent.Machine]*machineState
 	jobStates       map[*jobstore.Job]*jobState
 	writing         bool // a transaction of job records or a raise is in flight
@@ -121,7 +121,7 @@
 		node: n, term: r, ctx: ctx,
 		events:    make(chan func(), max(minEvents, n.settings.Resources.MaxSockets)),
 		typeIndex: map[string]int{}, zoneIndex: map[string]int{}, teamIndex: map[string]int{},
-		jobs: jobstore.New(), fleet: agent.New(),
+		jobs: jobstore.New(), fleet: agent.NewRegistry(),
 		machines: map[*agent.Machine]*machineState{}, jobStates: map[*jobstore.Job]*jobState{},
 		workerClients: map[string]*wire.Client{},
 		blocked:       map[pool]time.Time{}, renting: map[string]string{}, failed: map[string]bool{}, relays: map[string]*proxyState{},
@@ -455,7 +455,7 @@
 		case h == nil || !a.Recorded:
 		case j.Cancelled && l.node.guard.proven(a.TaskName(), a.Number):
 			gone = append(gone, a)
-		case h.Sent.IsZero() && jobstore.AttemptTerm(a.Number) >= l.firstTerm:
+		case h.FirstSent.IsZero() && jobstore.AttemptTerm(a.Number) >= l.firstTerm:
 			gone = append(gone, a) // recorded by this leader and never sent
 		default:
 			m.Stop(h, 0)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -355,13 +355,13 @@
 // lease and its tasks outlive a cut between zones, and with the commands that
 // come through the state service. Once the leader is heard again the worker is
 // sent back to it.
-func (n *Node) proxyReport(r *agent.Report) (wire.Response, bool) {
+func (n *Node) proxyReport(r *agent.Heartbeat) (wire.Response, bool) {
 	leader, term, ok := n.candidate.Confirmed(proxyConfirmed)
-	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.Token > term || n.peers.ReachableWithin(leader, proxyUnheard) {
+	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.FencingToken > term || n.peers.ReachableWithin(leader, proxyUnheard) {
 		return wire.Response{}, false
 	}
 	answer := n.proxy.Answer(r, leader, term)
-	answer.Orders = append(answer.Orders, n.halts(r)...)
+	answer.Commands = append(answer.Commands, n.halts(r)...)
 	return wire.Response{Status: 200, Body: wire.Marshal(answer)}, true
 }
 
@@ -383,8 +383,8 @@
 // outage of the state service that outlasts the leases, or where a zone with a
 // controller is cut off from everything (197 tasks in inc-008f, 213 on a drawn day of
 // omaruru-fares-grown). No rule depends on a lease's end.
-func (n *Node) extendsLease(r *agent.Report) bool {
-	return r.Token != 0 && n.isolated() && n.mayExtendLease() && n.extended.noteUnlessSeen(r.Machine, time.Now())
+func (n *Node) extendsLease(r *agent.Heartbeat) bool {
+	return r.FencingToken != 0 && n.isolated() && n.mayExtendLease() && n.extended.noteUnlessSeen(r.Machine, time.Now())
 }
 
 // redirectedCount returns how many machines have lately reported to this node though it does
@@ -399,20 +399,20 @@
 // this node knows of the cancellations: for a worker that it answers without leading for
 // certain. They are right whoever leads, and nobody may in an outage that outlasts the
 // time in which such tasks must be gone.
-func (n *Node) halts(r *agent.Report) (out []agent.Order) {
+func (n *Node) halts(r *agent.Heartbeat) (out []agent.Command) {
 	now := 0.0
 	for _, t := range r.Tasks {
-		id, _, _ := agent.SplitTask(t.Task)
-		if t.Status != agent.Exited && len(out) < maxOrders && n.cancelled.Contains(id) {
-			out = append(out, agent.Order{Verb: "halt", Task: t.Task, Try: t.Try, WindDown: &now})
+		id, _, _ := agent.ParseTaskName(t.Task)
+		if t.Status != agent.StatusExited && len(out) < maxOrders && n.cancelled.Contains(id) {
+			out = append(out, agent.Command{Verb: "halt", Task: t.Task, Attempt: t.Attempt, GracePeriodS: &now})
 		}
 	}
 	return out
 }
 
 func (n *Node) report(ctx context.Context, body []byte) wire.Response {
-	var r agent.Report
-	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
+	var r agent.Heartbeat
+	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Incarnation == 0 {
 		return wire.Response{Status: 400, Body: wire.Marshal(wire.Problem{Error: fmt.Sprint("malformed report: ", err)})}
 	}
 	n.guard.observe(&r)
@@ -423,7 +423,7 @@
 			return resp
 		}
 		if n.extendsLease(&r) {
-			return wire.Response{Status: 200, Body: wire.Marshal(agent.Answer{Token: r.Token, Orders: n.halts(&r)})}
+			return wire.Response{Status: 200, Body: wire.Marshal(agent.HeartbeatResponse{FencingToken: r.FencingToken, Commands: n.halts(&r)})}
 		}
 		return n.redirect()
 	}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -23,7 +23,7 @@
 			s := h.Job.Spec
 			if m.Type >= 0 {
 				m.Images.Use(s.Image, s.ImageGB, l.types[m.Type].Disk, now)
-				if !h.Running.IsZero() {
+				if !h.RunningSince.IsZero() {
 					m.Images.Fetched(s.Image)
 				}
 			}
@@ -64,20 +64,20 @@
 // they cannot start elsewhere before they are gone here; tasks that can save their
 // progress go on for as long as they can; the others may yet be done in time.
 func (l *leader) drain(m *agent.Machine, now time.Time) {
-	if m.Recall.IsZero() {
+	if m.TerminationAt.IsZero() {
 		return
 	}
-	for _, h := range m.Sorted() {
+	for _, h := range m.SortedAssignments() {
 		s := h.Job.Spec
 		save := time.Duration(s.SaveS * float64(time.Second))
 		switch {
 		case s.Shape == job.Service:
 			m.Stop(h, s.SaveS)
 		case s.CheckpointS > 0 && h.Job.IsGang():
-			if m.Recall.Sub(now) < save+saveLeeway+l.node.settings.Workers.GangPeer {
+			if m.TerminationAt.Sub(now) < save+saveLeeway+l.node.settings.Workers.GangPeer {
 				l.stopGang(h.Job, now)
 			}
-		case s.CheckpointS > 0 && m.Recall.Sub(now) < save+saveLeeway:
+		case s.CheckpointS > 0 && m.TerminationAt.Sub(now) < save+saveLeeway:
 			m.Stop(h, s.SaveS)
 		}
 	}
@@ -101,22 +101,22 @@
 	if !st.valid || st.version != m.Version || st.typ != m.Type {
 		st.valid, st.version, st.typ = true, m.Version, m.Type
 		st.free = l.capacity(m.Type)
-		st.assigned = m.Sorted()
+		st.assigned = m.SortedAssignments()
 		st.tasks = make([]placement.Task, 0, len(st.assigned))
 		for i, h := range st.assigned {
 			job := l.jobStates[h.Job]
 			st.free = st.free.Add(job.need, -1)
 			st.tasks = append(st.tasks, placement.Task{ID: i, Need: job.need,
-				Priority: h.Job.Spec.Rank(), Team: job.team, Since: h.Since, Stopping: h.Stopping,
+				Priority: h.Job.Spec.Rank(), Team: job.team, Since: h.AssignedAt, Stopping: h.Stopping,
 				Mates: l.mates(h.Job), Ends: l.ends(h)})
 		}
 	}
 	for _, h := range st.assigned {
-		v.Fetch = v.Fetch || h.Running.IsZero()
+		v.Fetch = v.Fetch || h.RunningSince.IsZero()
 	}
 	v.Free, v.Tasks, v.Load = st.free, st.tasks, st.index.Value()
-	v.Open = l.present(m) && !m.Foreign() && !m.Sick && !m.Failed && m.RetireReason == "" && m.Recall.IsZero() &&
-		m.DeafSince.IsZero() && now.Sub(m.Heard) < l.node.operator.Silent
+	v.Open = l.present(m) && !m.HasUnknownTask() && !m.Quarantined && !m.Failed && m.RetireReason == "" && m.TerminationAt.IsZero() &&
+		m.UnresponsiveSince.IsZero() && now.Sub(m.LastHeartbeat) < l.node.operator.Silent
 	return v, st.assigned
 }
 
@@ -124,7 +124,7 @@
 // only have from an answer of this leader, or by the cloud's list. A report alone
 // may be a late copy: to a new leader, of a machine that was returned before.
 func (l *leader) present(m *agent.Machine) bool {
-	return m.Known && (m.Token >= l.firstTerm || m.Listed)
+	return m.Registered && (m.FencingToken >= l.firstTerm || m.Listed)
 }
 
 // teams returns limits and use; every attempt counts that is not proven gone.
@@ -266,7 +266,7 @@
 		if tries[a.Job] == 0 || !j.IsGang() {
 			tries[a.Job] = l.jobs.NextAttemptNumber(l.term.Number())
 		}
-		h := m.Assign(l.jobs.StartAttempt(j, task, tries[a.Job], m.Name, m.Session, now), now)
+		h := m.Assign(l.jobs.StartAttempt(j, task, tries[a.Job], m.Name, m.Incarnation, now), now)
 		m.Images.Use(j.Spec.Image, j.Spec.ImageGB, l.types[m.Type].Disk, now)
 		if st := l.jobStates[j]; st.failing() {
 			st.notBefore = now.Add(st.backoff)
@@ -456,7 +456,7 @@
 	all, heard := 0, 0
 	l.fleet.Each(func(m *agent.Machine) {
 		switch {
-		case m.Known:
+		case m.Registered:
 			heard++
 			all++
 		case !m.Booting && !m.Failed:
--- a/internal/controller/place_test.go
+++ b/internal/controller/place_test.go
@@ -19,7 +19,7 @@
 // concluded from the tasks on it (rule wrong_place, by same_place and apart).
 func TestUnknownZone(t *testing.T) {
 	now := time.Unix(0, 0)
-	l := &leader{fleet: agent.New(), zones: []string{"a", "b"}}
+	l := &leader{fleet: agent.NewRegistry(), zones: []string{"a", "b"}}
 	book := jobstore.New()
 	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 3}, ChunkSize: 4}
 	j, _, err := book.ApplyRecord(wire.Marshal(rec), 1)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -76,13 +76,13 @@
 		l.relays[batch.Node] = s
 	}
 	s.heard = now
-	take := func(r *agent.Report) {
-		if r.Token > l.term.Number() {
+	take := func(r *agent.Heartbeat) {
+		if r.FencingToken > l.term.Number() {
 			return
 		}
-		if m := l.applyReport(r, now); m != nil && m.Session == r.Session && m.Tick == r.Tick {
-			m.Via = batch.Node
-			m.Hears() // what goes through the node reaches it
+		if m := l.applyReport(r, now); m != nil && m.Incarnation == r.Incarnation && m.Sequence == r.Sequence {
+			m.RelayedBy = batch.Node
+			m.MarkResponsive() // what goes through the node reaches it
 		}
 	}
 	for i := range batch.Reports {
@@ -92,15 +92,15 @@
 	}
 	for i := range batch.Changes {
 		c := &batch.Changes[i]
-		if l.fleet.Returned(c.Machine) {
+		if l.fleet.WasReturned(c.Machine) {
 			continue
 		}
 		m := l.fleet.Machine(c.Machine)
-		if m == nil || m.Type < 0 || m.Zone < 0 || m.Session != c.Session || m.Tick != c.Before {
+		if m == nil || m.Type < 0 || m.Zone < 0 || m.Incarnation != c.Session || m.Sequence != c.Before {
 			s.wanted[c.Machine] = true // what it is a change of is not known here
 			continue
 		}
-		before := m.Newest()
+		before := m.LatestHeartbeat()
 		before.Type, before.Zone = l.types[m.Type].Name, l.zones[m.Zone]
 		r := c.Apply(before)
 		take(&r)
@@ -142,19 +142,19 @@
 	}
 	some := false
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.Via != node || now.Sub(m.Heard) > l.node.operator.Silent {
+		if m.RelayedBy != node || now.Sub(m.LastHeartbeat) > l.node.operator.Silent {
 			return
 		}
 		some = true
 		// What may be forgotten can wait until the cut is over; with it the commands of
 		// a large zone did not fit (apart of kapana-orders-grown).
-		o := relay.Order{Session: m.Session, Commands: relay.Brief(m.Orders(term, maxOrders, func(string) bool { return false }, now)), Whole: s.wanted[m.Name]}
+		o := relay.Order{Session: m.Incarnation, Commands: relay.Brief(m.PendingCommands(term, maxOrders, func(string) bool { return false }, now)), Whole: s.wanted[m.Name]}
 		if len(o.Commands) > 0 || o.Whole {
 			put(m.Index%len(parts), m.Name, o)
 		}
 	})
 	for name := range s.wanted {
-		if m := l.fleet.Machine(name); m == nil || m.Via != node {
+		if m := l.fleet.Machine(name); m == nil || m.RelayedBy != node {
 			some = true
 			put(0, name, relay.Order{Whole: true})
 		}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	for _, name := range names {
 		m := l.fleet.Machine(name)
-		for _, o := range l.fleet.Removed(name, now) {
+		for _, o := range l.fleet.Remove(name, now) {
 			l.outcome(m, o, now)
 		}
 		delete(l.machines, m)
@@ -115,7 +115,7 @@
 		// Until the list tells of it, it boots. Taken for one that should report, it kept
 		// a new leader from renting more until the gathering's time was over (the start of
 		// every day of omaruru-fares, at which no machine is up: 4 s).
-		m.Listed, m.Booting = true, !m.Known
+		m.Listed, m.Booting = true, !m.Registered
 		if m.Type < 0 {
 			m.Type, m.Zone, m.Spot = p.typ, p.zone, p.spot
 		}
@@ -137,18 +137,18 @@
 			continue
 		}
 		m := l.machine(c.Name, now)
-		if !m.Known {
+		if !m.Registered {
 			m.Type, m.Zone = l.lookup(c.Type, c.Zone)
 			m.Spot, m.Addr = c.Spot, c.Addr
 		}
 		m.Failed = c.Status == cloud.Failed
 		m.Listed = m.Listed || c.Status == cloud.Running
-		m.Booting = c.Status == cloud.Starting && !m.Known
+		m.Booting = c.Status == cloud.Starting && !m.Registered
 	}
 	l.fleet.Each(func(m *agent.Machine) {
 		heard := m.Created
-		if m.Known {
-			heard = m.Heard
+		if m.Registered {
+			heard = m.LastHeartbeat
 		}
 		if !in[m.Name] && m.RetireReason == "" && asked.Sub(heard) > lag && asked.Sub(m.Created) > lag {
 			giveUp(m, "no longer listed")
@@ -171,8 +171,8 @@
 		v, _ := l.view(m, now)
 		ms = append(ms, m)
 		machines = append(machines, autoscaler.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: v.Free,
-			Usable: v.Open || !m.Known && !m.Failed && !l.overdueBoot(m, now),
-			Empty:  m.Known && len(m.Assignments) == 0 && l.nothingUnsettled(m), Idle: min(now.Sub(m.IdleSince), now.Sub(m.Created)-minPaid+l.node.operator.IdleReturn)})
+			Usable: v.Open || !m.Registered && !m.Failed && !l.overdueBoot(m, now),
+			Empty:  m.Registered && len(m.Assignments) == 0 && l.nothingUnsettled(m), Idle: min(now.Sub(m.IdleSince), now.Sub(m.Created)-minPaid+l.node.operator.IdleReturn)})
 	})
 	var pools []autoscaler.Pool
 	for t := range l.types {
@@ -229,7 +229,7 @@
 		if m.Spot {
 			spot++
 		}
-		if m.Known {
+		if m.Registered {
 			v, assigned := l.view(m, now)
 			up++
 			cpus += l.types[m.Type].CPUs
@@ -258,7 +258,7 @@
 // nothingUnsettled tells whether all results on a machine are written.
 func (l *leader) nothingUnsettled(m *agent.Machine) bool {
 	ok := true
-	m.Finished(func(task string) { ok = ok && l.settled(task) })
+	m.EachExited(func(task string) { ok = ok && l.settled(task) })
 	return ok
 }
 
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -18,14 +18,14 @@
 )
 
 // onReport handles a report and gives its answer.
-func (l *leader) onReport(r *agent.Report) wire.Response {
+func (l *leader) onReport(r *agent.Heartbeat) wire.Response {
 	if !l.loaded.Load() {
 		return wire.Response{Status: 503, RetryAfter: 1}
 	}
 	term := l.term.Number()
-	if r.Token > term {
+	if r.FencingToken > term {
 		// Whatever we answer would be dropped and keep the worker here.
-		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.Token) })
+		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.FencingToken) })
 		return wire.Response{Status: 421}
 	}
 	now := time.Now()
@@ -36,12 +36,12 @@
 	if !l.node.mayExtendLease() {
 		return wire.Response{Status: 503, RetryAfter: 1}
 	}
-	answer := agent.Answer{Token: term}
+	answer := agent.HeartbeatResponse{FencingToken: term}
 	// A late copy says nothing of the way that newer reports take.
-	if r.Session == m.Session && r.Tick == m.Tick {
-		m.Via = ""
-		m.Answered(term, l.node.settings.Workers.Lease, now)
-		answer.Orders = l.orders(m, now)
+	if r.Incarnation == m.Incarnation && r.Sequence == m.Sequence {
+		m.RelayedBy = ""
+		m.HeartbeatAnswered(term, l.node.settings.Workers.Lease, now)
+		answer.Commands = l.orders(m, now)
 	}
 	return wire.Response{Status: 200, Body: wire.Marshal(answer)}
 }
@@ -51,26 +51,26 @@
 //
 // It guards against an outage of the state service, or a cut from it, that outlasts the
 // time in which a cancelled task must be gone (ran_cancelled on days of our own).
-func (l *leader) orders(m *agent.Machine, now time.Time) []agent.Order {
+func (l *leader) orders(m *agent.Machine, now time.Time) []agent.Command {
 	if !l.term.Valid() {
-		return m.Halts(maxOrders)
+		return m.HaltCommands(maxOrders)
 	}
-	return m.Orders(l.term.Number(), maxOrders, l.settled, now)
+	return m.PendingCommands(l.term.Number(), maxOrders, l.settled, now)
 }
 
 // applyReport learns from a report, or from the answer to a direct command.
-func (l *leader) applyReport(r *agent.Report, now time.Time) *agent.Machine {
+func (l *leader) applyReport(r *agent.Heartbeat, now time.Time) *agent.Machine {
 	if l.fleet.Add(r.Machine, now) == nil {
 		return nil
 	}
 	m := l.machine(r.Machine, now)
 	m.Type, m.Zone = l.lookup(r.Type, r.Zone)
 	was := m.Version
-	idle := !m.Known || now.Sub(m.Heard) >= l.node.operator.Silent
-	if !m.Known {
+	idle := !m.Registered || now.Sub(m.LastHeartbeat) >= l.node.operator.Silent
+	if !m.Registered {
 		l.learnImages(m, r, now)
 	}
-	outcomes, fresh := m.Handle(r, l.node.settings.Workers.Lease, now)
+	outcomes, fresh := m.ApplyHeartbeat(r, l.node.settings.Workers.Lease, now)
 	if !fresh {
 		return m
 	}
@@ -79,9 +79,9 @@
 		l.outcome(m, o, now)
 	}
 	for _, h := range m.Assignments {
-		if h.Running.Equal(now) {
+		if h.RunningSince.Equal(now) {
 			slog.Debug("attempt running", "task", h.TaskName(), "try", h.Number, "machine", m.Name,
-				"placed_s", h.Since.Sub(h.Job.SubmittedAt).Seconds(), "running_s", now.Sub(h.Job.SubmittedAt).Seconds())
+				"placed_s", h.AssignedAt.Sub(h.Job.SubmittedAt).Seconds(), "running_s", now.Sub(h.Job.SubmittedAt).Seconds())
 		}
 	}
 	return m
@@ -90,13 +90,13 @@
 // learnImages takes from a machine's first report to this leader which images it has:
 // those of the tasks that run or have run there. Without it a new leader knows only of
 // what runs, and sends work to fetch what is there.
-func (l *leader) learnImages(m *agent.Machine, r *agent.Report, now time.Time) {
+func (l *leader) learnImages(m *agent.Machine, r *agent.Heartbeat, now time.Time) {
 	if m.Type < 0 {
 		return
 	}
 	for _, t := range r.Tasks {
-		id, _, _ := agent.SplitTask(t.Task)
-		if j := l.jobs.Job(id); j != nil && (t.Status == agent.Running || t.Cause == agent.CauseDone) {
+		id, _, _ := agent.ParseTaskName(t.Task)
+		if j := l.jobs.Job(id); j != nil && (t.Status == agent.StatusRunning || t.Cause == agent.CauseDone) {
 			m.Images.Use(j.Spec.Image, j.Spec.ImageGB, l.types[m.Type].Disk, now)
 			m.Images.Fetched(j.Spec.Image)
 		}
@@ -117,7 +117,7 @@
 
 // settled tells whether the result of a task is written, or needed by nobody.
 func (l *leader) settled(task string) bool {
-	id, n, ok := agent.SplitTask(task)
+	id, n, ok := agent.ParseTaskName(task)
 	if !ok {
 		return true
 	}
@@ -173,12 +173,12 @@
 	}
 	switch o.Cause {
 	case agent.CauseDone:
-		if !o.Assignment.Running.IsZero() {
-			l.learned.Add(a.Job.Spec.Class, a.Job.Spec.ExpectS, now.Sub(o.Assignment.Running).Seconds())
+		if !o.Assignment.RunningSince.IsZero() {
+			l.learned.Add(a.Job.Spec.Class, a.Job.Spec.ExpectS, now.Sub(o.Assignment.RunningSince).Seconds())
 		}
 		m.Images.Fetched(a.Job.Spec.Image)
-		m.Errors = 0
-		clear(m.Blamed)
+		m.FailedAttempts = 0
+		clear(m.FailedJobs)
 		st.errors, st.backoff = 0, 0
 	case agent.CauseError:
 		st.failedOn[m.Name] = struct{}{}
@@ -189,21 +189,21 @@
 			}
 			clear(st.failedOn) // it may try anywhere again
 			l.fleet.Each(func(m *agent.Machine) {
-				if _, blamed := m.Blamed[a.Job.Spec.ID]; blamed {
-					delete(m.Blamed, a.Job.Spec.ID)
-					m.Sick = m.Sick && (m.RetireReason != "" || len(m.Blamed) >= sickJobs)
+				if _, blamed := m.FailedJobs[a.Job.Spec.ID]; blamed {
+					delete(m.FailedJobs, a.Job.Spec.ID)
+					m.Quarantined = m.Quarantined && (m.RetireReason != "" || len(m.FailedJobs) >= sickJobs)
 				}
 			})
 			return
 		}
-		m.Errors++
-		m.Blamed[a.Job.Spec.ID] = struct{}{}
+		m.FailedAttempts++
+		m.FailedJobs[a.Job.Spec.ID] = struct{}{}
 		well := a.Job.DoneTasks() > 0
-		if (len(m.Blamed) >= sickJobs || well && m.Errors >= sickErrors) && !m.Sick {
-			m.Sick = true
-			slog.Info("machine quarantined", "machine", m.Name, "errors", m.Errors)
+		if (len(m.FailedJobs) >= sickJobs || well && m.FailedAttempts >= sickErrors) && !m.Quarantined {
+			m.Quarantined = true
+			slog.Info("machine quarantined", "machine", m.Name, "errors", m.FailedAttempts)
 		}
-	case agent.CauseRoom, agent.CauseInUse, agent.CauseNoJob:
+	case agent.CauseNoRoom, agent.CauseInUse, agent.CauseUnknownJob:
 		st.notBefore = now.Add(time.Second)
 	}
 }
@@ -215,21 +215,21 @@
 // push sends urgent commands directly, one request a machine at a time.
 func (l *leader) push(now time.Time) {
 	l.fleet.Each(func(m *agent.Machine) {
-		if !m.Urgent() || now.Sub(m.Heard) >= l.node.operator.Silent || l.pushing >= l.node.settings.Resources.MaxSockets/pushShare {
+		if !m.Urgent() || now.Sub(m.LastHeartbeat) >= l.node.operator.Silent || l.pushing >= l.node.settings.Resources.MaxSockets/pushShare {
 			return // its turn comes when others are done, or with its next report
 		}
 		orders := l.orders(m, now)
 		if len(orders) == 0 {
 			return
 		}
-		m.Pushing = true
+		m.RequestInFlight = true
 		l.pushing++
 		c := l.workerClient(m)
-		body := wire.Marshal(agent.Commands{Token: l.term.Number(), Session: m.Session, Orders: orders})
+		body := wire.Marshal(agent.CommandRequest{FencingToken: l.term.Number(), Incarnation: m.Incarnation, Commands: orders})
 		l.spawn(func() {
 			ctx, cancel := context.WithTimeout(l.ctx, 1500*time.Millisecond)
 			defer cancel()
-			r, err := agent.Ask(ctx, c, "POST", "/commands", body)
+			r, err := agent.Call(ctx, c, "POST", "/commands", body)
 			l.post(func() {
 				l.pushing--
 				l.pushed(m, &r, err)
@@ -238,8 +238,8 @@
 	})
 }
 
-func (l *leader) pushed(m *agent.Machine, r *agent.Report, err error) {
-	m.Pushing = false
+func (l *leader) pushed(m *agent.Machine, r *agent.Heartbeat, err error) {
+	m.RequestInFlight = false
 	if err != nil {
 		// Whether they were carried out, or yet will be, is unknown; reports tell.
 		slog.Debug("commands not answered", "machine", m.Name, "err", err)
@@ -248,21 +248,21 @@
 	if m.Gone || r.Machine != m.Name {
 		return
 	}
-	if r.Token > l.term.Number() {
-		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.Token) })
+	if r.FencingToken > l.term.Number() {
+		l.spawn(func() { l.node.candidate.ObserveToken(l.ctx, r.FencingToken) })
 		return
 	}
-	m.Hears()
+	m.MarkResponsive()
 	l.applyStatus(m, r)
 }
 
 // applyStatus learns from what a machine answers to a direct request. It is no sign that
 // its reports still arrive, and without them its lease runs out.
-func (l *leader) applyStatus(m *agent.Machine, r *agent.Report) {
-	heard := m.Heard
+func (l *leader) applyStatus(m *agent.Machine, r *agent.Heartbeat) {
+	heard := m.LastHeartbeat
 	l.applyReport(r, time.Now())
-	if m.Known && !heard.IsZero() {
-		m.Heard = heard
+	if m.Registered && !heard.IsZero() {
+		m.LastHeartbeat = heard
 	}
 }
 
@@ -279,26 +279,26 @@
 	quiet := l.node.settings.Workers.Report * 3 / 2
 	l.fleet.Each(func(m *agent.Machine) {
 		since := l.started
-		if m.Known {
-			since = m.Heard
+		if m.Registered {
+			since = m.LastHeartbeat
 		}
-		if now.Sub(since) < quiet && m.DeafSince.IsZero() || m.Addr == "" || m.RetireReason != "" || m.Booting || m.Pushing || m.Via != "" ||
-			now.Sub(m.Probed) < probeEvery || l.probing >= l.node.settings.Resources.MaxSockets/pushShare {
+		if now.Sub(since) < quiet && m.UnresponsiveSince.IsZero() || m.Addr == "" || m.RetireReason != "" || m.Booting || m.RequestInFlight || m.RelayedBy != "" ||
+			now.Sub(m.LastProbe) < probeEvery || l.probing >= l.node.settings.Resources.MaxSockets/pushShare {
 			return
 		}
-		m.Probed, m.Pushing = now, true
+		m.LastProbe, m.RequestInFlight = now, true
 		l.probing++
 		c, term := l.workerClient(m), l.term.Number()
 		l.spawn(func() {
 			ctx, cancel := context.WithTimeout(l.ctx, 1500*time.Millisecond)
 			defer cancel()
-			r, err := agent.Ask(ctx, c, "GET", "/status", nil)
-			if err == nil && r.Token < term {
-				r, err = agent.Ask(ctx, c, "POST", "/commands", wire.Marshal(agent.Commands{Token: term, Session: r.Session, Orders: []agent.Order{}}))
+			r, err := agent.Call(ctx, c, "GET", "/status", nil)
+			if err == nil && r.FencingToken < term {
+				r, err = agent.Call(ctx, c, "POST", "/commands", wire.Marshal(agent.CommandRequest{FencingToken: term, Incarnation: r.Incarnation, Commands: []agent.Command{}}))
 			}
 			l.post(func() {
 				l.probing--
-				m.Unreached = err != nil
+				m.ProbeFailed = err != nil
 				l.pushed(m, &r, err)
 			})
 		})
@@ -332,10 +332,10 @@
 	}
 	heard, answered := 0, 0
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.Known && m.Via == "" && now.Sub(m.Heard) < l.node.settings.Workers.Report*3/2 {
+		if m.Registered && m.RelayedBy == "" && now.Sub(m.LastHeartbeat) < l.node.settings.Workers.Report*3/2 {
 			heard++
 		}
-		if m.Known && m.Token >= l.firstTerm {
+		if m.Registered && m.FencingToken >= l.firstTerm {
 			answered++
 		}
 	})
--- a/internal/controller/retire.go
+++ b/internal/controller/retire.go
@@ -51,21 +51,21 @@
 
 // retireReason returns why a machine is to be given up; empty: it is not.
 func (l *leader) retireReason(m *agent.Machine, zones zoneSilence, now time.Time) string {
-	inUse := m.Known || len(m.Assignments) > 0
+	inUse := m.Registered || len(m.Assignments) > 0
 	switch {
 	case m.Failed:
 		return "failed"
-	case m.Sick:
+	case m.Quarantined:
 		return "faulty"
 	case !inUse && now.Sub(m.Created) > l.bootLimit(m):
 		return "never came up"
 	case inUse && l.lost(m, zones, now):
 		return "silent"
-	case !m.Recall.IsZero() && now.After(m.Recall) && l.quiet(m, now) >= l.node.operator.Silent:
+	case !m.TerminationAt.IsZero() && now.After(m.TerminationAt) && l.quiet(m, now) >= l.node.operator.Silent:
 		return "taken back"
-	case m.Known && len(m.Assignments) == 0 && (m.Type < 0 || m.Zone < 0):
+	case m.Registered && len(m.Assignments) == 0 && (m.Type < 0 || m.Zone < 0):
 		return "of no known type or zone"
-	case !m.DeafSince.IsZero() && now.Sub(m.DeafSince) >= deafPatience:
+	case !m.UnresponsiveSince.IsZero() && now.Sub(m.UnresponsiveSince) >= deafPatience:
 		return "gets no commands"
 	}
 	return ""
@@ -73,8 +73,8 @@
 
 // quiet returns for how long a machine has not been heard by this leader.
 func (l *leader) quiet(m *agent.Machine, now time.Time) time.Duration {
-	if m.Known {
-		return now.Sub(m.Heard)
+	if m.Registered {
+		return now.Sub(m.LastHeartbeat)
 	}
 	return now.Sub(l.started)
 }
@@ -96,7 +96,7 @@
 func (l *leader) silence(now time.Time) zoneSilence {
 	z := zoneSilence{byZone: make([]silentCount, len(l.zones)), heard: make([]time.Time, len(l.zones))}
 	l.fleet.Each(func(m *agent.Machine) {
-		if !m.Known && len(m.Assignments) == 0 {
+		if !m.Registered && len(m.Assignments) == 0 {
 			return
 		}
 		silent := 0
@@ -110,8 +110,8 @@
 		}
 		z.byZone[m.Zone].all++
 		z.byZone[m.Zone].silent += silent
-		if m.Heard.After(z.heard[m.Zone]) {
-			z.heard[m.Zone] = m.Heard
+		if m.LastHeartbeat.After(z.heard[m.Zone]) {
+			z.heard[m.Zone] = m.LastHeartbeat
 		}
 	})
 	return z
@@ -150,10 +150,10 @@
 		}
 		silent = min(silent, now.Sub(l.cutUntil[m.Zone]))
 	}
-	if !m.Known {
+	if !m.Registered {
 		return silent >= max(abandon, lease)
 	}
-	return silent >= abandon || m.Unreached && silent >= l.node.operator.Silent && l.alone(m, zones, now)
+	return silent >= abandon || m.ProbeFailed && silent >= l.node.operator.Silent && l.alone(m, zones, now)
 }
 
 // cutPatience is for how long a machine in a zone that is cut off is kept. Those that serve in
@@ -163,9 +163,9 @@
 func (l *leader) cutPatience(m *agent.Machine, zone silentCount) time.Duration {
 	abandon, lease := l.node.operator.Abandon, l.node.settings.Workers.Lease
 	switch {
-	case !m.Serves() || l.node.settings.Controls(l.zones[m.Zone]):
+	case !m.RunsService() || l.node.settings.Controls(l.zones[m.Zone]):
 		return max(abandon, cutPatience*lease)
-	case !m.Known && zone.silent == zone.all:
+	case !m.Registered && zone.silent == zone.all:
 		return abandon
 	}
 	return max(abandon, lease)
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -185,7 +185,7 @@
 		defer n.leader.CompareAndSwap(l, nil)
 		var resp wire.Response
 		go func() {
-			resp = n.report(context.Background(), wire.Marshal(agent.Report{Machine: "vm-000001", Session: 1, Tick: 1}))
+			resp = n.report(context.Background(), wire.Marshal(agent.Heartbeat{Machine: "vm-000001", Incarnation: 1, Sequence: 1}))
 		}()
 		synctest.Wait()
 		if len(l.events) == 0 || resp.Status != 0 {
--- a/internal/controller/size_bench_test.go
+++ b/internal/controller/size_bench_test.go
@@ -79,7 +79,7 @@
 // takeOver reads the records and takes a report of each machine.
 func (l *leader) takeOver(b *testing.B, machines int) {
 	now := time.Now()
-	tasks := make([][]agent.TaskReport, machines)
+	tasks := make([][]agent.ReportedTask, machines)
 	for _, r := range records(machines) {
 		j, _, err := l.jobs.ApplyRecord(r.value, 1)
 		if err != nil {
@@ -92,8 +92,8 @@
 			a := l.jobs.StartAttempt(j, t, try, machineName(m), 1, now)
 			a.Recorded = true
 			hold := l.machine(a.Machine, now).Assign(a, now)
-			hold.Sent, hold.Since = now, now.Add(-time.Duration((r.first+t)*7919%60_000)*time.Millisecond) // they end one after the other
-			tasks[m] = append(tasks[m], agent.TaskReport{Task: a.TaskName(), Try: try, Status: agent.Running})
+			hold.FirstSent, hold.AssignedAt = now, now.Add(-time.Duration((r.first+t)*7919%60_000)*time.Millisecond) // they end one after the other
+			tasks[m] = append(tasks[m], agent.ReportedTask{Task: a.TaskName(), Attempt: try, Status: agent.StatusRunning})
 		}
 	}
 	for m := range machines {
@@ -104,9 +104,9 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-func benchReport(machine int, tick uint64, tasks []agent.TaskReport) *agent.Report {
-	return &agent.Report{Machine: machineName(machine), Addr: "10.1.0.1:9000", Type: "box", Zone: []string{"a", "b"}[machine%2],
-		Session: 1, Tick: tick, Token: 2, Tasks: tasks}
+func benchReport(machine int, tick uint64, tasks []agent.ReportedTask) *agent.Heartbeat {
+	return &agent.Heartbeat{Machine: machineName(machine), Addr: "10.1.0.1:9000", Type: "box", Zone: []string{"a", "b"}[machine%2],
+		Incarnation: 1, Sequence: tick, FencingToken: 2, Tasks: tasks}
 }
 
 func forSizes(b *testing.B, f func(b *testing.B, machines int)) {
@@ -148,7 +148,7 @@
 		for b.Loop() {
 			tick++
 			m := int(tick) % machines
-			l.applyReport(benchReport(m, tick, l.fleet.At(m).Newest().Tasks), time.Now())
+			l.applyReport(benchReport(m, tick, l.fleet.At(m).LatestHeartbeat().Tasks), time.Now())
 		}
 	})
 }
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -228,7 +228,7 @@
 		leader := c.leader()
 		lead := c.nodes[leader].leader.Load()
 		for i := range 5 {
-			body := wire.Marshal(agent.Report{Machine: "vm-000099", Session: 1, Tick: uint64(i + 1), Token: 1 << 60})
+			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
 			if s := c.ask(leader, "POST", "/v1/report", body).Status; s != 421 {
 				t.Errorf("answer %d", s)
 			}
@@ -286,7 +286,7 @@
 			time.Sleep(8 * time.Second)
 		}
 		for i, want := range []int{200, 421} {
-			body := wire.Marshal(agent.Report{Machine: "vm-000099", Session: 1, Tick: uint64(i + 1), Token: 1})
+			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1})
 			if s := c.ask(0, "POST", "/v1/report", body).Status; s != want {
 				t.Errorf("report %d of a worker: %d, want %d", i+1, s, want)
 			}
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -44,7 +44,7 @@
 			if a.Job.Cancelled {
 				continue // stopAttempts halts it; it was never sent
 			}
-			l.machine(a.Machine, now).Kick()
+			l.machine(a.Machine, now).MarkUrgent()
 		}
 		for _, j := range ended {
 			l.ended(j)
@@ -139,11 +139,11 @@
 	need := false
 	l.fleet.Each(func(m *agent.Machine) {
 		// A machine that is heard through others forgets nothing whatever its token.
-		if m.Via == "" && m.Retained() > maxExited {
+		if m.RelayedBy == "" && m.ExitedTasks() > maxExited {
 			need = true
 		}
 		for _, h := range m.Assignments {
-			if h.Stopping && h.Missing >= 2 && jobstore.AttemptTerm(h.Number) == l.term.Number() {
+			if h.Stopping && h.MissedHeartbeats >= 2 && jobstore.AttemptTerm(h.Number) == l.term.Number() {
 				need = true
 			}
 		}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -105,9 +105,9 @@
 		time.AfterFunc(0, func() {
 			m.w.mu.Lock()
 			defer m.w.mu.Unlock()
-			if m.t.status == agent.Waiting {
+			if m.t.status == agent.StatusWaiting {
 				m.t.stop.Stop()
-				m.t.status = agent.Running
+				m.t.status = agent.StatusRunning
 				m.w.changed()
 			}
 		})
@@ -141,10 +141,10 @@
 func (g *Gangs) exit(m *member, cause string) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.t.status == agent.Exited || m.w.tasks[m.key] != m.t {
+	if m.t.status == agent.StatusExited || m.w.tasks[m.key] != m.t {
 		return
 	}
-	if cause == agent.CauseIncomplete && m.t.status != agent.Waiting {
+	if cause == agent.CauseIncomplete && m.t.status != agent.StatusWaiting {
 		return
 	}
 	if m.w.hung {
@@ -155,7 +155,7 @@
 	switch cause {
 	case agent.CauseIncomplete:
 		g.Count.Incomplete++
-	case agent.CauseMatesGone:
+	case agent.CauseMembersGone:
 		g.Count.MatesGone++
 	}
 	for _, try := range g.jobs[m.id()].tries {
@@ -165,13 +165,13 @@
 	}
 	g.mu.Unlock()
 	m.t.stop.Stop()
-	m.t.status, m.t.cause = agent.Exited, cause
+	m.t.status, m.t.cause = agent.StatusExited, cause
 	m.w.cloud.referee.end(m.key.task, m.w.Name, cause == agent.CauseDone)
 	m.w.changed()
 }
 
 func (m *member) id() string {
-	id, _, _ := agent.SplitTask(m.key.task)
+	id, _, _ := agent.ParseTaskName(m.key.task)
 	return id
 }
 
@@ -187,9 +187,9 @@
 		return
 	case try.over, halt && m.told && windDown > 0:
 		return
-	case halt && m.t.status == agent.Running && s.CheckpointS > 0 && windDown >= s.SaveS && !try.missing():
+	case halt && m.t.status == agent.StatusRunning && s.CheckpointS > 0 && windDown >= s.SaveS && !try.missing():
 		m.told = true
-		m.t.status = agent.Saving
+		m.t.status = agent.StatusCheckpointing
 		if try.halted.IsZero() {
 			try.halted = time.Now()
 			time.AfterFunc(g.Peer, func() { g.stop(try) })
@@ -234,7 +234,7 @@
 	g.mu.Unlock()
 	time.AfterFunc(rest, func() {
 		for _, m := range try.members {
-			g.exit(m, agent.CauseStop)
+			g.exit(m, agent.CauseStopped)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 	}
 	g.mu.Unlock()
 	for _, m := range try.members {
-		g.exit(m, agent.CauseMatesGone)
+		g.exit(m, agent.CauseMembersGone)
 	}
 }
 
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -59,7 +59,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			for task := range r.on {
-				if of, _, _ := agent.SplitTask(task); of == id {
+				if of, _, _ := agent.ParseTaskName(task); of == id {
 					r.fault("%s is on a machine %v after its cancellation was told", task, r.Within)
 				}
 			}
@@ -105,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.on {
-		if of, _, _ := agent.SplitTask(task); of == id {
+		if of, _, _ := agent.ParseTaskName(task); of == id {
 			n++
 		}
 	}
@@ -136,7 +136,7 @@
 func (r *Referee) start(task string, at place) (*job.Spec, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, _, _ := agent.SplitTask(task)
+	id, _, _ := agent.ParseTaskName(task)
 	s := r.jobs[id]
 	if s == nil {
 		return nil, false
@@ -161,7 +161,7 @@
 func (r *Referee) place(task, id string, s *job.Spec, at place) {
 	used, there := 0.0, 0
 	for other, p := range r.on {
-		of, _, _ := agent.SplitTask(other)
+		of, _, _ := agent.ParseTaskName(other)
 		spec := r.jobs[of]
 		if spec.Team == s.Team {
 			used += spec.CPUs
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -72,7 +72,7 @@
 	defer w.mu.Unlock()
 	w.hung = hung
 	for _, t := range w.tasks {
-		if t.hung != nil && t.status != agent.Exited {
+		if t.hung != nil && t.status != agent.StatusExited {
 			t.hung(hung)
 		}
 	}
@@ -122,7 +122,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for k, t := range w.tasks {
-		if of, _, _ := agent.SplitTask(k.task); of == id && t.status != agent.Exited {
+		if of, _, _ := agent.ParseTaskName(k.task); of == id && t.status != agent.StatusExited {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, t := range w.tasks {
-		if t.status != agent.Exited {
+		if t.status != agent.StatusExited {
 			n++
 		}
 	}
@@ -164,7 +164,7 @@
 
 func (w *Worker) kill() {
 	for k, t := range w.tasks {
-		if t.status != agent.Exited {
+		if t.status != agent.StatusExited {
 			t.stop.Stop()
 			if t.left != nil {
 				t.left(false, 0)
@@ -237,13 +237,13 @@
 
 func (w *Worker) snapshot() []byte {
 	w.tick++
-	r := agent.Report{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Session: w.session, Tick: w.tick, Token: w.token}
+	r := agent.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Incarnation: w.session, Sequence: w.tick, FencingToken: w.token}
 	if !w.notice.IsZero() {
 		left := time.Until(w.notice).Seconds()
-		r.RecallS = &left
+		r.TerminationNoticeS = &left
 	}
 	for k, t := range w.tasks {
-		r.Tasks = append(r.Tasks, agent.TaskReport{Task: k.task, Try: k.try, Status: t.status, Cause: t.cause})
+		r.Tasks = append(r.Tasks, agent.ReportedTask{Task: k.task, Attempt: k.try, Status: t.status, Cause: t.cause})
 	}
 	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].Task < r.Tasks[j].Task })
 	return wire.Marshal(r)
@@ -272,21 +272,21 @@
 }
 
 func (w *Worker) take(body []byte, sent time.Time) {
-	var a agent.Answer
+	var a agent.HeartbeatResponse
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if wire.Unmarshal(body, &a) != nil || a.Token < w.token {
+	if wire.Unmarshal(body, &a) != nil || a.FencingToken < w.token {
 		return
 	}
-	w.token = a.Token
+	w.token = a.FencingToken
 	w.leaseAt = sent
-	w.execute(a.Orders)
+	w.execute(a.Commands)
 }
 
 func (w *Worker) handle(_ context.Context, req *wire.Request) wire.Response {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var c agent.Commands
+	var c agent.CommandRequest
 	if w.hung || w.deaf {
 		return wire.Response{Status: drop}
 	}
@@ -296,11 +296,11 @@
 	if req.Path != "/commands" || wire.Unmarshal(req.Body, &c) != nil {
 		return wire.Response{Status: 400}
 	}
-	if c.Token < w.token || c.Session != w.session {
+	if c.FencingToken < w.token || c.Incarnation != w.session {
 		return wire.Response{Status: 409, Body: w.snapshot()}
 	}
-	w.token = c.Token
-	w.execute(c.Orders)
+	w.token = c.FencingToken
+	w.execute(c.Commands)
 	return wire.Response{Status: 200, Body: w.snapshot()}
 }
 
@@ -311,30 +311,30 @@
 	}
 }
 
-func (w *Worker) execute(orders []agent.Order) {
+func (w *Worker) execute(orders []agent.Command) {
 	for _, o := range orders {
-		k := fleetKey{o.Task, o.Try}
+		k := fleetKey{o.Task, o.Attempt}
 		t := w.tasks[k]
 		switch {
 		case o.Verb == "run" && t == nil:
 			w.tasks[k] = w.begin(k)
 			w.changed()
-		case o.Verb == "halt" && t != nil && t.status != agent.Exited:
+		case o.Verb == "halt" && t != nil && t.status != agent.StatusExited:
 			if t.left != nil {
 				windDown := 0.0
-				if o.WindDown != nil {
-					windDown = *o.WindDown
+				if o.GracePeriodS != nil {
+					windDown = *o.GracePeriodS
 				}
-				if t.left(true, windDown); t.status == agent.Saving && windDown > 0 {
+				if t.left(true, windDown); t.status == agent.StatusCheckpointing && windDown > 0 {
 					w.changed()
 					continue
 				}
 			}
 			t.stop.Stop()
-			t.status, t.cause = agent.Exited, agent.CauseStop
+			t.status, t.cause = agent.StatusExited, agent.CauseStopped
 			w.cloud.referee.end(k.task, w.Name, false)
 			w.changed()
-		case o.Verb == "forget" && t != nil && t.status == agent.Exited:
+		case o.Verb == "forget" && t != nil && t.status == agent.StatusExited:
 			delete(w.tasks, k)
 		}
 	}
@@ -342,21 +342,21 @@
 
 func (w *Worker) begin(k fleetKey) *task {
 	for other, t := range w.tasks {
-		if other.task == k.task && t.status != agent.Exited {
-			return &task{status: agent.Exited, cause: agent.CauseInUse}
+		if other.task == k.task && t.status != agent.StatusExited {
+			return &task{status: agent.StatusExited, cause: agent.CauseInUse}
 		}
 	}
 	s, known := w.cloud.referee.start(k.task, place{w.Name, w.Zone, k.try})
 	if !known {
-		return &task{status: agent.Exited, cause: agent.CauseNoJob}
+		return &task{status: agent.StatusExited, cause: agent.CauseUnknownJob}
 	}
 	if w.sick || s.Class == Mistaken {
 		w.cloud.referee.end(k.task, w.Name, false)
 		w.changed()
-		return &task{status: agent.Exited, cause: agent.CauseError}
+		return &task{status: agent.StatusExited, cause: agent.CauseError}
 	}
 	if s.Shape == job.Gang {
-		t := &task{status: agent.Waiting}
+		t := &task{status: agent.StatusWaiting}
 		w.cloud.Gangs.join(s, w, k, t)
 		return t
 	}
@@ -364,12 +364,12 @@
 	if s.Shape == job.Service {
 		run = 1000 * time.Hour
 	}
-	t := &task{status: agent.Running}
+	t := &task{status: agent.StatusRunning}
 	t.stop = time.AfterFunc(run, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if t.status == agent.Running {
-			t.status, t.cause = agent.Exited, agent.CauseDone
+		if t.status == agent.StatusRunning {
+			t.status, t.cause = agent.StatusExited, agent.CauseDone
 			w.cloud.referee.end(k.task, w.Name, true)
 			w.changed()
 		}
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -34,27 +34,27 @@
 }
 
 // Report returns the report that w stands for.
-func (w *FullReport) Report() agent.Report {
-	return agent.Report{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Tick: w.Tick, Token: w.Token, RecallS: w.RecallS, Tasks: appendTasks(nil, w.Tasks)}
+func (w *FullReport) Report() agent.Heartbeat {
+	return agent.Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		Incarnation: w.Session, Sequence: w.Tick, FencingToken: w.Token, TerminationNoticeS: w.RecallS, Tasks: appendTasks(nil, w.Tasks)}
 }
 
-func whole(r *agent.Report) FullReport {
+func whole(r *agent.Heartbeat) FullReport {
 	w := FullReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Tick: r.Tick, Token: r.Token, RecallS: r.RecallS}
+		Session: r.Incarnation, Tick: r.Sequence, Token: r.FencingToken, RecallS: r.TerminationNoticeS}
 	for _, t := range r.Tasks {
 		w.Tasks = append(w.Tasks, brief(t))
 	}
 	return w
 }
 
-func brief(t agent.TaskReport) Task {
-	return Task{Task: t.Task, Try: t.Try, Status: t.Status, Cause: t.Cause}
+func brief(t agent.ReportedTask) Task {
+	return Task{Task: t.Task, Try: t.Attempt, Status: t.Status, Cause: t.Cause}
 }
 
-func appendTasks(out []agent.TaskReport, tasks []Task) []agent.TaskReport {
+func appendTasks(out []agent.ReportedTask, tasks []Task) []agent.ReportedTask {
 	for _, t := range tasks {
-		out = append(out, agent.TaskReport{Task: t.Task, Try: t.Try, Status: t.Status, Cause: t.Cause})
+		out = append(out, agent.ReportedTask{Task: t.Task, Attempt: t.Try, Status: t.Status, Cause: t.Cause})
 	}
 	return out
 }
@@ -82,15 +82,15 @@
 }
 
 // Apply returns the report that a change stands for, given the one before it.
-func (c *ReportChange) Apply(before agent.Report) agent.Report {
+func (c *ReportChange) Apply(before agent.Heartbeat) agent.Heartbeat {
 	r := before
-	r.Tick, r.Token, r.Tasks = c.Tick, c.Token, nil
+	r.Sequence, r.FencingToken, r.Tasks = c.Tick, c.Token, nil
 	out := map[attempt]bool{}
 	for _, t := range slices.Concat(c.Tasks, c.Gone) {
 		out[attempt{t.Task, t.Try}] = true
 	}
 	for _, t := range before.Tasks {
-		if !out[attempt{t.Task, t.Try}] {
+		if !out[attempt{t.Task, t.Attempt}] {
 			r.Tasks = append(r.Tasks, t)
 		}
 	}
@@ -104,22 +104,22 @@
 }
 
 // difference returns what makes b of a, reports of one session.
-func difference(a, b *agent.Report) ReportChange {
-	c := ReportChange{Machine: b.Machine, Session: b.Session, Before: a.Tick, Tick: b.Tick, Token: b.Token}
-	had := make(map[attempt]agent.TaskReport, len(a.Tasks))
+func difference(a, b *agent.Heartbeat) ReportChange {
+	c := ReportChange{Machine: b.Machine, Session: b.Incarnation, Before: a.Sequence, Tick: b.Sequence, Token: b.FencingToken}
+	had := make(map[attempt]agent.ReportedTask, len(a.Tasks))
 	for _, t := range a.Tasks {
-		had[attempt{t.Task, t.Try}] = t
+		had[attempt{t.Task, t.Attempt}] = t
 	}
 	for _, t := range b.Tasks {
-		k := attempt{t.Task, t.Try}
+		k := attempt{t.Task, t.Attempt}
 		if old, ok := had[k]; !ok || old != t {
 			c.Tasks = append(c.Tasks, brief(t))
 		}
 		delete(had, k)
 	}
 	for _, t := range a.Tasks {
-		if _, ok := had[attempt{t.Task, t.Try}]; ok {
-			c.Gone = append(c.Gone, Task{Task: t.Task, Try: t.Try})
+		if _, ok := had[attempt{t.Task, t.Attempt}]; ok {
+			c.Gone = append(c.Gone, Task{Task: t.Task, Try: t.Attempt})
 		}
 	}
 	return c
@@ -149,9 +149,9 @@
 }
 
 // Brief returns commands in short.
-func Brief(orders []agent.Order) (out []Command) {
+func Brief(orders []agent.Command) (out []Command) {
 	for _, o := range orders {
-		out = append(out, Command{Verb: o.Verb, Task: o.Task, Try: o.Try, WindDown: o.WindDown})
+		out = append(out, Command{Verb: o.Verb, Task: o.Task, Try: o.Attempt, WindDown: o.GracePeriodS})
 	}
 	return out
 }
@@ -160,9 +160,9 @@
 	return c.Verb == other.Verb && c.Task == other.Task && c.Try == other.Try
 }
 
-func (o *Order) orders() (out []agent.Order) {
+func (o *Order) orders() (out []agent.Command) {
 	for _, c := range o.Commands {
-		out = append(out, agent.Order{Verb: c.Verb, Task: c.Task, Try: c.Try, WindDown: c.WindDown})
+		out = append(out, agent.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Try, GracePeriodS: c.WindDown})
 	}
 	return out
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,10 +35,10 @@
 	TxnOps     int
 
 	mu      sync.Mutex
-	reports map[string]agent.Report // newest not yet written, by machine
-	passed  map[string]passed       // last passed on, by machine
-	addrs   map[string]string       // of machines
-	leader  string                  // to which they were passed on
+	reports map[string]agent.Heartbeat // newest not yet written, by machine
+	passed  map[string]passed          // last passed on, by machine
+	addrs   map[string]string          // of machines
+	leader  string                     // to which they were passed on
 	term    uint64
 	last    time.Time // when a worker was last answered
 	batches map[string]CommandBatch
@@ -46,7 +46,7 @@
 
 // passed is a report that was passed on, whole or by its changes.
 type passed struct {
-	report agent.Report
+	report agent.Heartbeat
 	at     time.Time
 	whole  time.Time // when one of the machine was last passed on whole
 }
@@ -58,7 +58,7 @@
 
 // Answer takes the report of a worker that cannot reach the leader and returns
 // the answer to it under the leader's term.
-func (l *Proxy) Answer(r *agent.Report, leader string, term uint64) agent.Answer {
+func (l *Proxy) Answer(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader != leader {
@@ -67,20 +67,20 @@
 	l.term = term
 	l.take(r)
 	l.last = time.Now()
-	a := agent.Answer{Token: term}
-	if o := l.order(r.Machine); o.Session == r.Session {
-		a.Orders = o.orders()
+	a := agent.HeartbeatResponse{FencingToken: term}
+	if o := l.order(r.Machine); o.Session == r.Incarnation {
+		a.Commands = o.orders()
 	}
 	return a
 }
 
 // take keeps a report to be passed on, if it is the newest.
-func (l *Proxy) take(r *agent.Report) {
+func (l *Proxy) take(r *agent.Heartbeat) {
 	if l.reports == nil {
-		l.reports, l.addrs = map[string]agent.Report{}, map[string]string{}
+		l.reports, l.addrs = map[string]agent.Heartbeat{}, map[string]string{}
 	}
-	for _, old := range []agent.Report{l.reports[r.Machine], l.passed[r.Machine].report} {
-		if old.Session > r.Session || old.Session == r.Session && old.Tick >= r.Tick {
+	for _, old := range []agent.Heartbeat{l.reports[r.Machine], l.passed[r.Machine].report} {
+		if old.Incarnation > r.Incarnation || old.Incarnation == r.Incarnation && old.Sequence >= r.Sequence {
 			return
 		}
 	}
@@ -169,7 +169,7 @@
 		room -= size
 		return &out[len(out)-1]
 	}
-	change := func(r agent.Report, c ReportChange) bool {
+	change := func(r agent.Heartbeat, c ReportChange) bool {
 		m := add(len(wire.Marshal(c)))
 		if m != nil {
 			m.Changes = append(m.Changes, c)
@@ -177,7 +177,7 @@
 		}
 		return m != nil
 	}
-	full := func(r agent.Report) bool {
+	full := func(r agent.Heartbeat) bool {
 		w := whole(&r)
 		m := add(len(wire.Marshal(w)))
 		if m != nil {
@@ -190,10 +190,10 @@
 	changes := map[string]ReportChange{}
 	for name, r := range l.reports {
 		p, ok := l.passed[name]
-		if ok && p.report.Session == r.Session && r.RecallS == nil && p.report.RecallS == nil &&
+		if ok && p.report.Incarnation == r.Incarnation && r.TerminationNoticeS == nil && p.report.TerminationNoticeS == nil &&
 			(now.Sub(p.whole) < wholeAgain || !l.order(name).Whole) {
 			c := difference(&p.report, &r)
-			if len(c.Tasks)+len(c.Gone) == 0 && c.Token == p.report.Token {
+			if len(c.Tasks)+len(c.Gone) == 0 && c.Token == p.report.FencingToken {
 				change(r, c)
 				continue
 			}
@@ -224,7 +224,7 @@
 	for _, p := range sent {
 		name := p.report.Machine
 		l.passed[name] = p
-		if r := l.reports[name]; r.Session == p.report.Session && r.Tick == p.report.Tick {
+		if r := l.reports[name]; r.Incarnation == p.report.Incarnation && r.Sequence == p.report.Sequence {
 			delete(l.reports, name)
 		}
 	}
@@ -319,7 +319,7 @@
 		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.same) {
 			continue
 		}
-		fresh = append(fresh, push{name, addr, agent.Commands{Token: b.Term, Session: o.Session, Orders: o.orders()}})
+		fresh = append(fresh, push{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Session, Commands: o.orders()}})
 	}
 	return fresh, nil
 }
@@ -327,7 +327,7 @@
 // push is commands for one machine, on their way.
 type push struct {
 	machine, addr string
-	commands      agent.Commands
+	commands      agent.CommandRequest
 }
 
 // Bounds of pushing to workers.
@@ -343,7 +343,7 @@
 	defer cancel()
 	c := wire.Client{Dial: l.Dial, Addr: p.addr}
 	defer c.CloseIdle()
-	r, err := agent.Ask(ctx, &c, "POST", "/commands", wire.Marshal(p.commands))
+	r, err := agent.Call(ctx, &c, "POST", "/commands", wire.Marshal(p.commands))
 	if err != nil || r.Machine != p.machine {
 		slog.Debug("commands not answered", "machine", p.machine, "err", err)
 		return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,26 +22,26 @@
 	now := time.Unix(0, 0)
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	type known struct {
-		report agent.Report
+		report agent.Heartbeat
 		at     time.Time
 	}
 	leader := map[string]known{}
-	reported := map[string]agent.Report{}
+	reported := map[string]agent.Heartbeat{}
 	for tick := range 80 { // a write each 0.5 s
 		now = now.Add(writeEvery)
 		for i := range machines {
 			if (i+tick)%10 > 0 {
 				continue // each machine reports every 5 s
 			}
-			r := agent.Report{Machine: name(i), Addr: "10.1.0.232:9000", Type: "box", Zone: "a",
-				Session: 1, Tick: uint64(tick + 1), Token: 3}
+			r := agent.Heartbeat{Machine: name(i), Addr: "10.1.0.232:9000", Type: "box", Zone: "a",
+				Incarnation: 1, Sequence: uint64(tick + 1), FencingToken: 3}
 			for k := range 12 {
 				if k == i%12 && tick%3 == 0 {
 					continue // forgotten
 				}
-				r.Tasks = append(r.Tasks, agent.TaskReport{Task: fmt.Sprintf("wk-%06d/%d", i, k), Try: 3<<24 + uint64(k), Status: agent.Exited, Cause: agent.CauseDone})
+				r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-%06d/%d", i, k), Attempt: 3<<24 + uint64(k), Status: agent.StatusExited, Cause: agent.CauseDone})
 			}
-			r.Tasks = append(r.Tasks, agent.TaskReport{Task: fmt.Sprintf("wk-9%05d/0", tick), Try: 3 << 24, Status: agent.Running})
+			r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-9%05d/0", tick), Attempt: 3 << 24, Status: agent.StatusRunning})
 			l.Answer(&r, "shelf-0", 3)
 			reported[r.Machine] = r
 		}
@@ -60,8 +60,8 @@
 			for i := range m.Changes {
 				c := &m.Changes[i]
 				before := leader[c.Machine].report
-				if before.Tick != c.Before {
-					t.Fatalf("a change of tick %d, known is %d", c.Before, before.Tick)
+				if before.Sequence != c.Before {
+					t.Fatalf("a change of tick %d, known is %d", c.Before, before.Sequence)
 				}
 				leader[c.Machine] = known{c.Apply(before), now}
 			}
@@ -79,12 +79,12 @@
 			}
 		}
 	}
-	same := func(a, b agent.TaskReport) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }
+	same := func(a, b agent.ReportedTask) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }
 	for i := range machines {
 		a, b := leader[name(i)].report, reported[name(i)]
 		slices.SortFunc(a.Tasks, same)
 		slices.SortFunc(b.Tasks, same)
-		if a.Tick == b.Tick && !reflect.DeepEqual(a, b) {
+		if a.Sequence == b.Sequence && !reflect.DeepEqual(a, b) {
 			t.Fatalf("the leader has %+v, reported was %+v", a, b)
 		}
 	}
@@ -98,7 +98,7 @@
 	for tick := range 2 {
 		now = now.Add(writeEvery)
 		r := reported[name(7)]
-		r.Tick += uint64(tick) + 1
+		r.Sequence += uint64(tick) + 1
 		l.Answer(&r, "shelf-0", 3)
 		mails, sent := l.nextBatches(now)
 		for _, m := range mails {
