--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -41,7 +41,7 @@
 		}
 	}
 	fence, value := l.term.Fence(), wire.Marshal(m)
-	if len(value) > relay.Fill(l.node.settings.State.ValueBytes) {
+	if len(value) > relay.UsableBytes(l.node.settings.State.ValueBytes) {
 		return
 	}
 	l.spawn(func() {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -251,7 +251,7 @@
 			n.types.Store(&types)
 			wait = time.Minute
 			value := wire.Marshal(catalogValue{types})
-			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.Fill(n.settings.State.ValueBytes) {
+			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.UsableBytes(n.settings.State.ValueBytes) {
 				break
 			}
 			_, err := n.store.Txn(ctx, nil, []kvstore.Mutation{{Put: catalogKey, Value: value}}, kvstore.PriorityBackground)
@@ -360,7 +360,7 @@
 	if !ok || !n.mayExtendLease() || leader == n.settings.Node || r.FencingToken > term || n.peers.ReachableWithin(leader, proxyUnheard) {
 		return wire.Response{}, false
 	}
-	answer := n.proxy.Answer(r, leader, term)
+	answer := n.proxy.AnswerHeartbeat(r, leader, term)
 	answer.Commands = append(answer.Commands, n.halts(r)...)
 	return wire.Response{Status: 200, Body: wire.Marshal(answer)}, true
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -54,7 +54,7 @@
 		rev = max(rev, at)
 		l.post(func() {
 			for i := range events {
-				var m relay.ReportBatch
+				var m relay.HeartbeatBatch
 				if err := wire.Unmarshal(events[i].Value, &m); err != nil {
 					slog.Error("relayed reports unreadable", "err", err)
 					continue
@@ -66,7 +66,7 @@
 	}
 }
 
-func (l *leader) applyReportBatch(batch *relay.ReportBatch) {
+func (l *leader) applyReportBatch(batch *relay.HeartbeatBatch) {
 	now := time.Now()
 	s := l.relays[batch.Node]
 	if s == nil {
@@ -85,18 +85,18 @@
 			m.MarkResponsive() // what goes through the node reaches it
 		}
 	}
-	for i := range batch.Reports {
-		r := batch.Reports[i].Report()
+	for i := range batch.Full {
+		r := batch.Full[i].Heartbeat()
 		take(&r)
 		delete(s.wanted, r.Machine)
 	}
-	for i := range batch.Changes {
-		c := &batch.Changes[i]
+	for i := range batch.Deltas {
+		c := &batch.Deltas[i]
 		if l.fleet.WasReturned(c.Machine) {
 			continue
 		}
 		m := l.fleet.Machine(c.Machine)
-		if m == nil || m.Type < 0 || m.Zone < 0 || m.Incarnation != c.Session || m.Sequence != c.Before {
+		if m == nil || m.Type < 0 || m.Zone < 0 || m.Incarnation != c.Incarnation || m.Sequence != c.BaseSequence {
 			s.wanted[c.Machine] = true // what it is a change of is not known here
 			continue
 		}
@@ -128,13 +128,13 @@
 
 // commandBatches returns the commands for the machines heard through a node, in parts.
 func (l *leader) commandBatches(node string, s *proxyState, now time.Time) []relay.CommandBatch {
-	term, limit := l.term.Number(), relay.Fill(min(l.node.settings.State.ValueBytes, relay.MaxWrite))-200
+	term, limit := l.term.Number(), relay.UsableBytes(min(l.node.settings.State.ValueBytes, relay.MaxWrite))-200
 	parts := make([]relay.CommandBatch, len(s.written))
 	left := make([]int, len(parts))
 	for i := range parts {
-		parts[i], left[i] = relay.CommandBatch{Term: term, Machines: map[string]relay.Order{}}, limit
+		parts[i], left[i] = relay.CommandBatch{Term: term, Machines: map[string]relay.MachineCommands{}}, limit
 	}
-	put := func(part int, name string, o relay.Order) {
+	put := func(part int, name string, o relay.MachineCommands) {
 		if size := len(name) + len(wire.Marshal(o)) + 2; size <= left[part] {
 			left[part] -= size
 			parts[part].Machines[name] = o
@@ -148,15 +148,15 @@
 		some = true
 		// What may be forgotten can wait until the cut is over; with it the commands of
 		// a large zone did not fit (apart of kapana-orders-grown).
-		o := relay.Order{Session: m.Incarnation, Commands: relay.Brief(m.PendingCommands(term, maxOrders, func(string) bool { return false }, now)), Whole: s.wanted[m.Name]}
-		if len(o.Commands) > 0 || o.Whole {
+		o := relay.MachineCommands{Incarnation: m.Incarnation, Commands: relay.CompactCommands(m.PendingCommands(term, maxOrders, func(string) bool { return false }, now)), ResendFull: s.wanted[m.Name]}
+		if len(o.Commands) > 0 || o.ResendFull {
 			put(m.Index%len(parts), m.Name, o)
 		}
 	})
 	for name := range s.wanted {
 		if m := l.fleet.Machine(name); m == nil || m.RelayedBy != node {
 			some = true
-			put(0, name, relay.Order{Whole: true})
+			put(0, name, relay.MachineCommands{ResendFull: true})
 		}
 	}
 	if !some {
@@ -176,7 +176,7 @@
 		if bytes.Equal(value, s.written[part]) || len(parts[part].Machines) == 0 && s.written[part] == nil {
 			continue
 		}
-		if size += len(value); size > relay.Fill(relay.MaxWrite) && len(ops) > 0 {
+		if size += len(value); size > relay.UsableBytes(relay.MaxWrite) && len(ops) > 0 {
 			s.from = part
 			break
 		}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -376,7 +376,7 @@
 					t.Errorf("%s: %+v", it.Key, v)
 				}
 			case strings.HasPrefix(it.Key, relay.UpPrefix):
-				var m relay.ReportBatch
+				var m relay.HeartbeatBatch
 				read(it.Key, it.Value, &m)
 			case strings.HasPrefix(it.Key, "relay/down/"):
 				var b relay.CommandBatch
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -16,78 +16,78 @@
 // DownKey returns the key of one part of the commands for a node's workers.
 func DownKey(node string, part int) string { return downPrefix + node + "/" + strconv.Itoa(part) }
 
-// ReportBatch is the value under an up key.
-type ReportBatch struct {
-	Node    string         `cbor:"node"`
-	Reports []FullReport   `cbor:"reports"`
-	Changes []ReportChange `cbor:"changes"`
+// HeartbeatBatch is the value under an up key.
+type HeartbeatBatch struct {
+	Node   string           `cbor:"node"`
+	Full   []FullHeartbeat  `cbor:"reports"`
+	Deltas []HeartbeatDelta `cbor:"changes"`
 }
 
-// FullReport is a report in short.
-type FullReport struct {
-	_                         struct{} `cbor:",toarray"`
-	Machine, Addr, Type, Zone string
-	Spot                      bool
-	Session, Tick, Token      uint64
-	RecallS                   *float64
-	Tasks                     []Task
+// FullHeartbeat is a report in short.
+type FullHeartbeat struct {
+	_                                   struct{} `cbor:",toarray"`
+	Machine, Addr, Type, Zone           string
+	Spot                                bool
+	Incarnation, Sequence, FencingToken uint64
+	TerminationNoticeS                  *float64
+	Tasks                               []ReportedTask
 }
 
-// Report returns the report that w stands for.
-func (w *FullReport) Report() agent.Heartbeat {
+// Heartbeat returns the report that w stands for.
+func (w *FullHeartbeat) Heartbeat() agent.Heartbeat {
 	return agent.Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Incarnation: w.Session, Sequence: w.Tick, FencingToken: w.Token, TerminationNoticeS: w.RecallS, Tasks: appendTasks(nil, w.Tasks)}
+		Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken, TerminationNoticeS: w.TerminationNoticeS, Tasks: appendTasks(nil, w.Tasks)}
 }
 
-func whole(r *agent.Heartbeat) FullReport {
-	w := FullReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Incarnation, Tick: r.Sequence, Token: r.FencingToken, RecallS: r.TerminationNoticeS}
+func whole(r *agent.Heartbeat) FullHeartbeat {
+	w := FullHeartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+		Incarnation: r.Incarnation, Sequence: r.Sequence, FencingToken: r.FencingToken, TerminationNoticeS: r.TerminationNoticeS}
 	for _, t := range r.Tasks {
 		w.Tasks = append(w.Tasks, brief(t))
 	}
 	return w
 }
 
-func brief(t agent.ReportedTask) Task {
-	return Task{Task: t.Task, Try: t.Attempt, Status: t.Status, Cause: t.Cause}
+func brief(t agent.ReportedTask) ReportedTask {
+	return ReportedTask{Task: t.Task, Attempt: t.Attempt, Status: t.Status, Cause: t.Cause}
 }
 
-func appendTasks(out []agent.ReportedTask, tasks []Task) []agent.ReportedTask {
+func appendTasks(out []agent.ReportedTask, tasks []ReportedTask) []agent.ReportedTask {
 	for _, t := range tasks {
-		out = append(out, agent.ReportedTask{Task: t.Task, Attempt: t.Try, Status: t.Status, Cause: t.Cause})
+		out = append(out, agent.ReportedTask{Task: t.Task, Attempt: t.Attempt, Status: t.Status, Cause: t.Cause})
 	}
 	return out
 }
 
-// ReportChange stands for a report by what differs from the one of the machine that was
+// HeartbeatDelta stands for a report by what differs from the one of the machine that was
 // passed on before.
-type ReportChange struct {
+type HeartbeatDelta struct {
+	_            struct{} `cbor:",toarray"`
+	Machine      string
+	Incarnation  uint64
+	BaseSequence uint64 // tick of the report passed on before
+	Sequence     uint64
+	FencingToken uint64
+	Tasks        []ReportedTask // new or changed
+	Removed      []ReportedTask // no longer listed
+}
+
+// ReportedTask is a task of a report, in short.
+type ReportedTask struct {
 	_       struct{} `cbor:",toarray"`
-	Machine string
-	Session uint64
-	Before  uint64 // tick of the report passed on before
-	Tick    uint64
-	Token   uint64
-	Tasks   []Task // new or changed
-	Gone    []Task // no longer listed
-}
-
-// Task is a task of a report, in short.
-type Task struct {
-	_      struct{} `cbor:",toarray"`
-	Task   string
-	Try    uint64
-	Status string
-	Cause  string
+	Task    string
+	Attempt uint64
+	Status  string
+	Cause   string
 }
 
 // Apply returns the report that a change stands for, given the one before it.
-func (c *ReportChange) Apply(before agent.Heartbeat) agent.Heartbeat {
+func (c *HeartbeatDelta) Apply(before agent.Heartbeat) agent.Heartbeat {
 	r := before
-	r.Sequence, r.FencingToken, r.Tasks = c.Tick, c.Token, nil
+	r.Sequence, r.FencingToken, r.Tasks = c.Sequence, c.FencingToken, nil
 	out := map[attempt]bool{}
-	for _, t := range slices.Concat(c.Tasks, c.Gone) {
-		out[attempt{t.Task, t.Try}] = true
+	for _, t := range slices.Concat(c.Tasks, c.Removed) {
+		out[attempt{t.Task, t.Attempt}] = true
 	}
 	for _, t := range before.Tasks {
 		if !out[attempt{t.Task, t.Attempt}] {
@@ -104,8 +104,8 @@
 }
 
 // difference returns what makes b of a, reports of one session.
-func difference(a, b *agent.Heartbeat) ReportChange {
-	c := ReportChange{Machine: b.Machine, Session: b.Incarnation, Before: a.Sequence, Tick: b.Sequence, Token: b.FencingToken}
+func difference(a, b *agent.Heartbeat) HeartbeatDelta {
+	c := HeartbeatDelta{Machine: b.Machine, Incarnation: b.Incarnation, BaseSequence: a.Sequence, Sequence: b.Sequence, FencingToken: b.FencingToken}
 	had := make(map[attempt]agent.ReportedTask, len(a.Tasks))
 	for _, t := range a.Tasks {
 		had[attempt{t.Task, t.Attempt}] = t
@@ -119,7 +119,7 @@
 	}
 	for _, t := range a.Tasks {
 		if _, ok := had[attempt{t.Task, t.Attempt}]; ok {
-			c.Gone = append(c.Gone, Task{Task: t.Task, Try: t.Attempt})
+			c.Removed = append(c.Removed, ReportedTask{Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	return c
@@ -127,49 +127,49 @@
 
 // CommandBatch is the value under a down key.
 type CommandBatch struct {
-	Term     uint64           `cbor:"term"`
-	Machines map[string]Order `cbor:"machines"`
+	Term     uint64                     `cbor:"term"`
+	Machines map[string]MachineCommands `cbor:"machines"`
 }
 
-// Order is what one machine is to do in one of its sessions.
-type Order struct {
-	_        struct{} `cbor:",toarray"`
-	Session  uint64
-	Commands []Command
-	Whole    bool // its report is wanted whole
+// MachineCommands is what one machine is to do in one of its sessions.
+type MachineCommands struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation uint64
+	Commands    []Command
+	ResendFull  bool // its report is wanted whole
 }
 
 // Command is a command in short.
 type Command struct {
-	_        struct{} `cbor:",toarray"`
-	Verb     string
-	Task     string
-	Try      uint64
-	WindDown *float64
+	_            struct{} `cbor:",toarray"`
+	Verb         string
+	Task         string
+	Attempt      uint64
+	GracePeriodS *float64
 }
 
-// Brief returns commands in short.
-func Brief(orders []agent.Command) (out []Command) {
+// CompactCommands returns commands in short.
+func CompactCommands(orders []agent.Command) (out []Command) {
 	for _, o := range orders {
-		out = append(out, Command{Verb: o.Verb, Task: o.Task, Try: o.Attempt, WindDown: o.GracePeriodS})
+		out = append(out, Command{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GracePeriodS: o.GracePeriodS})
 	}
 	return out
 }
 
 func (c Command) same(other Command) bool {
-	return c.Verb == other.Verb && c.Task == other.Task && c.Try == other.Try
+	return c.Verb == other.Verb && c.Task == other.Task && c.Attempt == other.Attempt
 }
 
-func (o *Order) orders() (out []agent.Command) {
+func (o *MachineCommands) orders() (out []agent.Command) {
 	for _, c := range o.Commands {
-		out = append(out, agent.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Try, GracePeriodS: c.WindDown})
+		out = append(out, agent.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.GracePeriodS})
 	}
 	return out
 }
 
-// Fill returns how much of a limit to fill: the state service counts by the JSON form,
+// UsableBytes returns how much of a limit to fill: the state service counts by the JSON form,
 // which is longer than what is written here.
-func Fill(limit int) int { return limit * 6 / 10 }
+func UsableBytes(limit int) int { return limit * 6 / 10 }
 
 // MaxWrite is how much one transaction may carry: the state service's limit is 64 KiB.
 const MaxWrite = 48 << 10
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,9 +56,9 @@
 	active     = 8 * time.Second // it is over when no worker has come for so long
 )
 
-// Answer takes the report of a worker that cannot reach the leader and returns
+// AnswerHeartbeat takes the report of a worker that cannot reach the leader and returns
 // the answer to it under the leader's term.
-func (l *Proxy) Answer(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
+func (l *Proxy) AnswerHeartbeat(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader != leader {
@@ -68,7 +68,7 @@
 	l.take(r)
 	l.last = time.Now()
 	a := agent.HeartbeatResponse{FencingToken: term}
-	if o := l.order(r.Machine); o.Session == r.Incarnation {
+	if o := l.order(r.Machine); o.Incarnation == r.Incarnation {
 		a.Commands = o.orders()
 	}
 	return a
@@ -88,13 +88,13 @@
 }
 
 // order returns what the leader wants of a machine under the present term.
-func (l *Proxy) order(machine string) Order {
+func (l *Proxy) order(machine string) MachineCommands {
 	for _, b := range l.batches {
 		if o, ok := b.Machines[machine]; ok && b.Term == l.term {
 			return o
 		}
 	}
-	return Order{}
+	return MachineCommands{}
 }
 
 func (l *Proxy) active() bool {
@@ -152,27 +152,27 @@
 // kapana-orders-grown: 68 counted as silent), and through one of 600 machines so little
 // went that a quarter of the fleet stood idle while 97 jobs waited (loss of
 // kapana-orders-fleet).
-func (l *Proxy) nextBatches(now time.Time) (out []ReportBatch, sent []passed) {
+func (l *Proxy) nextBatches(now time.Time) (out []HeartbeatBatch, sent []passed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	value := Fill(l.ValueBytes) - 200
-	left, room := 0, Fill(MaxWrite)
-	add := func(size int) *ReportBatch {
+	value := UsableBytes(l.ValueBytes) - 200
+	left, room := 0, UsableBytes(MaxWrite)
+	add := func(size int) *HeartbeatBatch {
 		if size > left {
 			if len(out) == l.TxnOps || size > min(room, value) {
 				return nil
 			}
-			out = append(out, ReportBatch{Node: l.Node})
+			out = append(out, HeartbeatBatch{Node: l.Node})
 			left = min(room, value)
 		}
 		left -= size
 		room -= size
 		return &out[len(out)-1]
 	}
-	change := func(r agent.Heartbeat, c ReportChange) bool {
+	change := func(r agent.Heartbeat, c HeartbeatDelta) bool {
 		m := add(len(wire.Marshal(c)))
 		if m != nil {
-			m.Changes = append(m.Changes, c)
+			m.Deltas = append(m.Deltas, c)
 			sent = append(sent, passed{r, now, l.passed[r.Machine].whole})
 		}
 		return m != nil
@@ -181,19 +181,19 @@
 		w := whole(&r)
 		m := add(len(wire.Marshal(w)))
 		if m != nil {
-			m.Reports = append(m.Reports, w)
+			m.Full = append(m.Full, w)
 			sent = append(sent, passed{r, now, now})
 		}
 		return m != nil
 	}
 	var news []string
-	changes := map[string]ReportChange{}
+	changes := map[string]HeartbeatDelta{}
 	for name, r := range l.reports {
 		p, ok := l.passed[name]
 		if ok && p.report.Incarnation == r.Incarnation && r.TerminationNoticeS == nil && p.report.TerminationNoticeS == nil &&
-			(now.Sub(p.whole) < wholeAgain || !l.order(name).Whole) {
+			(now.Sub(p.whole) < wholeAgain || !l.order(name).ResendFull) {
 			c := difference(&p.report, &r)
-			if len(c.Tasks)+len(c.Gone) == 0 && c.Token == p.report.FencingToken {
+			if len(c.Tasks)+len(c.Removed) == 0 && c.FencingToken == p.report.FencingToken {
 				change(r, c)
 				continue
 			}
@@ -319,7 +319,7 @@
 		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.same) {
 			continue
 		}
-		fresh = append(fresh, push{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Session, Commands: o.orders()}})
+		fresh = append(fresh, push{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Incarnation, Commands: o.orders()}})
 	}
 	return fresh, nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -42,7 +42,7 @@
 				r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-%06d/%d", i, k), Attempt: 3<<24 + uint64(k), Status: agent.StatusExited, Cause: agent.CauseDone})
 			}
 			r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-9%05d/0", tick), Attempt: 3 << 24, Status: agent.StatusRunning})
-			l.Answer(&r, "shelf-0", 3)
+			l.AnswerHeartbeat(&r, "shelf-0", 3)
 			reported[r.Machine] = r
 		}
 		mails, sent := l.nextBatches(now)
@@ -53,15 +53,15 @@
 			if n > limit {
 				t.Fatalf("a value of %d bytes", n)
 			}
-			for i := range m.Reports {
-				r := m.Reports[i].Report()
+			for i := range m.Full {
+				r := m.Full[i].Heartbeat()
 				leader[r.Machine] = known{r, now}
 			}
-			for i := range m.Changes {
-				c := &m.Changes[i]
+			for i := range m.Deltas {
+				c := &m.Deltas[i]
 				before := leader[c.Machine].report
-				if before.Sequence != c.Before {
-					t.Fatalf("a change of tick %d, known is %d", c.Before, before.Sequence)
+				if before.Sequence != c.BaseSequence {
+					t.Fatalf("a change of tick %d, known is %d", c.BaseSequence, before.Sequence)
 				}
 				leader[c.Machine] = known{c.Apply(before), now}
 			}
@@ -90,7 +90,7 @@
 	}
 
 	// What the leader asks for is passed on whole, once.
-	box := wire.Marshal(CommandBatch{Term: 3, Machines: map[string]Order{name(7): {Whole: true}}})
+	box := wire.Marshal(CommandBatch{Term: 3, Machines: map[string]MachineCommands{name(7): {ResendFull: true}}})
 	if _, err := l.open(DownKey("shelf-1", 0), box, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -99,10 +99,10 @@
 		now = now.Add(writeEvery)
 		r := reported[name(7)]
 		r.Sequence += uint64(tick) + 1
-		l.Answer(&r, "shelf-0", 3)
+		l.AnswerHeartbeat(&r, "shelf-0", 3)
 		mails, sent := l.nextBatches(now)
 		for _, m := range mails {
-			for _, w := range m.Reports {
+			for _, w := range m.Full {
 				if w.Machine == name(7) {
 					whole++
 				}
