--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -29,18 +29,18 @@
 	array := Demand{Need: cpus(1), Zone: -1, Spot: true, Tasks: 4}
 	booting := Machine{Zone: 0, Free: cpus(4), Usable: true}
 	d := Plan([]Demand{service, array}, []Machine{booting}, pools(), time.Minute)
-	if want := []Rent{{2, 1}, {1, 1}, {0, 1}}; !reflect.DeepEqual(d.Rent, want) {
-		t.Errorf("rent %v, want %v", d.Rent, want)
+	if want := []Rent{{2, 1}, {1, 1}, {0, 1}}; !reflect.DeepEqual(d.ScaleOut, want) {
+		t.Errorf("rent %v, want %v", d.ScaleOut, want)
 	}
 	blocked := pools()
 	blocked[0].Blocked = true
 	d = Plan([]Demand{array}, nil, blocked, time.Minute)
-	if want := []Rent{{1, 1}}; !reflect.DeepEqual(d.Rent, want) {
-		t.Errorf("spot refused: rent %v, want %v", d.Rent, want)
+	if want := []Rent{{1, 1}}; !reflect.DeepEqual(d.ScaleOut, want) {
+		t.Errorf("spot refused: rent %v, want %v", d.ScaleOut, want)
 	}
 	d = Plan([]Demand{{Need: cpus(5), Zone: -1, Tasks: 1}}, nil, pools(), time.Minute)
-	if len(d.Rent) != 0 {
-		t.Errorf("rent %v for what fits nowhere", d.Rent)
+	if len(d.ScaleOut) != 0 {
+		t.Errorf("rent %v for what fits nowhere", d.ScaleOut)
 	}
 }
 
@@ -53,23 +53,23 @@
 		{Free: cpus(4), Usable: true, Empty: true, Idle: time.Second},
 	}
 	d := Plan([]Demand{{Need: cpus(1), Zone: -1, Tasks: 4}}, machines, pools(), 10*time.Second)
-	if want := []int{1}; !reflect.DeepEqual(d.Return, want) {
-		t.Errorf("return %v, want %v", d.Return, want)
+	if want := []int{1}; !reflect.DeepEqual(d.ScaleIn, want) {
+		t.Errorf("return %v, want %v", d.ScaleIn, want)
 	}
 }
 
 func TestSlots(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		works []Work
+		works []ArrayWork
 		have  float64
 		want  float64
 	}{
 		{"nothing to do", nil, 10, 0},
-		{"tasks take turns on what is there", []Work{{Due: 100, Run: 10, Seconds: 100}}, 10, 1},
-		{"short by its due time, new machines in time", []Work{{Due: 100, Run: 10, Seconds: 2000}}, 10, 30},
-		{"due sooner than a machine boots, done before one would be up", []Work{{Due: 30, Run: 10, Seconds: 400}}, 10, 10},
-		{"late already: not more than halves the wait", []Work{{Due: -5, Run: 20, Seconds: 4000}}, 20, 100},
+		{"tasks take turns on what is there", []ArrayWork{{Due: 100, Run: 10, Seconds: 100}}, 10, 1},
+		{"short by its due time, new machines in time", []ArrayWork{{Due: 100, Run: 10, Seconds: 2000}}, 10, 30},
+		{"due sooner than a machine boots, done before one would be up", []ArrayWork{{Due: 30, Run: 10, Seconds: 400}}, 10, 10},
+		{"late already: not more than halves the wait", []ArrayWork{{Due: -5, Run: 20, Seconds: 4000}}, 20, 100},
 	} {
 		if got := Slots(x.works, x.have, 50); math.Abs(got-x.want) > 0.5 {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
@@ -78,7 +78,7 @@
 }
 
 func TestOffered(t *testing.T) {
-	o := Offered{Memory: 100 * time.Second}
+	o := DemandHistory{Memory: 100 * time.Second}
 	now := time.Unix(0, 0)
 	if o.Rate(now) != 0 {
 		t.Error("load before any arrival")
@@ -100,7 +100,7 @@
 }
 
 func TestLearned(t *testing.T) {
-	var l Learned
+	var l RuntimeEstimator
 	if l.Factor("class") != 1 {
 		t.Error("corrected before anything is known")
 	}
@@ -119,8 +119,8 @@
 // What an earlier leader has kept gives the next one the same estimates, and what
 // is read of jobs that came before counts less with its age.
 func TestMemo(t *testing.T) {
-	var l Learned
-	o := Offered{Memory: 100 * time.Second}
+	var l RuntimeEstimator
+	o := DemandHistory{Memory: 100 * time.Second}
 	now := time.Unix(1000, 0)
 	for range 200 {
 		o.Add(20, now)
@@ -128,14 +128,14 @@
 		now = now.Add(time.Second)
 	}
 	kept := NewEstimates(&o, &l)
-	var l2 Learned
-	o2 := Offered{Memory: 100 * time.Second}
+	var l2 RuntimeEstimator
+	o2 := DemandHistory{Memory: 100 * time.Second}
 	kept.Restore(&o2, &l2)
 	later := now.Add(3 * time.Second)
 	if a, b := o.Rate(later), o2.Rate(later); math.Abs(a-b) > 0.01 || l.Factor("class") != l2.Factor("class") {
 		t.Errorf("recalled %v and %v, were %v and %v", b, l2.Factor("class"), a, l.Factor("class"))
 	}
-	fresh, aged := Offered{Memory: 100 * time.Second}, Offered{Memory: 100 * time.Second}
+	fresh, aged := DemandHistory{Memory: 100 * time.Second}, DemandHistory{Memory: 100 * time.Second}
 	fresh.Add(1000, later)
 	aged.Add(1000, later)
 	fresh.Add(1000, later)
@@ -148,15 +148,15 @@
 func TestDrain(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		works []Work
+		works []ArrayWork
 		have  float64
 		usual float64
 		want  float64
 	}{
-		{"nothing waits", []Work{{Run: 60}}, 100, 100, 0},
-		{"done by the time that machines are up", []Work{{Run: 60, Waits: 600}}, 100, 60, 0},
-		{"spread over a task's run", []Work{{Run: 100, Waits: 6000}}, 100, 100, 160},
-		{"spread over four boots", []Work{{Run: 25, Waits: 6000}}, 100, 100, 175},
+		{"nothing waits", []ArrayWork{{Run: 60}}, 100, 100, 0},
+		{"done by the time that machines are up", []ArrayWork{{Run: 60, Waits: 600}}, 100, 60, 0},
+		{"spread over a task's run", []ArrayWork{{Run: 100, Waits: 6000}}, 100, 100, 160},
+		{"spread over four boots", []ArrayWork{{Run: 25, Waits: 6000}}, 100, 100, 175},
 	} {
 		if got := Drain(x.works, x.have, x.usual, 20); math.Abs(got-x.want) > 0.5 {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
--- a/internal/autoscaler/learned.go
+++ b/internal/autoscaler/learned.go
@@ -1,9 +1,9 @@
 package autoscaler
 
-// Learned corrects the owners' estimates of run times by what tasks of the same
+// RuntimeEstimator corrects the owners' estimates of run times by what tasks of the same
 // class have taken: estimates are often wrong, and on some days mostly to the
 // same side.
-type Learned struct {
+type RuntimeEstimator struct {
 	classes map[string]*sums
 }
 
@@ -18,7 +18,7 @@
 
 // Add counts a task of the class that was expected to take some seconds and took
 // others.
-func (l *Learned) Add(class string, expected, actual float64) {
+func (l *RuntimeEstimator) Add(class string, expected, actual float64) {
 	if expected <= 0 {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // Factor returns what to multiply estimates of the class with.
-func (l *Learned) Factor(class string) float64 {
+func (l *RuntimeEstimator) Factor(class string) float64 {
 	if s := l.classes[class]; s != nil {
 		return s.actual / s.expected
 	}
--- a/internal/autoscaler/offered.go
+++ b/internal/autoscaler/offered.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Offered estimates the load that arrivals bring: run time that arrives in a
+// DemandHistory estimates the load that arrivals bring: run time that arrives in a
 // second, which is the number of tasks that run at once on average.
-type Offered struct {
+type DemandHistory struct {
 	Memory time.Duration // how fast the past is forgotten
 	sum    float64
 	start  time.Time
@@ -21,7 +21,7 @@
 
 // Add counts work that arrived at some time, in seconds of run time. It may be
 // some time ago: a new leader reads of jobs that came before it.
-func (o *Offered) Add(seconds float64, at time.Time) {
+func (o *DemandHistory) Add(seconds float64, at time.Time) {
 	o.decay(at)
 	if at.Before(o.start) {
 		o.start = at
@@ -39,10 +39,10 @@
 }
 
 // Empty tells whether nothing has been counted.
-func (o *Offered) Empty() bool { return o.came.IsZero() }
+func (o *DemandHistory) Empty() bool { return o.came.IsZero() }
 
 // Rate returns the estimate.
-func (o *Offered) Rate(now time.Time) float64 {
+func (o *DemandHistory) Rate(now time.Time) float64 {
 	if o.start.IsZero() {
 		return 0
 	}
@@ -59,7 +59,7 @@
 	return rate
 }
 
-func (o *Offered) decay(now time.Time) {
+func (o *DemandHistory) decay(now time.Time) {
 	if o.start.IsZero() {
 		o.start, o.last = now, now
 	}
@@ -80,7 +80,7 @@
 }
 
 // NewEstimates returns the estimates.
-func NewEstimates(o *Offered, l *Learned) Estimates {
+func NewEstimates(o *DemandHistory, l *RuntimeEstimator) Estimates {
 	m := Estimates{Sum: o.sum, StartMS: o.start.UnixMilli(), LastMS: o.last.UnixMilli(), CameMS: o.came.UnixMilli(), Gap: o.gap,
 		Learned: map[string][2]float64{}}
 	for class, s := range l.classes {
@@ -90,7 +90,7 @@
 }
 
 // Restore takes the estimates of an earlier leader.
-func (m *Estimates) Restore(o *Offered, l *Learned) {
+func (m *Estimates) Restore(o *DemandHistory, l *RuntimeEstimator) {
 	o.sum, o.gap = m.Sum, m.Gap
 	o.start, o.last, o.came = time.UnixMilli(m.StartMS), time.UnixMilli(m.LastMS), time.UnixMilli(m.CameMS)
 	l.classes = map[string]*sums{}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -54,8 +54,8 @@
 
 // Decision is the outcome of one pass.
 type Decision struct {
-	Rent   []Rent // for the most important demand first
-	Return []int  // positions of machines
+	ScaleOut []Rent // for the most important demand first
+	ScaleIn  []int  // positions of machines
 }
 
 // Plan fits the demand into what is there, rents the cheapest that fits for the
@@ -66,7 +66,7 @@
 	for _, d := range demand {
 		p.add(d)
 	}
-	return Decision{Rent: p.rents(), Return: p.unused(idleReturn)}
+	return Decision{ScaleOut: p.rents(), ScaleIn: p.unused(idleReturn)}
 }
 
 // fit is demand being fitted into machines, those to be rented included.
--- a/internal/autoscaler/slots.go
+++ b/internal/autoscaler/slots.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// Work is what is left of one array: how many seconds until it is due, how many one task
+// ArrayWork is what is left of one array: how many seconds until it is due, how many one task
 // takes, and how many CPU seconds are left in all.
-type Work struct {
+type ArrayWork struct {
 	Due     float64
 	Run     float64
 	Seconds float64
@@ -20,7 +20,7 @@
 // machines help only after boot seconds; where they come too late for the due
 // time, they are asked for only as far as the work would outlast their first
 // tasks.
-func Slots(works []Work, have, boot float64) float64 {
+func Slots(works []ArrayWork, have, boot float64) float64 {
 	sort.Slice(works, func(i, j int) bool { return works[i].Due < works[j].Due })
 	need, total := 0.0, 0.0
 	for _, w := range works {
@@ -51,7 +51,7 @@
 // late (troubles of omaruru-fares-grown: 500 to 800 tasks waited for 100 s; a quiet day
 // of kapana-orders-fleet: 5,000 waited behind the services of the start, some of them
 // for 200 s, while a quarter of the machines to be had were not rented).
-func Drain(works []Work, have, usual, boot float64) float64 {
+func Drain(works []ArrayWork, have, usual, boot float64) float64 {
 	waits, cpus := 0.0, 0.0
 	for _, w := range works {
 		waits += w.Waits
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.estimatesSaved = now
-	m := estimates{Estimates: autoscaler.NewEstimates(&l.offered, &l.learned), Gangs: autoscaler.NewEstimates(&l.gangs, &autoscaler.Learned{})}
+	m := estimates{Estimates: autoscaler.NewEstimates(&l.offered, &l.learned), Gangs: autoscaler.NewEstimates(&l.gangs, &autoscaler.RuntimeEstimator{})}
 	for j, st := range l.jobStates {
 		if st.failing() && len(m.Failing) < min(maxFailing, l.node.settings.State.ValueBytes/2/16) {
 			m.Failing = append(m.Failing, j.Spec.ID)
@@ -67,7 +67,7 @@
 	}
 	m.Estimates.Restore(&l.offered, &l.learned)
 	if m.Gangs.CameMS > 0 {
-		m.Gangs.Restore(&l.gangs, &autoscaler.Learned{})
+		m.Gangs.Restore(&l.gangs, &autoscaler.RuntimeEstimator{})
 	}
 	l.estimatesUntil = time.UnixMilli(m.Estimates.LastMS)
 	for _, id := range m.Failing {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -61,9 +61,9 @@
 	blocked         map[pool]time.Time
 	cutUntil        []time.Time // by zone: when it was last seen cut off
 	redirectedSince time.Time   // since when machines go to another node; zero: they do not
-	offered         autoscaler.Offered
-	gangs           autoscaler.Offered // the same for gangs
-	learned         autoscaler.Learned
+	offered         autoscaler.DemandHistory
+	gangs           autoscaler.DemandHistory // the same for gangs
+	learned         autoscaler.RuntimeEstimator
 	estimatesUntil  time.Time       // up to when an earlier leader's estimates reach
 	failed          map[string]bool // jobs that failed on every machine under it
 	estimatesSaved  time.Time       // when the estimates were last kept
@@ -125,7 +125,7 @@
 		machines: map[*agent.Machine]*machineState{}, jobStates: map[*jobstore.Job]*jobState{},
 		workerClients: map[string]*wire.Client{},
 		blocked:       map[pool]time.Time{}, renting: map[string]string{}, failed: map[string]bool{}, relays: map[string]*proxyState{},
-		offered: autoscaler.Offered{Memory: 150 * time.Second}, gangs: autoscaler.Offered{Memory: 150 * time.Second},
+		offered: autoscaler.DemandHistory{Memory: 150 * time.Second}, gangs: autoscaler.DemandHistory{Memory: 150 * time.Second},
 		lastGangs: map[string]gangKind{},
 		started:   time.Now(), firstTerm: r.Number(),
 	}
--- a/internal/controller/place_test.go
+++ b/internal/controller/place_test.go
@@ -49,7 +49,7 @@
 	now := time.Unix(1000, 0)
 	s := &config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}}
 	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: jobstore.New(), lastGangs: map[string]gangKind{},
-		types: []cloud.Type{{Name: "box", CPUs: 4, BootS: 50}}, gangs: autoscaler.Offered{Memory: time.Minute}}
+		types: []cloud.Type{{Name: "box", CPUs: 4, BootS: 50}}, gangs: autoscaler.DemandHistory{Memory: time.Minute}}
 	need := placement.Amounts{placement.CPU: 1}
 	l.lastGangs["class"] = gangKind{&job.Spec{Class: "class", Shape: job.Gang, Priority: "standard", Tasks: 4}, &jobState{zone: -1, need: need}}
 	l.gangs.Add(600, now)
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -194,7 +194,7 @@
 	demand, why := l.demand(now)
 	d := autoscaler.Plan(demand, machines, pools, l.node.operator.IdleReturn)
 	l.logFleet(now, d)
-	for _, i := range d.Return {
+	for _, i := range d.ScaleIn {
 		giveUp(ms[i], "idle")
 	}
 	names = l.givenUp(func(m *agent.Machine) bool { return m.RetireReason != "" })
@@ -204,7 +204,7 @@
 	// No more than can be asked for at once: what would wait is decided anew, for what
 	// has come by then. At the start of visitors of omaruru-fares-ops eight requests for
 	// two machines each took 4 s, while 900 tasks came.
-	for _, r := range d.Rent[:min(len(d.Rent), l.node.cloud.Ready())] {
+	for _, r := range d.ScaleOut[:min(len(d.ScaleOut), l.node.cloud.Ready())] {
 		p := pools[r.Pool]
 		ask := cloud.Rental{Name: l.rentalName(), Type: l.types[p.Type].Name, Zone: l.zones[p.Zone], Spot: p.Spot,
 			Count: min(r.Count, cloud.MaxRent)}
@@ -242,7 +242,7 @@
 	l.jobs.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	starts, chunks, ends := l.jobs.Backlog()
 	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
-	slog.Debug("fleet", "machines", all, "spot", spot, "up", up, "empty", empty, "cpus", cpus, "free", free, "waiting", waiting, "rent", d.Rent, "return", len(d.Return))
+	slog.Debug("fleet", "machines", all, "spot", spot, "up", up, "empty", empty, "cpus", cpus, "free", free, "waiting", waiting, "rent", d.ScaleOut, "return", len(d.ScaleIn))
 }
 
 // reprice takes current prices. Types that are new to this leader wait for the
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -136,7 +136,7 @@
 // as those of another array stand in the line before them (TestSmallTasksRentLittle).
 func (l *leader) arrayCPUs(taken float64, teams []placement.Team, now time.Time) (need, usual float64) {
 	live, boot := 0.0, 0.0
-	var works []autoscaler.Work
+	var works []autoscaler.ArrayWork
 	room := make([]float64, len(teams))
 	for i := range teams {
 		room[i] = teams[i].CPUsMax - teams[i].CPUsUsed
@@ -153,7 +153,7 @@
 		live += at
 		run := l.expect(j) + l.fetchSeconds(j)
 		waits := float64(l.wanted(j)) * each
-		works = append(works, autoscaler.Work{Due: l.dueIn(j, now).Seconds(), Run: run, Seconds: run * (waits + at/2)})
+		works = append(works, autoscaler.ArrayWork{Due: l.dueIn(j, now).Seconds(), Run: run, Seconds: run * (waits + at/2)})
 		if t := l.jobStates[j].team; j.Spec.CPUs > 0 {
 			may := math.Min(waits, math.Max(0, room[t]))
 			room[t] -= may
