--- a/cmd/tulipshelf/main.go
+++ b/cmd/tulipshelf/main.go
@@ -89,7 +89,7 @@
 			if err != nil {
 				return err
 			}
-			for _, line := range s.Oddities() {
+			for _, line := range s.Warnings() {
 				fmt.Fprintln(cmd.OutOrStdout(), "note:", line)
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "settings are sound")
@@ -135,7 +135,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", s.Node))
 	debug.SetMemoryLimit(int64(float64(s.Resources.MemBytes) * memoryShare))
 	slog.Info("starting", "listen", s.Listen, "zone", s.Zone)
-	for _, line := range s.Oddities() {
+	for _, line := range s.Warnings() {
 		slog.Info("settings are odd", "what", line)
 	}
 	if err := controller.New(s, o, controller.Network{}).Run(ctx); err != nil {
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -168,7 +168,7 @@
 	if spec.Shape != job.Array {
 		tasks = float64(spec.Tasks)
 	}
-	if spec.CPUs*tasks > team.CPUsMax+1e-6 || spec.GPUs*tasks > team.GPUsMax+1e-6 {
+	if spec.CPUs*tasks > team.MaxCPUs+1e-6 || spec.GPUs*tasks > team.MaxGPUs+1e-6 {
 		return nil, fail(422, "more than the team's limit")
 	}
 	types := in.Types()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "shelf-0" || s.State.ValueBytes != 8192 || s.Workers.Lease != 26*time.Second || s.Teams[0].CPUsMax != 64 {
+	if s.Node != "shelf-0" || s.Store.ValueBytes != 8192 || s.Workers.Lease != 26*time.Second || s.Teams[0].MaxCPUs != 64 {
 		t.Errorf("%+v", s)
 	}
 	for _, x := range []struct{ from, to, want string }{
@@ -38,15 +38,15 @@
 	// A limit of 0, or left out, is none; one below the guarantee is taken, and named.
 	odd := strings.NewReplacer(`"cpus_max": 64.0`, `"cpus_max": 0.0`, `"cpus_max": 96.0`, `"cpus_max": 9.5, "colour": "red"`).Replace(string(data))
 	s, err = ParseSettings([]byte(odd))
-	if err != nil || !math.IsInf(s.Teams[0].CPUsMax, 1) || !math.IsInf(s.Teams[0].GPUsMax, 1) || s.Teams[1].CPUsMax != 9.5 {
+	if err != nil || !math.IsInf(s.Teams[0].MaxCPUs, 1) || !math.IsInf(s.Teams[0].MaxGPUs, 1) || s.Teams[1].MaxCPUs != 9.5 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if notes := s.Oddities(); len(notes) != 1 || !strings.HasPrefix(notes[0], "team "+s.Teams[1].Name) {
+	if notes := s.Warnings(); len(notes) != 1 || !strings.HasPrefix(notes[0], "team "+s.Teams[1].Name) {
 		t.Errorf("oddities: %q", notes)
 	}
 	// Limits to come may be left out, name some only, and never raise what is allowed now.
-	if s.State.Next != nil || s.State.Safe().ValueBytes != 8192 || s.Workers.GangWait != 45*time.Second || s.Workers.GangPeer != 4*time.Second {
-		t.Errorf("%+v, %+v", s.State, s.Workers)
+	if s.Store.Next != nil || s.Store.Safe().ValueBytes != 8192 || s.Workers.GangWait != 45*time.Second || s.Workers.GangNotice != 4*time.Second {
+		t.Errorf("%+v, %+v", s.Store, s.Workers)
 	}
 	with := func(next string) (*Settings, error) {
 		return ParseSettings([]byte(strings.Replace(string(data), `"rps": 80.0`, `"next": `+next+`, "rps": 80.0`, 1)))
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if n, safe := s.State.Next, s.State.Safe(); n.RPS != 80 || n.WriteRPS != 18 || safe.ValueBytes != 2048 || safe.TxnOps != 8 || safe.WriteRPS != 25 {
+	if n, safe := s.Store.Next, s.Store.Safe(); n.RPS != 80 || n.WriteRPS != 18 || safe.ValueBytes != 2048 || safe.TxnOps != 8 || safe.WriteRPS != 25 {
 		t.Errorf("%+v, %+v", n, safe)
 	}
 	for next, want := range map[string]string{`7`: "params.state.next: must be an object", `{"value_kb": -2}`: "params.state.next.value_kb: -2 is not between",
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,27 +11,27 @@
 
 // Operator holds the operators' own settings.
 type Operator struct {
-	Smoothing   time.Duration // T of the load index
-	IndexUpdate time.Duration // how often the index is updated
-	Gather      time.Duration // longest time a new leader gathers reports
-	LeaderLease time.Duration // leased leader key
-	Silent      time.Duration // no report for so long: no new tasks there
-	Abandon     time.Duration // silent for so long: the machine is returned
-	IdleReturn  time.Duration // empty for so long: the machine is returned
-	Reserve     float64       // CPUs kept free, as a share of those in use
+	Smoothing        time.Duration // T of the load index
+	IndexUpdate      time.Duration // how often the index is updated
+	ReconcileTimeout time.Duration // longest time a new leader gathers reports
+	LeaderLease      time.Duration // leased leader key
+	UnhealthyAfter   time.Duration // no report for so long: no new tasks there
+	ReplaceAfter     time.Duration // silent for so long: the machine is returned
+	IdleReturn       time.Duration // empty for so long: the machine is returned
+	Reserve          float64       // CPUs kept free, as a share of those in use
 }
 
 // DefaultOperator returns the values used where the operator file is silent.
 func DefaultOperator() Operator {
 	return Operator{
-		Smoothing:   4 * time.Second,
-		IndexUpdate: time.Second,
-		Gather:      10 * time.Second,
-		LeaderLease: 2500 * time.Millisecond,
-		Silent:      10 * time.Second,
-		Abandon:     14 * time.Second,
-		IdleReturn:  10 * time.Second,
-		Reserve:     0.15,
+		Smoothing:        4 * time.Second,
+		IndexUpdate:      time.Second,
+		ReconcileTimeout: 10 * time.Second,
+		LeaderLease:      2500 * time.Millisecond,
+		UnhealthyAfter:   10 * time.Second,
+		ReplaceAfter:     14 * time.Second,
+		IdleReturn:       10 * time.Second,
+		Reserve:          0.15,
 	}
 }
 
@@ -49,12 +49,12 @@
 			"update-s":    {0.1, 60, &o.IndexUpdate, nil},
 		},
 		"leader": {
-			"gather-s": {0, 600, &o.Gather, nil},
+			"gather-s": {0, 600, &o.ReconcileTimeout, nil},
 			"lease-s":  {1, 120, &o.LeaderLease, nil},
 		},
 		"fleet": {
-			"silent-s":  {1, 600, &o.Silent, nil},
-			"abandon-s": {1, 3600, &o.Abandon, nil},
+			"silent-s":  {1, 600, &o.UnhealthyAfter, nil},
+			"abandon-s": {1, 3600, &o.ReplaceAfter, nil},
 		},
 		"rental": {
 			"idle-return-s": {0, 86400, &o.IdleReturn, nil},
@@ -128,7 +128,7 @@
 			seen[name] = true
 		}
 	}
-	if o.Abandon < o.Silent {
+	if o.ReplaceAfter < o.UnhealthyAfter {
 		errs = append(errs, fmt.Errorf("fleet.abandon-s: must not be below fleet.silent-s"))
 	}
 	return o, errors.Join(errs...)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,13 +19,13 @@
 	PeerListen string
 	Peers      []Peer
 	CloudAddr  string
-	StateAddr  string
+	StoreAddr  string
 	Zones      []string
 	Teams      []Team
 	Objectives []Objective
 	Workers    Workers
-	State      State
-	Cloud      Cloud
+	Store      StoreLimits
+	Cloud      CloudLimits
 	Resources  Resources
 }
 
@@ -35,12 +35,12 @@
 // Team has a guarantee and a limit on each of CPUs and GPUs. No guarantee is 0, no
 // limit is infinite.
 type Team struct {
-	Name                         string
-	CPUs, CPUsMax, GPUs, GPUsMax float64
+	Name                                             string
+	GuaranteedCPUs, MaxCPUs, GuaranteedGPUs, MaxGPUs float64
 }
 
 // Opportunistic tells whether the team has no guarantee: it uses what others leave.
-func (t *Team) Opportunistic() bool { return t.CPUs == 0 && t.GPUs == 0 }
+func (t *Team) Opportunistic() bool { return t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 }
 
 // Objective restates one aim at start or at finish.
 type Objective struct {
@@ -58,34 +58,34 @@
 
 // Workers holds the workers' fixed intervals.
 type Workers struct {
-	Report, Lease, Cancel time.Duration
+	HeartbeatInterval, Lease, CancelDeadline time.Duration
 
-	GangWait time.Duration // for which a task waits for the others of its gang; 0: not known
-	GangPeer time.Duration // within which a gang's tasks notice that one is gone; 0: not known
+	GangWait   time.Duration // for which a task waits for the others of its gang; 0: not known
+	GangNotice time.Duration // within which a gang's tasks notice that one is gone; 0: not known
 }
 
-// State holds the limits of the state service.
-type State struct {
+// StoreLimits holds the limits of the state service.
+type StoreLimits struct {
 	RPS, WriteRPS float64
 	ValueBytes    int
 	TxnOps        int
 
 	// Next holds what is lower from some moment on that nobody announces; nil: nothing.
-	Next *State
+	Next *StoreLimits
 }
 
 // Safe returns limits within which every value and transaction stays, before that moment
 // and after it. Rates are those of now: keeping the lower ones early costs starts, and
 // the service says when one is exceeded.
-func (s State) Safe() State {
+func (s StoreLimits) Safe() StoreLimits {
 	if s.Next != nil {
 		s.ValueBytes, s.TxnOps = min(s.ValueBytes, s.Next.ValueBytes), min(s.TxnOps, s.Next.TxnOps)
 	}
 	return s
 }
 
-// Cloud holds the limits of the cloud.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud.
+type CloudLimits struct {
 	RPS     float64
 	ListLag time.Duration
 }
@@ -139,7 +139,7 @@
 		Listen:     root.addr("listen"),
 		PeerListen: root.addr("peer_listen"),
 		CloudAddr:  endpoints.addr("cloud"),
-		StateAddr:  endpoints.addr("state"),
+		StoreAddr:  endpoints.addr("state"),
 	}
 	for _, p := range root.list("peers") {
 		s.Peers = append(s.Peers, Peer{p.text("node_name"), p.text("site"), p.addr("endpoint")})
@@ -170,13 +170,13 @@
 	s.Workers = Workers{seconds(w.number("report_s", 0.01, 1e4)), seconds(w.number("lease_s", 0.01, 1e5)),
 		seconds(w.number("cancel_s", 0.01, 1e5)), seconds(w.optional("gang_wait_s", 0.1, 1e5)), seconds(w.optional("gang_peer_s", 0.1, 1e4))}
 	st := params.object("state")
-	s.State = State{RPS: st.number("rps", 1, 1e9), WriteRPS: st.number("write_rps", 1, 1e9),
+	s.Store = StoreLimits{RPS: st.number("rps", 1, 1e9), WriteRPS: st.number("write_rps", 1, 1e9),
 		ValueBytes: int(st.number("value_kb", 1, 1024) * 1024), TxnOps: int(st.number("txn_ops", 3, 1e4))}
 	if st.fields["next"] != nil {
-		s.State.Next = st.object("next").lowered(s.State)
+		s.Store.Next = st.object("next").lowered(s.Store)
 	}
 	c := params.object("cloud")
-	s.Cloud = Cloud{c.number("rps", 0.01, 1e6), seconds(c.number("list_lag_s", 0, 1e4))}
+	s.Cloud = CloudLimits{c.number("rps", 0.01, 1e6), seconds(c.number("list_lag_s", 0, 1e4))}
 	res := params.object("resources")
 	s.Resources = Resources{res.number("cpu_share", 0.001, 1e4), int64(res.number("mem_mb", 16, 1e7) * (1 << 20)),
 		int(res.number("max_sockets", 32, 1e7))}
@@ -265,14 +265,14 @@
 }
 
 // lowered reads limits to come; what is not named stays, and none is higher than now.
-func (o object) lowered(now State) *State {
+func (o object) lowered(now StoreLimits) *StoreLimits {
 	read := func(name string, least, now float64) float64 {
 		if o.fields[name] == nil {
 			return now
 		}
 		return min(now, o.number(name, least, 1e9))
 	}
-	return &State{RPS: read("rps", 1, now.RPS), WriteRPS: read("write_rps", 1, now.WriteRPS),
+	return &StoreLimits{RPS: read("rps", 1, now.RPS), WriteRPS: read("write_rps", 1, now.WriteRPS),
 		ValueBytes: int(read("value_kb", 1, float64(now.ValueBytes)/1024) * 1024), TxnOps: int(read("txn_ops", 3, float64(now.TxnOps)))}
 }
 
@@ -293,18 +293,18 @@
 	return math.Inf(1)
 }
 
-// Oddities names what is allowed in the settings but hardly meant, a line each.
-func (s *Settings) Oddities() []string {
+// Warnings names what is allowed in the settings but hardly meant, a line each.
+func (s *Settings) Warnings() []string {
 	var out []string
 	for _, t := range s.Teams {
-		if t.CPUsMax < t.CPUs || t.GPUsMax < t.GPUs {
+		if t.MaxCPUs < t.GuaranteedCPUs || t.MaxGPUs < t.GuaranteedGPUs {
 			out = append(out, fmt.Sprintf("team %s: its limit is below its guarantee, and holds", t.Name))
 		}
 	}
 	return out
 }
 
-// Controls tells whether a controller stands in a zone.
-func (s *Settings) Controls(zone string) bool {
+// HasController tells whether a controller stands in a zone.
+func (s *Settings) HasController(zone string) bool {
 	return s.Zone == zone || slices.ContainsFunc(s.Peers, func(p Peer) bool { return p.Zone == zone })
 }
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -50,7 +50,7 @@
 	d, ok := n.cancelled.Staleness()
 	w := &n.settings.Workers
 	// Where a lease leaves no time at all the promise cannot be kept by leases.
-	return ok && d < max(w.Cancel-w.Lease-leaseSlack, 2*knowWithin)
+	return ok && d < max(w.CancelDeadline-w.Lease-leaseSlack, 2*knowWithin)
 }
 
 // guardAfter is the share of the cancellation time after which a node sees itself to it
@@ -167,7 +167,7 @@
 		if l := n.leader.Load(); l != nil && l.loaded.Load() || n.peers.LeadingWithin(leader, proxyUnheard) {
 			continue // it knows what this node knows, and the places better
 		}
-		late := time.Duration(guardAfter * float64(n.settings.Workers.Cancel))
+		late := time.Duration(guardAfter * float64(n.settings.Workers.CancelDeadline))
 		machines := n.guard.holding(n.places(late), cloud.MaxReturn)
 		if len(machines) == 0 {
 			continue
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -39,7 +39,7 @@
 	rps     float64 // that the state service allows
 	limit   float64 // CPUs that the team may use
 	zones   []string
-	next    *config.State // limits to come that nodes are told of; nil: none
+	next    *config.StoreLimits // limits to come that nodes are told of; nil: none
 	told    told
 }
 
@@ -158,12 +158,12 @@
 func (c *cluster) start(i int) {
 	c.referee.Limit("crew", c.limit)
 	s := &config.Settings{Node: nodeName(i), Zone: c.zones[i%len(c.zones)], Listen: nodeAddr(i), PeerListen: peerAddr(i),
-		CloudAddr: cloudAddr, StateAddr: stateAddr, Zones: c.zones,
-		Teams: []config.Team{{Name: "crew", CPUs: 8, CPUsMax: c.limit, GPUsMax: math.Inf(1)}, {Name: "guests", CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)},
-			{Name: "neighbours", CPUs: 1000, CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}},
-		Workers:   config.Workers{Report: 3 * time.Second, Lease: 26 * time.Second, Cancel: 51 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second},
-		State:     config.State{RPS: c.rps, WriteRPS: 60, ValueBytes: 8 << 10, TxnOps: 8, Next: c.next},
-		Cloud:     config.Cloud{RPS: 5, ListLag: 2 * time.Second},
+		CloudAddr: cloudAddr, StoreAddr: stateAddr, Zones: c.zones,
+		Teams: []config.Team{{Name: "crew", GuaranteedCPUs: 8, MaxCPUs: c.limit, MaxGPUs: math.Inf(1)}, {Name: "guests", MaxCPUs: math.Inf(1), MaxGPUs: math.Inf(1)},
+			{Name: "neighbours", GuaranteedCPUs: 1000, MaxCPUs: math.Inf(1), MaxGPUs: math.Inf(1)}},
+		Workers:   config.Workers{HeartbeatInterval: 3 * time.Second, Lease: 26 * time.Second, CancelDeadline: 51 * time.Second, GangWait: 45 * time.Second, GangNotice: 4 * time.Second},
+		Store:     config.StoreLimits{RPS: c.rps, WriteRPS: 60, ValueBytes: 8 << 10, TxnOps: 8, Next: c.next},
+		Cloud:     config.CloudLimits{RPS: 5, ListLag: 2 * time.Second},
 		Resources: config.Resources{CPUShare: 1, MemBytes: 1 << 27, MaxSockets: 1000}}
 	for k := range 3 {
 		if k != i {
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -36,12 +36,12 @@
 	l.estimatesSaved = now
 	m := estimates{Estimates: autoscaler.NewEstimates(&l.offered, &l.learned), Gangs: autoscaler.NewEstimates(&l.gangs, &autoscaler.RuntimeEstimator{})}
 	for j, st := range l.jobStates {
-		if st.failing() && len(m.Failing) < min(maxFailing, l.node.settings.State.ValueBytes/2/16) {
+		if st.failing() && len(m.Failing) < min(maxFailing, l.node.settings.Store.ValueBytes/2/16) {
 			m.Failing = append(m.Failing, j.Spec.ID)
 		}
 	}
 	fence, value := l.term.Fence(), wire.Marshal(m)
-	if len(value) > relay.UsableBytes(l.node.settings.State.ValueBytes) {
+	if len(value) > relay.UsableBytes(l.node.settings.Store.ValueBytes) {
 		return
 	}
 	l.spawn(func() {
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -58,7 +58,7 @@
 // reaches tells whether a machine has been heard lately and gets what it is told.
 func (l *leader) reaches(m *agent.Machine, now time.Time) bool {
 	return m.Registered && !m.Gone && m.RelayedBy == "" && !m.ProbeFailed && !m.RequestInFlight && m.UnresponsiveSince.IsZero() && !m.Failed &&
-		now.Sub(m.LastHeartbeat) < l.node.settings.Workers.Report*3/2
+		now.Sub(m.LastHeartbeat) < l.node.settings.Workers.HeartbeatInterval*3/2
 }
 
 // gangKind is what a gang of a class needs.
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -14,7 +14,7 @@
 )
 
 // lowered are the limits to come, of a small state service.
-var lowered = &config.State{RPS: 80, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
+var lowered = &config.StoreLimits{RPS: 80, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 
 // The limits are lowered while large arrays and a large gang run and many cancellations wait to
 // be recorded as ended; alone, in the middle of an election, and with answers lost: every job
@@ -91,7 +91,7 @@
 // deployment and at those to come, starts whole or not at all, also if the leader ends in the
 // middle of recording it.
 func TestGangLargerThanTransaction(t *testing.T) {
-	limits := map[string]config.State{
+	limits := map[string]config.StoreLimits{
 		"8 KiB and 8 changes":  {RPS: 80, ValueBytes: 8 << 10, TxnOps: 8, WriteRPS: 25},
 		"32 KiB, 16 changes":   {RPS: 250, ValueBytes: 32 << 10, TxnOps: 16, WriteRPS: 20},
 		"to come, 4 changes":   {RPS: 80, ValueBytes: 2 << 10, TxnOps: 4, WriteRPS: 18},
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -74,9 +74,9 @@
 	if net.Listen == nil {
 		net.Listen = func(ctx context.Context, s *wire.Server) error { return s.Run(ctx) }
 	}
-	now := s.State
+	now := s.Store
 	safe := *s
-	safe.State = now.Safe()
+	safe.Store = now.Safe()
 	s = &safe
 	n := &Node{
 		dial:     net.Dial,
@@ -84,18 +84,18 @@
 		settings: s,
 		operator: o,
 		changed:  make(chan string, 64),
-		store:    kvstore.New(net.Dial, s.StateAddr, s.State.RPS*nodeShare, s.State.WriteRPS*writeShare),
+		store:    kvstore.New(net.Dial, s.StoreAddr, s.Store.RPS*nodeShare, s.Store.WriteRPS*writeShare),
 		cloud:    cloud.New(net.Dial, s.CloudAddr, s.Cloud.RPS*cloudShare),
 	}
-	report := s.Workers.Report * 3 / 2
+	report := s.Workers.HeartbeatInterval * 3 / 2
 	n.extended = newSightings(report, s.Resources.MemBytes)
 	n.redirected = newSightings(report+redirectRound, s.Resources.MemBytes)
 	n.valueBytes.Store(int64(now.ValueBytes))
 	if now.Next != nil {
 		n.store.OnRefused = n.onRefused
 	}
-	n.cancelled = cancellation.New(len(s.Peers)+1, s.Workers.Cancel)
-	n.proxy = &relay.Proxy{Node: s.Node, Store: n.store, Dial: net.Dial, ValueBytes: s.State.ValueBytes, TxnOps: s.State.TxnOps}
+	n.cancelled = cancellation.New(len(s.Peers)+1, s.Workers.CancelDeadline)
+	n.proxy = &relay.Proxy{Node: s.Node, Store: n.store, Dial: net.Dial, ValueBytes: s.Store.ValueBytes, TxnOps: s.Store.TxnOps}
 	n.candidate = &leadership.Candidate{Node: s.Node, TTL: o.LeaderLease, Store: n.store,
 		PreferOther: func() bool {
 			return n.peers.MostRedirected(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
@@ -103,7 +103,7 @@
 	n.intake = &api.Handler{
 		Store:     n.store,
 		Teams:     s.Teams,
-		ChunkSize: jobstore.TasksPerChunk(s.State.ValueBytes),
+		ChunkSize: jobstore.TasksPerChunk(s.Store.ValueBytes),
 		Types: func() []cloud.Type {
 			if t := n.types.Load(); t != nil {
 				return *t
@@ -121,7 +121,7 @@
 			}
 		},
 	}
-	n.intake.Init(s.State.RPS)
+	n.intake.Init(s.Store.RPS)
 	n.peers = &peer.Group{Dial: net.Dial, Node: s.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm, OnChanged: n.onChanged,
 		Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
 		ConfirmedGone: n.guard.known, OnConfirmedGone: n.guard.learn, StoreReachable: func() bool { return n.store.ServedWithin(readyServed) }}
@@ -135,13 +135,13 @@
 // without saying when. One request too many shows less than a value that is too large: only
 // rates follow from it.
 func (n *Node) onRefused(tooLarge bool) {
-	next := n.settings.State.Next
+	next := n.settings.Store.Next
 	if !n.slowed.Swap(true) {
 		slog.Info("the state service allows fewer changes", "write_rps", next.WriteRPS)
 		n.store.SetRates(next.RPS*nodeShare, next.WriteRPS*writeShare)
 	}
-	if tooLarge && n.valueBytes.Swap(int64(n.settings.State.ValueBytes)) != int64(n.settings.State.ValueBytes) {
-		slog.Info("the state service takes smaller values", "bytes", n.settings.State.ValueBytes)
+	if tooLarge && n.valueBytes.Swap(int64(n.settings.Store.ValueBytes)) != int64(n.settings.Store.ValueBytes) {
+		slog.Info("the state service takes smaller values", "bytes", n.settings.Store.ValueBytes)
 	}
 }
 
@@ -251,7 +251,7 @@
 			n.types.Store(&types)
 			wait = time.Minute
 			value := wire.Marshal(catalogValue{types})
-			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.UsableBytes(n.settings.State.ValueBytes) {
+			if n.leader.Load() == nil || bytes.Equal(value, kept) || len(value) > relay.UsableBytes(n.settings.Store.ValueBytes) {
 				break
 			}
 			_, err := n.store.Txn(ctx, nil, []kvstore.Mutation{{Put: catalogKey, Value: value}}, kvstore.PriorityBackground)
--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -128,24 +128,24 @@
 		peers = append(peers, object{"node_name": p.Node, "site": p.Zone, "endpoint": p.Addr})
 	}
 	for _, t := range s.Teams {
-		teams = append(teams, object{"name": t.Name, "cpus": t.CPUs, "cpus_max": limit(t.CPUsMax), "gpus": t.GPUs, "gpus_max": limit(t.GPUsMax)})
+		teams = append(teams, object{"name": t.Name, "cpus": t.GuaranteedCPUs, "cpus_max": limit(t.MaxCPUs), "gpus": t.GuaranteedGPUs, "gpus_max": limit(t.MaxGPUs)})
 	}
 	for _, o := range s.Objectives {
 		objectives = append(objectives, object{"kind": o.Kind, "class": o.Class, "within_s": o.Within.Seconds(), "times": o.Times})
 	}
-	limits := func(l *config.State) object {
+	limits := func(l *config.StoreLimits) object {
 		return object{"rps": l.RPS, "write_rps": l.WriteRPS, "value_kb": float64(l.ValueBytes) / 1024, "txn_ops": l.TxnOps}
 	}
-	state := limits(&s.State)
-	if s.State.Next != nil {
-		state["next"] = limits(s.State.Next)
+	state := limits(&s.Store)
+	if s.Store.Next != nil {
+		state["next"] = limits(s.Store.Next)
 	}
 	file, err := json.Marshal(object{
 		"node_name": s.Node, "site": s.Zone, "listen": s.Listen, "peer_listen": s.PeerListen, "peers": peers,
-		"endpoints": object{"cloud": s.CloudAddr, "state": s.StateAddr},
+		"endpoints": object{"cloud": s.CloudAddr, "state": s.StoreAddr},
 		"params": object{"zones": s.Zones, "teams": teams, "objectives": objectives, "state": state,
-			"workers": object{"report_s": s.Workers.Report.Seconds(), "lease_s": s.Workers.Lease.Seconds(), "cancel_s": s.Workers.Cancel.Seconds(),
-				"gang_wait_s": s.Workers.GangWait.Seconds(), "gang_peer_s": s.Workers.GangPeer.Seconds()},
+			"workers": object{"report_s": s.Workers.HeartbeatInterval.Seconds(), "lease_s": s.Workers.Lease.Seconds(), "cancel_s": s.Workers.CancelDeadline.Seconds(),
+				"gang_wait_s": s.Workers.GangWait.Seconds(), "gang_peer_s": s.Workers.GangNotice.Seconds()},
 			"cloud":     object{"rps": s.Cloud.RPS, "list_lag_s": s.Cloud.ListLag.Seconds()},
 			"resources": object{"cpu_share": s.Resources.CPUShare, "mem_mb": float64(s.Resources.MemBytes) / (1 << 20), "max_sockets": s.Resources.MaxSockets},
 		},
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -74,7 +74,7 @@
 		case s.Shape == job.Service:
 			m.Stop(h, s.SaveS)
 		case s.CheckpointS > 0 && h.Job.IsGang():
-			if m.TerminationAt.Sub(now) < save+saveLeeway+l.node.settings.Workers.GangPeer {
+			if m.TerminationAt.Sub(now) < save+saveLeeway+l.node.settings.Workers.GangNotice {
 				l.stopGang(h.Job, now)
 			}
 		case s.CheckpointS > 0 && m.TerminationAt.Sub(now) < save+saveLeeway:
@@ -116,7 +116,7 @@
 	}
 	v.Free, v.Tasks, v.Load = st.free, st.tasks, st.index.Value()
 	v.Open = l.present(m) && !m.HasUnknownTask() && !m.Quarantined && !m.Failed && m.RetireReason == "" && m.TerminationAt.IsZero() &&
-		m.UnresponsiveSince.IsZero() && now.Sub(m.LastHeartbeat) < l.node.operator.Silent
+		m.UnresponsiveSince.IsZero() && now.Sub(m.LastHeartbeat) < l.node.operator.UnhealthyAfter
 	return v, st.assigned
 }
 
@@ -131,7 +131,7 @@
 func (l *leader) teams() []placement.Team {
 	out := make([]placement.Team, len(l.node.settings.Teams))
 	for i, t := range l.node.settings.Teams {
-		out[i] = placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, Opportunistic: t.Opportunistic()}
+		out[i] = placement.Team{CPUsMax: t.MaxCPUs, GPUsMax: t.MaxGPUs, Opportunistic: t.Opportunistic()}
 	}
 	l.jobs.Each(func(j *jobstore.Job) {
 		if t := l.jobStates[j].team; t >= 0 {
@@ -297,7 +297,7 @@
 // work of teams without a guarantee is to be stopped for it: half of the time in which work within a
 // guarantee should start. Until then short tasks of theirs end by themselves.
 func (l *leader) displaces(j *jobstore.Job, now time.Time) bool {
-	patience := l.node.operator.Silent
+	patience := l.node.operator.UnhealthyAfter
 	for _, o := range l.node.settings.Objectives {
 		if o.Kind == config.KindGuarantee {
 			patience = o.Within / 2
@@ -366,7 +366,7 @@
 		n := float64(j.Spec.Tasks - j.DoneTasks())
 		cpus[t] += n * j.Spec.CPUs
 		gpus[t] += n * j.Spec.GPUs
-		if cpus[t] > teams[t].CPUs+1e-6 || gpus[t] > teams[t].GPUs+1e-6 {
+		if cpus[t] > teams[t].GuaranteedCPUs+1e-6 || gpus[t] > teams[t].GuaranteedGPUs+1e-6 {
 			out[j] = true
 		}
 	}
@@ -435,7 +435,7 @@
 // election cost services 10 s of their start aim; and nearly, since of hundreds of
 // machines some are always dying, hanging or cut off, and get no tasks anyway.
 func (l *leader) ready(now time.Time) bool {
-	if !l.gathered && (now.Sub(l.started) >= l.node.operator.Gather || l.listed && l.reported() >= nearlyAll) {
+	if !l.gathered && (now.Sub(l.started) >= l.node.operator.ReconcileTimeout || l.listed && l.reported() >= nearlyAll) {
 		l.gathered = true
 		slog.Info("gathering over", "term", l.term.Number(), "after", now.Sub(l.started).Round(time.Millisecond))
 	}
@@ -448,7 +448,7 @@
 // surveyed tells whether machines that have not reported may be taken for lost, and
 // others rented in their place.
 func (l *leader) surveyed(now time.Time) bool {
-	return l.ready(now) && (now.Sub(l.started) >= l.node.operator.Gather || l.reported() == 1)
+	return l.ready(now) && (now.Sub(l.started) >= l.node.operator.ReconcileTimeout || l.reported() == 1)
 }
 
 // reported returns the part of the machines that should report and have.
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -71,7 +71,7 @@
 	s := l.relays[batch.Node]
 	if s == nil {
 		// As many parts as one write can carry.
-		parts := min(l.node.settings.State.TxnOps, max(1, relay.MaxWrite/l.node.settings.State.ValueBytes))
+		parts := min(l.node.settings.Store.TxnOps, max(1, relay.MaxWrite/l.node.settings.Store.ValueBytes))
 		s = &proxyState{written: make([][]byte, parts), wanted: map[string]bool{}}
 		l.relays[batch.Node] = s
 	}
@@ -117,7 +117,7 @@
 		if s.writing || now.Before(s.next) {
 			continue
 		}
-		if now.Sub(s.heard) > l.node.operator.Silent {
+		if now.Sub(s.heard) > l.node.operator.UnhealthyAfter {
 			delete(l.relays, node) // the cut is over
 			continue
 		}
@@ -128,7 +128,7 @@
 
 // commandBatches returns the commands for the machines heard through a node, in parts.
 func (l *leader) commandBatches(node string, s *proxyState, now time.Time) []relay.CommandBatch {
-	term, limit := l.term.Number(), relay.UsableBytes(min(l.node.settings.State.ValueBytes, relay.MaxWrite))-200
+	term, limit := l.term.Number(), relay.UsableBytes(min(l.node.settings.Store.ValueBytes, relay.MaxWrite))-200
 	parts := make([]relay.CommandBatch, len(s.written))
 	left := make([]int, len(parts))
 	for i := range parts {
@@ -142,7 +142,7 @@
 	}
 	some := false
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.RelayedBy != node || now.Sub(m.LastHeartbeat) > l.node.operator.Silent {
+		if m.RelayedBy != node || now.Sub(m.LastHeartbeat) > l.node.operator.UnhealthyAfter {
 			return
 		}
 		some = true
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -66,7 +66,7 @@
 	m := l.machine(r.Machine, now)
 	m.Type, m.Zone = l.lookup(r.Type, r.Zone)
 	was := m.Version
-	idle := !m.Registered || now.Sub(m.LastHeartbeat) >= l.node.operator.Silent
+	idle := !m.Registered || now.Sub(m.LastHeartbeat) >= l.node.operator.UnhealthyAfter
 	if !m.Registered {
 		l.learnImages(m, r, now)
 	}
@@ -215,7 +215,7 @@
 // push sends urgent commands directly, one request a machine at a time.
 func (l *leader) push(now time.Time) {
 	l.fleet.Each(func(m *agent.Machine) {
-		if !m.Urgent() || now.Sub(m.LastHeartbeat) >= l.node.operator.Silent || l.pushing >= l.node.settings.Resources.MaxSockets/pushShare {
+		if !m.Urgent() || now.Sub(m.LastHeartbeat) >= l.node.operator.UnhealthyAfter || l.pushing >= l.node.settings.Resources.MaxSockets/pushShare {
 			return // its turn comes when others are done, or with its next report
 		}
 		orders := l.orders(m, now)
@@ -276,7 +276,7 @@
 // does not answer is given up sooner: of a hundred that hang or die together each second
 // counts for what was on them (zone and loss of both fleet deployments).
 func (l *leader) probeSilent(now time.Time) {
-	quiet := l.node.settings.Workers.Report * 3 / 2
+	quiet := l.node.settings.Workers.HeartbeatInterval * 3 / 2
 	l.fleet.Each(func(m *agent.Machine) {
 		since := l.started
 		if m.Registered {
@@ -327,12 +327,12 @@
 // both fleet deployments: 885 and 1,536 tasks killed by their lease in 40 s, and none
 // started).
 func (l *leader) handOver(now time.Time) {
-	if now.Sub(l.started) < l.node.operator.Gather || !l.term.Valid() {
+	if now.Sub(l.started) < l.node.operator.ReconcileTimeout || !l.term.Valid() {
 		return // workers still find their way here
 	}
 	heard, answered := 0, 0
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.Registered && m.RelayedBy == "" && now.Sub(m.LastHeartbeat) < l.node.settings.Workers.Report*3/2 {
+		if m.Registered && m.RelayedBy == "" && now.Sub(m.LastHeartbeat) < l.node.settings.Workers.HeartbeatInterval*3/2 {
 			heard++
 		}
 		if m.Registered && m.FencingToken >= l.firstTerm {
--- a/internal/controller/retire.go
+++ b/internal/controller/retire.go
@@ -61,7 +61,7 @@
 		return "never came up"
 	case inUse && l.lost(m, zones, now):
 		return "silent"
-	case !m.TerminationAt.IsZero() && now.After(m.TerminationAt) && l.quiet(m, now) >= l.node.operator.Silent:
+	case !m.TerminationAt.IsZero() && now.After(m.TerminationAt) && l.quiet(m, now) >= l.node.operator.UnhealthyAfter:
 		return "taken back"
 	case m.Registered && len(m.Assignments) == 0 && (m.Type < 0 || m.Zone < 0):
 		return "of no known type or zone"
@@ -100,7 +100,7 @@
 			return
 		}
 		silent := 0
-		if l.quiet(m, now) >= l.node.operator.Silent {
+		if l.quiet(m, now) >= l.node.operator.UnhealthyAfter {
 			silent = 1
 		}
 		z.all.all++
@@ -123,7 +123,7 @@
 func (l *leader) noteCuts(zones zoneSilence, now time.Time) {
 	for z, count := range zones.byZone {
 		gap := now.Sub(zones.heard[z])
-		missed := float64(count.all) * gap.Seconds() / l.node.settings.Workers.Report.Seconds()
+		missed := float64(count.all) * gap.Seconds() / l.node.settings.Workers.HeartbeatInterval.Seconds()
 		none := !zones.heard[z].IsZero() && count.all > 2 && gap >= time.Second && missed >= cutMissed
 		if none || zones.all.cut() || count.cut() {
 			l.cutUntil[z] = now
@@ -142,7 +142,7 @@
 // election a lease's time, as they may have to try every node (inc-2c92: 77 given
 // up as soon as two thirds were back).
 func (l *leader) lost(m *agent.Machine, zones zoneSilence, now time.Time) bool {
-	abandon, lease := l.node.operator.Abandon, l.node.settings.Workers.Lease
+	abandon, lease := l.node.operator.ReplaceAfter, l.node.settings.Workers.Lease
 	silent := l.quiet(m, now)
 	if m.Zone >= 0 && !l.cutUntil[m.Zone].IsZero() {
 		if l.cutUntil[m.Zone].Equal(now) {
@@ -153,7 +153,7 @@
 	if !m.Registered {
 		return silent >= max(abandon, lease)
 	}
-	return silent >= abandon || m.ProbeFailed && silent >= l.node.operator.Silent && l.alone(m, zones, now)
+	return silent >= abandon || m.ProbeFailed && silent >= l.node.operator.UnhealthyAfter && l.alone(m, zones, now)
 }
 
 // cutPatience is for how long a machine in a zone that is cut off is kept. Those that serve in
@@ -161,9 +161,9 @@
 // as others have found their way by then (zone of omaruru-fares-fleet: replicas of a quarter
 // of the fleet were gone for 15 s more than need be).
 func (l *leader) cutPatience(m *agent.Machine, zone silentCount) time.Duration {
-	abandon, lease := l.node.operator.Abandon, l.node.settings.Workers.Lease
+	abandon, lease := l.node.operator.ReplaceAfter, l.node.settings.Workers.Lease
 	switch {
-	case !m.RunsService() || l.node.settings.Controls(l.zones[m.Zone]):
+	case !m.RunsService() || l.node.settings.HasController(l.zones[m.Zone]):
 		return max(abandon, cutPatience*lease)
 	case !m.Registered && zone.silent == zone.all:
 		return abandon
@@ -174,9 +174,9 @@
 // alone tells whether it is the machine alone that is silent: only where a cut would have
 // shown by now.
 func (l *leader) alone(m *agent.Machine, zones zoneSilence, now time.Time) bool {
-	report := l.node.settings.Workers.Report
+	report := l.node.settings.Workers.HeartbeatInterval
 	return m.Zone >= 0 && now.Sub(l.cutUntil[m.Zone]) > l.node.settings.Workers.Lease &&
-		float64(zones.byZone[m.Zone].all)*(l.node.operator.Silent-report*5/4).Seconds() >= cutMissed*report.Seconds()
+		float64(zones.byZone[m.Zone].all)*(l.node.operator.UnhealthyAfter-report*5/4).Seconds() >= cutMissed*report.Seconds()
 }
 
 func (l *leader) bootLimit(m *agent.Machine) time.Duration {
@@ -198,10 +198,10 @@
 // kapana-orders-grown: 4 and 7 sound machines given up at elections).
 func (l *leader) overdueCancel(m *agent.Machine, now time.Time) bool {
 	leeway := cancelLeeway
-	if now.Sub(l.started) < l.node.operator.Gather {
+	if now.Sub(l.started) < l.node.operator.ReconcileTimeout {
 		leeway = cancelLast
 	}
-	limit := time.Duration(leeway * float64(l.node.settings.Workers.Cancel))
+	limit := time.Duration(leeway * float64(l.node.settings.Workers.CancelDeadline))
 	for _, h := range m.Assignments {
 		if h.Job.Cancelled && now.Sub(h.Job.CancelledAt) > limit {
 			return true
--- a/internal/controller/roll_test.go
+++ b/internal/controller/roll_test.go
@@ -354,7 +354,7 @@
 				many["cpus"], many["ram_gb"] = 0.25, 0.25
 				c.accept(10*time.Second, 0, many)
 				c.until("all replicas run", time.Minute, func() bool { return c.referee.OnOf("wk-000050") == 80 })
-				c.next = &config.State{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
+				c.next = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 				for i := range 3 {
 					c.kill(i)
 					c.start(i)
--- a/internal/controller/size_bench_test.go
+++ b/internal/controller/size_bench_test.go
@@ -62,11 +62,11 @@
 // benchLead returns a leader with so many machines, all of them heard.
 func benchLead(b *testing.B, machines int) *leader {
 	b.Helper()
-	settings := &config.Settings{Node: nodeName(0), Listen: nodeAddr(0), StateAddr: stateAddr, CloudAddr: cloudAddr, Zones: []string{"a", "b"},
-		Teams:     []config.Team{{Name: "crew", CPUs: 1e6, CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}},
-		Workers:   config.Workers{Report: 5 * time.Second, Lease: 26 * time.Second, Cancel: 51 * time.Second},
-		State:     config.State{RPS: 800, WriteRPS: 300, ValueBytes: 8 << 10, TxnOps: 8},
-		Cloud:     config.Cloud{RPS: 10, ListLag: 4 * time.Second},
+	settings := &config.Settings{Node: nodeName(0), Listen: nodeAddr(0), StoreAddr: stateAddr, CloudAddr: cloudAddr, Zones: []string{"a", "b"},
+		Teams:     []config.Team{{Name: "crew", GuaranteedCPUs: 1e6, MaxCPUs: math.Inf(1), MaxGPUs: math.Inf(1)}},
+		Workers:   config.Workers{HeartbeatInterval: 5 * time.Second, Lease: 26 * time.Second, CancelDeadline: 51 * time.Second},
+		Store:     config.StoreLimits{RPS: 800, WriteRPS: 300, ValueBytes: 8 << 10, TxnOps: 8},
+		Cloud:     config.CloudLimits{RPS: 10, ListLag: 4 * time.Second},
 		Resources: config.Resources{CPUShare: 1, MemBytes: 1 << 29, MaxSockets: 12_000}}
 	l := newLeader(context.Background(), New(settings, config.DefaultOperator(), Network{}), &leadership.Term{})
 	l.types = []cloud.Type{{Name: "box", CPUs: 4, RAM: 16, Hourly: 1, FetchRate: 1, Disk: 50, BootS: 50, Zones: []string{"a", "b"}}}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -447,7 +447,7 @@
 			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
 			want[jobID(i)] = jobstore.StatusDone
 		}
-		c.next = &config.State{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
+		c.next = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 		for i := range 3 {
 			time.Sleep(4 * time.Second)
 			c.kill(i)
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -21,7 +21,7 @@
 		l.raise(now)
 		return
 	}
-	ops := min(l.node.settings.State.TxnOps, l.node.store.WriteBudget(kvstore.PriorityScheduling))
+	ops := min(l.node.settings.Store.TxnOps, l.node.store.WriteBudget(kvstore.PriorityScheduling))
 	fence := l.term.Fence()
 	batch := l.jobs.NextBatch(fence, ops, l.node.store.WriteBudget(kvstore.PriorityBackground), int(l.node.valueBytes.Load()), now)
 	if batch == nil {
@@ -111,7 +111,7 @@
 }
 
 func (l *leader) clearOrphans(fence kvstore.Compare) {
-	n := min(len(l.orphans), l.node.settings.State.TxnOps, l.node.store.WriteBudget(kvstore.PriorityBackground))
+	n := min(len(l.orphans), l.node.settings.Store.TxnOps, l.node.store.WriteBudget(kvstore.PriorityBackground))
 	if n == 0 {
 		return
 	}
