--- a/internal/controller/cancelled_test.go
+++ b/internal/controller/cancelled_test.go
@@ -14,7 +14,7 @@
 
 // refuse cuts a node off from the state service, and from the other nodes too if asked.
 func (c *cluster) refuse(node int, peers bool) {
-	c.net.Cut(func(from, to string) bool {
+	c.net.Partition(func(from, to string) bool {
 		if from == nodeAddr(node) && to == stateAddr {
 			return true
 		}
@@ -111,7 +111,7 @@
 		}, false},
 		{"machines are deaf", false, func(c *cluster, _, _ int) {
 			for _, w := range c.cloud.Machines() {
-				w.Deafen(true)
+				w.DropIncoming(true)
 			}
 		}, false},
 	} {
@@ -120,7 +120,7 @@
 				time.Sleep(2 * time.Second)
 				c.runService(8)
 				c.accept(5*time.Second, 0, submission(other, job.Service, 4, 0))
-				c.until("both run", time.Minute, func() bool { return c.referee.On() == 12 })
+				c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 12 })
 				time.Sleep(8 * time.Second)
 				old := c.leader()
 				at := (old + 1) % 3
@@ -137,18 +137,18 @@
 					t.Error("the leader is not left with its workers")
 				}
 				x.then(c, old, at)
-				for c.referee.OnOf("wk-000001") > 0 {
+				for c.referee.RunningTasksOf("wk-000001") > 0 {
 					if time.Since(told) > 51*time.Second {
-						t.Fatalf("%d cancelled tasks on", c.referee.OnOf("wk-000001"))
+						t.Fatalf("%d cancelled tasks on", c.referee.RunningTasksOf("wk-000001"))
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				for end := told.Add(63 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					if n := c.referee.OnOf("wk-000001"); n != 0 {
+					if n := c.referee.RunningTasksOf("wk-000001"); n != 0 {
 						t.Fatalf("%d cancelled tasks are back", n)
 					}
 				}
-				if n, gone := c.referee.OnOf(other), c.cloud.Returned(); x.keeps && (n != 4 || len(gone) != 0) {
+				if n, gone := c.referee.RunningTasksOf(other), c.cloud.Returned(); x.keeps && (n != 4 || len(gone) != 0) {
 					t.Errorf("%d of 4 replicas that nobody cancelled are left, %v returned", n, gone)
 				}
 				for i := range 3 {
@@ -156,10 +156,10 @@
 					c.start(i)
 				}
 				c.hang(false)
-				c.net.Cut(nil)
+				c.net.Partition(nil)
 				c.store.Down(false)
 				c.until("answered", 20*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
-				c.until("the other job runs", 2*time.Minute, func() bool { return c.referee.OnOf(other) == 4 })
+				c.until("the other job runs", 2*time.Minute, func() bool { return c.referee.RunningTasksOf(other) == 4 })
 			})
 		})
 	}
@@ -182,9 +182,9 @@
 				time.Sleep(2 * time.Second)
 				c.runService(8)
 				old := c.leader()
-				on := func() int { return c.referee.OnOf("wk-000002") }
+				on := func() int { return c.referee.RunningTasksOf("wk-000002") }
 				if !hang {
-					c.net.Hold(func(from, to string) time.Duration {
+					c.net.DelayRequests(func(from, to string) time.Duration {
 						if strings.HasPrefix(to, "10.1.") {
 							return 8 * time.Second
 						}
@@ -229,12 +229,12 @@
 		time.Sleep(2 * time.Second)
 		c.runService(8)
 		at := (c.leader() + 1) % 3
-		c.net.Cut(func(from, to string) bool {
+		c.net.Partition(func(from, to string) bool {
 			return strings.HasPrefix(from, "10.0.") && strings.HasPrefix(to, "10.0.")
 		})
 		time.Sleep(2 * time.Second)
 		told := func() bool {
-			on := c.referee.On()
+			on := c.referee.RunningTasks()
 			if c.status(at, "wk-000001") != jobstore.StatusCancelled {
 				return false
 			}
@@ -260,10 +260,10 @@
 		c.large()
 		c.runService(8)
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 8, 0))
-		c.until("both run", time.Minute, func() bool { return c.referee.On() == 16 })
-		c.store.HoldBack(10_000, jobstore.EndKey(""))
+		c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 16 })
+		c.store.DelayTransactions(10_000, jobstore.EndKey(""))
 		c.abort(1, "wk-000002")
-		c.until("cancelled tasks gone", 10*time.Second, func() bool { return c.referee.On() == 8 })
+		c.until("cancelled tasks gone", 10*time.Second, func() bool { return c.referee.RunningTasks() == 8 })
 		time.Sleep(45 * time.Second)
 		c.mute(isWorker)
 		time.Sleep(time.Second)
@@ -273,8 +273,8 @@
 		if gone := c.cloud.Returned(); len(gone) > len(idle) {
 			t.Errorf("returned %v, and before that %v", gone[len(idle):], idle)
 		}
-		c.net.Cut(nil)
-		c.store.HoldBack(0, "")
+		c.net.Partition(nil)
+		c.store.DelayTransactions(0, "")
 		c.over(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
 		c.until("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 	})
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -26,10 +26,10 @@
 // simulated time.
 type cluster struct {
 	t       *testing.T
-	net     *fake.Net
+	net     *fake.Network
 	store   *fake.Store
 	cloud   *fake.Cloud
-	referee *fake.Referee
+	referee *fake.InvariantChecker
 	nodes   []*Node         // nil: the controller runs an older version
 	older   [3]olderVersion // that a controller runs when it is started; nil: this version
 	leads   []func() bool   // whether a controller leads
@@ -44,13 +44,13 @@
 }
 
 // olderVersion returns a controller of an older version, and what tells whether it leads.
-type olderVersion func(*config.Settings, *fake.Net) (run func(context.Context) error, leads func() bool)
+type olderVersion func(*config.Settings, *fake.Network) (run func(context.Context) error, leads func() bool)
 
 // told keeps what users were told of each job.
 type told struct {
 	mu      sync.Mutex
 	last    map[string]string // status by job
-	referee *fake.Referee
+	referee *fake.InvariantChecker
 }
 
 func (w *told) known(id string) string {
@@ -80,7 +80,7 @@
 		return ""
 	}
 	if st.Status == jobstore.StatusCancelled {
-		w.referee.Told(id)
+		w.referee.CancellationConfirmed(id)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := &cluster{t: t, net: fake.NewNet(ctx), store: fake.NewStore(), referee: fake.NewReferee(), rps: 200, limit: 16, zones: []string{"a"}}
+		c := &cluster{t: t, net: fake.NewNetwork(ctx), store: fake.NewStore(), referee: fake.NewInvariantChecker(), rps: 200, limit: 16, zones: []string{"a"}}
 		c.referee.Within = 51 * time.Second
 		c.told = told{last: map[string]string{}, referee: c.referee}
 		var names, addrs []string
@@ -147,7 +147,7 @@
 			cancel()
 			time.Sleep(10 * time.Second) // let what was under way come to its end
 			synctest.Wait()
-			for _, fault := range c.referee.Faults() {
+			for _, fault := range c.referee.Violations() {
 				t.Error("rule broken: " + fault)
 			}
 		}()
@@ -235,7 +235,7 @@
 // startedOnce checks that no task was started twice.
 func (c *cluster) startedOnce() {
 	c.t.Helper()
-	for task, n := range c.referee.Begun() {
+	for task, n := range c.referee.StartsByTask() {
 		if n != 1 {
 			c.t.Errorf("%s started %d times", task, n)
 		}
@@ -254,7 +254,7 @@
 	region := func(addr string) bool {
 		return addr == stateAddr || addr == cloudAddr || strings.HasPrefix(addr, "user")
 	}
-	c.net.Cut(func(from, to string) bool { return !region(from) && !region(to) && inside(from) != inside(to) })
+	c.net.Partition(func(from, to string) bool { return !region(from) && !region(to) && inside(from) != inside(to) })
 }
 
 func (c *cluster) leader() int {
@@ -306,7 +306,7 @@
 
 // begun returns how many starts there were of a job's tasks.
 func (c *cluster) begun(id string) (n int) {
-	for task, k := range c.referee.Begun() {
+	for task, k := range c.referee.StartsByTask() {
 		if strings.HasPrefix(task, id+"/") {
 			n += k
 		}
@@ -327,7 +327,7 @@
 func (c *cluster) cutLeader() (old int) {
 	c.t.Helper()
 	old = c.leader()
-	c.net.Cut(func(from, to string) bool {
+	c.net.Partition(func(from, to string) bool {
 		worker := strings.HasPrefix(from, "10.1.") || strings.HasPrefix(to, "10.1.") || strings.HasPrefix(from, "user")
 		return !worker && (from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old))
 	})
@@ -360,7 +360,7 @@
 func (c *cluster) submit(node int, m map[string]any) int {
 	body := wire.Marshal(m)
 	if s, err := job.Decode(body); err == nil {
-		c.referee.Know(s)
+		c.referee.AddJob(s)
 	}
 	return c.ask(node, "POST", "/v1/jobs", body).Status
 }
@@ -369,7 +369,7 @@
 func (c *cluster) runService(replicas int) {
 	c.t.Helper()
 	c.submit(0, submission("wk-000001", job.Service, replicas, 0))
-	c.until("service runs", time.Minute, func() bool { return c.referee.On() == replicas })
+	c.until("service runs", time.Minute, func() bool { return c.referee.RunningTasks() == replicas })
 }
 
 func (c *cluster) status(node int, id string) string {
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -54,7 +54,7 @@
 		for _, w := range c.cloud.Machines() {
 			w.Hang(false)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		if *writeFixture {
 			if err := os.WriteFile("testdata/previous.txt", out.Bytes(), 0o644); err != nil {
 				t.Fatal(err)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -51,7 +51,7 @@
 }
 
 // gangMachines returns the workers that have tasks of the gang.
-func (c *cluster) gangMachines() (out []*fake.Worker) {
+func (c *cluster) gangMachines() (out []*fake.Agent) {
 	for _, w := range c.cloud.Machines() {
 		if w.Has(gangID) {
 			out = append(out, w)
@@ -64,7 +64,7 @@
 func TestGangRunsWhole(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 30))
-		if n := c.referee.OnOf(gangID); n != 10 {
+		if n := c.referee.RunningTasksOf(gangID); n != 10 {
 			t.Errorf("%d of 10 tasks on", n)
 		}
 		middle()
@@ -84,12 +84,12 @@
 			t.Errorf("more than the limit of 96 CPUs: %d", s)
 		}
 		c.accept(10*time.Second, 0, submission("wk-000002", job.Service, 80, 0))
-		c.until("service runs", time.Minute, func() bool { return c.referee.OnOf("wk-000002") == 80 })
+		c.until("service runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000002") == 80 })
 		c.accept(10*time.Second, 0, gang(12, 10))
 		time.Sleep(10 * time.Second)
 		middle()
 		time.Sleep(10 * time.Second)
-		if n := c.referee.OnOf(gangID); n != 0 {
+		if n := c.referee.RunningTasksOf(gangID); n != 0 {
 			t.Errorf("%d tasks of a gang for which the team has no room are on", n)
 		}
 		c.abort(0, "wk-000002")
@@ -110,12 +110,12 @@
 			far[w.Addr] = i%2 == 0
 		}
 		old := c.leader()
-		c.net.Cut(func(from, to string) bool { return far[from] && isNode(to) || from == nodeAddr(old) && far[to] })
+		c.net.Partition(func(from, to string) bool { return far[from] && isNode(to) || from == nodeAddr(old) && far[to] })
 		c.accept(10*time.Second, old, gang(12, 10))
-		c.until("a part waits", 10*time.Second, func() bool { n := c.referee.OnOf(gangID); return n > 0 && n < 12 })
+		c.until("a part waits", 10*time.Second, func() bool { n := c.referee.RunningTasksOf(gangID); return n > 0 && n < 12 })
 		time.Sleep(time.Second)
 		c.nextLeader()
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		begin := time.Now()
 		c.until("gang runs", 40*time.Second, func() bool { return c.cloud.Gangs.Counted().Began == 1 })
 		c.until("done", time.Minute, c.done(gangID))
@@ -131,13 +131,13 @@
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(8)
-		c.store.HoldBack(20, jobstore.JobKey(gangID)+"/")
+		c.store.DelayTransactions(20, jobstore.JobKey(gangID)+"/")
 		c.accept(10*time.Second, 0, gang(8, 10))
 		time.Sleep(4 * time.Second)
-		if n := c.referee.OnOf(gangID); n != 0 {
+		if n := c.referee.RunningTasksOf(gangID); n != 0 {
 			t.Errorf("%d tasks on whose starts are not recorded", n)
 		}
-		c.store.HoldBack(0, "")
+		c.store.DelayTransactions(0, "")
 		old := c.leader()
 		c.kill(old)
 		c.store.Release()
@@ -187,7 +187,7 @@
 		c.runGang(gang(10, 60))
 		time.Sleep(15 * time.Second)
 		w := c.gangMachines()[0]
-		w.Notice(24 * time.Second)
+		w.TerminateIn(24 * time.Second)
 		middle()
 		c.until("saved", 24*time.Second, func() bool { return c.cloud.Gangs.Counted().Stored == 1 })
 		saved := c.cloud.Gangs.Saved(gangID)
@@ -211,15 +211,15 @@
 		time.Sleep(5 * time.Second)
 		machines := c.gangMachines()
 		off := machines[1].Addr
-		c.net.Cut(func(from, to string) bool { return from == off || to == off })
+		c.net.Partition(func(from, to string) bool { return from == off || to == off })
 		time.Sleep(9 * time.Second) // it has missed reports, and its tasks go on
-		machines[0].Notice(12 * time.Second)
+		machines[0].TerminateIn(12 * time.Second)
 		middle()
 		time.Sleep(8 * time.Second)
 		if got := c.cloud.Gangs.Counted(); got.Stored != 0 || got.MatesGone != 0 {
 			t.Errorf("stopped in part: %+v", got)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		c.until("done", 2*time.Minute, c.done(gangID))
 	})
 }
@@ -235,7 +235,7 @@
 		urgent := submission("wk-000002", job.Service, 4, 0)
 		urgent["rank"] = "high"
 		c.accept(10*time.Second, 0, urgent)
-		c.until("service runs", 30*time.Second, func() bool { return c.referee.OnOf("wk-000002") == 4 })
+		c.until("service runs", 30*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000002") == 4 })
 		if got := c.cloud.Gangs.Counted(); got.Stored != 1 || got.MatesGone != 0 {
 			t.Errorf("%+v", got)
 		}
@@ -251,9 +251,9 @@
 		c.gangMachines()[0].Hang(true)
 		c.abort(1, gangID)
 		middle()
-		c.until("gone", 51*time.Second, func() bool { return c.referee.OnOf(gangID) == 0 })
+		c.until("gone", 51*time.Second, func() bool { return c.referee.RunningTasksOf(gangID) == 0 })
 		time.Sleep(time.Minute)
-		if n := c.referee.Begun()[gangID+"/0"]; n != 1 {
+		if n := c.referee.StartsByTask()[gangID+"/0"]; n != 1 {
 			t.Errorf("started %d times", n)
 		}
 	})
@@ -265,7 +265,7 @@
 		c.runGang(gang(10, 40))
 		var old [][]byte
 		for _, w := range c.gangMachines() {
-			old = append(old, w.Copy())
+			old = append(old, w.CurrentHeartbeat())
 		}
 		c.gangMachines()[0].Restart()
 		c.until("it runs again", time.Minute, func() bool { return c.cloud.Gangs.Counted().Began == 2 })
@@ -289,7 +289,7 @@
 		c.runGang(gang(10, 15))
 		time.Sleep(12 * time.Second)
 		last := c.gangMachines()[0]
-		c.net.Cut(func(from, to string) bool { return from == last.Addr || to == last.Addr })
+		c.net.Partition(func(from, to string) bool { return from == last.Addr || to == last.Addr })
 		c.until("done by itself", 10*time.Second, func() bool { return c.cloud.Gangs.Counted().Done == 1 })
 		last.Hang(true)
 		time.Sleep(time.Second)
@@ -298,7 +298,7 @@
 		if got := c.cloud.Gangs.Counted(); got.Began != 1 {
 			t.Errorf("%+v", got)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 	})
 }
 
@@ -347,7 +347,7 @@
 			}
 		}()
 		time.Sleep(40 * time.Second)
-		if n := c.referee.On(); n < 20 {
+		if n := c.referee.RunningTasks(); n < 20 {
 			t.Errorf("machines are not full: %d tasks on", n)
 		}
 		m := gang(16, 10)
@@ -372,7 +372,7 @@
 		for !slices.ContainsFunc(ids, func(id string) bool { return c.status(0, id) == jobstore.StatusDone }) {
 			on := 0
 			for _, id := range ids {
-				if n := c.referee.OnOf(id); n > 0 {
+				if n := c.referee.RunningTasksOf(id); n > 0 {
 					on++
 				}
 			}
@@ -403,9 +403,9 @@
 		low["rank"] = "best_effort"
 		c.accept(10*time.Second, 0, low)
 		for i := 1; i <= 3; i++ {
-			c.until("begun", 90*time.Second, func() bool { return c.referee.OnOf(jobID(i)) > 0 })
+			c.until("begun", 90*time.Second, func() bool { return c.referee.RunningTasksOf(jobID(i)) > 0 })
 		}
-		c.until("the least urgent has begun", 90*time.Second, func() bool { return c.referee.OnOf("wk-000009") > 0 })
+		c.until("the least urgent has begun", 90*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000009") > 0 })
 	})
 }
 
@@ -415,19 +415,19 @@
 	simulate(t, func(c *cluster) {
 		c.anew(6, 96)
 		c.accept(10*time.Second, 0, submission("wk-000002", job.Array, 24, 60))
-		c.until("machines are full", time.Minute, func() bool { return c.referee.On() == 24 })
+		c.until("machines are full", time.Minute, func() bool { return c.referee.RunningTasks() == 24 })
 		time.Sleep(5 * time.Second)
 		m := gang(4, 10)
 		m["rank"] = "high"
 		c.accept(10*time.Second, 0, m)
 		c.until("gang runs", 10*time.Second, func() bool { return c.cloud.Gangs.Counted().Began == 1 })
-		if n := c.referee.OnOf("wk-000002"); n != 20 {
+		if n := c.referee.RunningTasksOf("wk-000002"); n != 20 {
 			t.Errorf("%d of 24 tasks of lower priority left", n)
 		}
 		c.until("done", 30*time.Second, c.done(gangID))
 		c.until("array done", 3*time.Minute, c.done("wk-000002"))
 		again := 0
-		for task, n := range c.referee.Begun() {
+		for task, n := range c.referee.StartsByTask() {
 			if strings.HasPrefix(task, "wk-000002/") {
 				again += n - 1
 			}
@@ -449,7 +449,7 @@
 			m["crew"] = "neighbours"
 			c.accept(10*time.Second, 0, m)
 		}
-		c.until("all machines are full", time.Minute, func() bool { return c.referee.On() == 96 })
+		c.until("all machines are full", time.Minute, func() bool { return c.referee.RunningTasks() == 96 })
 		for i := range 3 {
 			m := gang(8, 10)
 			m["uid"] = jobID(500 + i)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -29,7 +29,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			c.start(old)
 		},
-		"with answers lost": func(c *cluster) { c.store.LoseOneIn(4) },
+		"with answers lost": func(c *cluster) { c.store.LoseOneResponseIn(4) },
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
@@ -46,11 +46,11 @@
 				}
 				c.until("all have begun", 3*time.Minute, func() bool {
 					for i := range cancelled {
-						if c.referee.OnOf(jobID(200+i)) == 0 {
+						if c.referee.RunningTasksOf(jobID(200+i)) == 0 {
 							return false
 						}
 					}
-					return c.referee.OnOf(gangID) == 80
+					return c.referee.RunningTasksOf(gangID) == 80
 				})
 				for i := range cancelled {
 					id := jobID(200 + i)
@@ -63,7 +63,7 @@
 				c.store.Limit(lowered.ValueBytes, lowered.TxnOps, lowered.WriteRPS)
 				moment(c)
 				c.over(8*time.Minute, want)
-				c.store.LoseOneIn(0)
+				c.store.LoseOneResponseIn(0)
 				c.until("all ends are recorded", 2*time.Minute, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-0002"))) == cancelled })
 				for range 600 {
 					if len(c.store.Keys(jobstore.JobPrefix)) == 2 {
@@ -78,7 +78,7 @@
 					t.Errorf("%d transactions refused as too large, %d as too many", large, many)
 				}
 				for i := range 600 {
-					if n := c.referee.Begun()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
+					if n := c.referee.StartsByTask()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
 						t.Errorf("wk-000100/%d was started %d times", i, n)
 					}
 				}
@@ -111,16 +111,16 @@
 				c.accept(10*time.Second, 0, large)
 				if strings.HasSuffix(name, "leader ends") {
 					chunks := func() int { return len(c.store.Keys(jobstore.JobKey(gangID) + "/")) }
-					c.store.Slow(400 * time.Millisecond)
+					c.store.Delay(400 * time.Millisecond)
 					c.until("a part is recorded", 2*time.Minute, func() bool { return chunks() > 0 })
-					if n := c.referee.OnOf(gangID); n != 0 || chunks() > tasks/jobstore.TasksPerChunk(limit.ValueBytes) {
+					if n := c.referee.RunningTasksOf(gangID); n != 0 || chunks() > tasks/jobstore.TasksPerChunk(limit.ValueBytes) {
 						t.Errorf("%d tasks on, %d chunks recorded", n, chunks())
 					}
 					c.nextLeader()
-					c.store.Slow(0)
+					c.store.Delay(0)
 				}
 				c.until("the gang runs", 5*time.Minute, func() bool { return c.cloud.Gangs.Counted().Began > 0 })
-				if n := c.referee.OnOf(gangID); n != tasks {
+				if n := c.referee.RunningTasksOf(gangID); n != tasks {
 					t.Errorf("%d tasks on as it runs", n)
 				}
 				c.over(3*time.Minute, map[string]string{gangID: jobstore.StatusDone})
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -20,11 +20,11 @@
 		c.large()
 		for i := range 2 {
 			bad := submission(fmt.Sprintf("wk-00000%d", i), job.Array, 300, 5)
-			bad["lane"] = fake.Mistaken
+			bad["lane"] = fake.FailingClass
 			c.submit(0, bad)
 		}
 		tries := func() (n int) {
-			for task, k := range c.referee.Begun() {
+			for task, k := range c.referee.StartsByTask() {
 				if strings.HasPrefix(task, "wk-00000") {
 					n += k
 				}
@@ -52,7 +52,7 @@
 			}
 			c.abort(i, fmt.Sprintf("wk-00000%d", i))
 		}
-		c.until("all gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
+		c.until("all gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
 	})
 }
 
@@ -67,7 +67,7 @@
 				w = other
 			}
 		}
-		w.Sicken()
+		w.FailTasks()
 		for i := range 4 {
 			c.submit(0, submission(fmt.Sprintf("wk-00001%d", i), job.Array, 4, 5))
 		}
@@ -79,7 +79,7 @@
 			}
 			return false
 		})
-		c.until("service whole", 30*time.Second, func() bool { return c.referee.On() >= 6 })
+		c.until("service whole", 30*time.Second, func() bool { return c.referee.RunningTasks() >= 6 })
 	})
 }
 
@@ -126,7 +126,7 @@
 		})
 		c.until("array done on the machines there are", time.Minute, c.done("wk-000002"))
 		c.cloud.Down(false)
-		if n := c.referee.Begun()["wk-000001/0"]; n != 1 {
+		if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 {
 			t.Errorf("replica started %d times", n)
 		}
 	})
@@ -142,18 +142,18 @@
 		c.submit(0, submission("wk-000001", job.Service, 1, 0))
 		c.submit(0, saving)
 		c.submit(0, submission("wk-000003", job.Array, 1, 40))
-		c.until("all run", time.Minute, func() bool { return c.referee.On() == 3 })
+		c.until("all run", time.Minute, func() bool { return c.referee.RunningTasks() == 3 })
 		begin := time.Now()
 		for _, w := range c.cloud.Machines() {
-			w.Notice(30 * time.Second)
+			w.TerminateIn(30 * time.Second)
 		}
-		c.until("service moved", 25*time.Second, func() bool { return c.referee.Begun()["wk-000001/0"] == 2 })
-		if c.referee.Begun()["wk-000002/0"] != 1 || time.Since(begin) > 20*time.Second {
+		c.until("service moved", 25*time.Second, func() bool { return c.referee.StartsByTask()["wk-000001/0"] == 2 })
+		if c.referee.StartsByTask()["wk-000002/0"] != 1 || time.Since(begin) > 20*time.Second {
 			t.Errorf("task that saves was moved %v after the notice", time.Since(begin))
 		}
-		c.until("task that saves moved", 40*time.Second, func() bool { return c.referee.Begun()["wk-000002/0"] == 2 })
+		c.until("task that saves moved", 40*time.Second, func() bool { return c.referee.StartsByTask()["wk-000002/0"] == 2 })
 		c.until("other task done where it was", time.Minute, func() bool { return c.referee.Ended("wk-000003/0") })
-		if n := c.referee.Begun()["wk-000003/0"]; n != 1 {
+		if n := c.referee.StartsByTask()["wk-000003/0"]; n != 1 {
 			t.Errorf("task that cannot save was started %d times", n)
 		}
 	})
@@ -170,16 +170,16 @@
 		leader := c.leader()
 		c.kill((leader + 1) % 3)
 		c.kill((leader + 2) % 3)
-		var deaf *fake.Worker
+		var deaf *fake.Agent
 		for _, w := range c.cloud.Machines() {
 			if w.Tasks() > 0 {
 				deaf = w
 			}
 		}
-		deaf.Deafen(true)
+		deaf.DropIncoming(true)
 		c.submit(leader, submission("wk-000002", job.Service, 8, 0))
 		c.until("deaf machine returned", 45*time.Second, func() bool { return slices.Contains(c.cloud.Returned(), deaf.Name) })
-		c.until("all replicas run", 30*time.Second, func() bool { return c.referee.On() == 16 })
+		c.until("all replicas run", 30*time.Second, func() bool { return c.referee.RunningTasks() == 16 })
 	})
 }
 
@@ -191,7 +191,7 @@
 		c.runService(12)
 		w := c.cloud.Machines()[0]
 		w.Restart()
-		c.until("service whole again", 15*time.Second, func() bool { return c.referee.On() == 12 })
+		c.until("service whole again", 15*time.Second, func() bool { return c.referee.RunningTasks() == 12 })
 		time.Sleep(15 * time.Second)
 		if got := c.cloud.Returned(); slices.Contains(got, w.Name) {
 			t.Errorf("returned %v", got)
@@ -218,9 +218,9 @@
 		c.large()
 		c.runService(80)
 		time.Sleep(10 * time.Second)
-		c.net.Cut(func(from, to string) bool { return strings.HasPrefix(from, "10.1.") || strings.HasPrefix(to, "10.1.") })
+		c.net.Partition(func(from, to string) bool { return strings.HasPrefix(from, "10.1.") || strings.HasPrefix(to, "10.1.") })
 		time.Sleep(11 * time.Second)
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		time.Sleep(20 * time.Second)
 		if got := c.cloud.Returned(); len(got) != 0 {
 			t.Errorf("returned %v", got)
@@ -237,18 +237,18 @@
 		array := submission("wk-000001", job.Array, 100, 3)
 		array["bundle"] = "img-array"
 		c.submit(0, array)
-		c.until("some tasks done", time.Minute, func() bool { return len(c.referee.Begun()) >= 20 })
+		c.until("some tasks done", time.Minute, func() bool { return len(c.referee.StartsByTask()) >= 20 })
 		service := submission("wk-000002", job.Service, 16, 0)
 		service["rank"] = "high"
 		c.submit(0, service) // takes all that the team may use
 		c.until("only the service runs", 30*time.Second, func() bool {
 			n := 0
-			for task := range c.referee.Begun() {
+			for task := range c.referee.StartsByTask() {
 				if strings.HasPrefix(task, "wk-000002/") {
 					n++
 				}
 			}
-			return n == 16 && c.referee.On() == 16
+			return n == 16 && c.referee.RunningTasks() == 16
 		})
 		old := c.leader()
 		c.kill(old)
@@ -280,7 +280,7 @@
 		c.runService(8)
 		deaf := c.cloud.Machines()
 		for _, w := range deaf {
-			w.Deafen(true)
+			w.DropIncoming(true)
 		}
 		c.until("the service runs on other machines", 3*time.Minute, func() bool {
 			for _, w := range deaf {
@@ -288,7 +288,7 @@
 					return false
 				}
 			}
-			return c.referee.OnOf("wk-000001") == 8
+			return c.referee.RunningTasksOf("wk-000001") == 8
 		})
 	})
 }
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -52,7 +52,7 @@
 func TestLateWrites(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
-		c.store.LateWrites(4)
+		c.store.DelayOneWriteIn(4)
 		id := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 		cancelled := map[int]bool{}
 		for i := range 12 {
@@ -67,7 +67,7 @@
 				c.nextLeader()
 			}
 		}
-		c.store.LateWrites(0)
+		c.store.DelayOneWriteIn(0)
 		time.Sleep(15 * time.Second) // the last late ones are applied
 		for i := range 12 {
 			want := jobstore.StatusDone
@@ -85,7 +85,7 @@
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(4)
-		c.net.Hold(func(from, to string) time.Duration {
+		c.net.DelayRequests(func(from, to string) time.Duration {
 			if strings.HasPrefix(to, "10.1.") {
 				return 6 * time.Second
 			}
@@ -98,10 +98,10 @@
 		c.abort(c.leader(), "wk-000003")
 		c.until("array done", 2*time.Minute, c.done("wk-000002"))
 		c.nextLeader()
-		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.On() == 4 })
-		c.net.Hold(nil)
+		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 4 })
+		c.net.DelayRequests(nil)
 		time.Sleep(20 * time.Second)
-		if n := c.referee.On(); n != 4 {
+		if n := c.referee.RunningTasks(); n != 4 {
 			t.Errorf("%d replicas on, 4 wanted", n)
 		}
 	})
@@ -114,12 +114,12 @@
 		c.runService(40)
 		for i, w := range c.cloud.Machines() {
 			if i%4 == 0 {
-				w.Deafen(true)
+				w.DropIncoming(true)
 			}
 		}
 		c.nextLeader()
 		time.Sleep(26 * time.Second) // their leases end
-		c.until("service whole", time.Minute, func() bool { return c.referee.On() == 40 })
+		c.until("service whole", time.Minute, func() bool { return c.referee.RunningTasks() == 40 })
 	})
 }
 
@@ -188,7 +188,7 @@
 		if s := c.submit(0, guests); s != 201 {
 			t.Fatalf("guests' submission: %d", s)
 		}
-		c.until("guests have all machines", time.Minute, func() bool { return c.referee.On() == 24 })
+		c.until("guests have all machines", time.Minute, func() bool { return c.referee.RunningTasks() == 24 })
 		own := submission("wk-000002", job.Array, 8, 20)
 		own["rank"] = "best_effort"
 		c.submit(0, own)
@@ -231,18 +231,18 @@
 		large["cpus"], large["ram_gb"], large["rank"] = 0.25, 0.5, "best_effort"
 		before := c.store.Changes()
 		c.submit(0, large)
-		c.until("a third done", 3*time.Minute, func() bool { return len(c.referee.Begun()) > tasks/3 })
+		c.until("a third done", 3*time.Minute, func() bool { return len(c.referee.StartsByTask()) > tasks/3 })
 		c.nextLeader()
 		service := submission("wk-000002", job.Service, 4, 0)
 		service["rank"] = "high"
 		c.accept(10*time.Second, 1, service)
 		c.until("service runs beside it", 20*time.Second, func() bool {
-			begun := c.referee.Begun()
+			begun := c.referee.StartsByTask()
 			return begun["wk-000002/0"]+begun["wk-000002/1"]+begun["wk-000002/2"]+begun["wk-000002/3"] == 4
 		})
 		c.until("array done", 5*time.Minute, c.done("wk-000001"))
 		again := 0
-		for task, n := range c.referee.Begun() {
+		for task, n := range c.referee.StartsByTask() {
 			if strings.HasPrefix(task, "wk-000001/") {
 				again += n - 1
 			}
--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func startProduction(s *config.Settings, network *fake.Net) (func(context.Context) error, func() bool) {
+func startProduction(s *config.Settings, network *fake.Network) (func(context.Context) error, func() bool) {
 	parsed, err := productionconfig.ParseSettings(platformFile(s))
 	if err != nil {
 		panic(err)
@@ -55,7 +55,7 @@
 	})
 }
 
-func startPrevious(s *config.Settings, network *fake.Net) (func(context.Context) error, func() bool) {
+func startPrevious(s *config.Settings, network *fake.Network) (func(context.Context) error, func() bool) {
 	parsed, err := previousconfig.ParseSettings(platformFile(s))
 	if err != nil {
 		panic(err)
--- a/internal/controller/roll_test.go
+++ b/internal/controller/roll_test.go
@@ -101,7 +101,7 @@
 		}
 		c.over(time.Minute, want)
 		c.startedOnce()
-		if n := c.referee.OnOf("wk-000001"); n != 8 {
+		if n := c.referee.RunningTasksOf("wk-000001"); n != 8 {
 			c.t.Errorf("%d of 8 replicas on", n)
 		}
 	})
@@ -156,13 +156,13 @@
 				time.Sleep(12 * time.Second)
 				old := c.leader()
 				// Commands arrive 3 s late, when whoever sent them has ended, and answers are lost.
-				c.net.Hold(func(from, to string) time.Duration {
+				c.net.DelayRequests(func(from, to string) time.Duration {
 					if from == nodeAddr(old) && strings.HasPrefix(to, "10.1.") {
 						return 3 * time.Second
 					}
 					return 0
 				})
-				c.store.LoseAnswers(3)
+				c.store.LoseResponses(3)
 				c.accept(10*time.Second, old, submission("wk-000010", job.Array, 60, 8))
 				recorded := func() int { return len(c.store.Keys(jobstore.JobKey("wk-000010") + "/")) }
 				c.until("starts are recorded", 5*time.Second, func() bool { return recorded() > 0 })
@@ -173,7 +173,7 @@
 				// Those of the version that led would take over at once otherwise.
 				c.until("another leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 				c.lead(!oldLeads)
-				c.net.Hold(nil)
+				c.net.DelayRequests(nil)
 				c.start(old)
 				c.over(3*time.Minute, map[string]string{"wk-000010": jobstore.StatusDone})
 				c.startedOnce()
@@ -192,19 +192,19 @@
 				c.half()
 				c.runService(8)
 				c.accept(10*time.Second, 0, submission("wk-000010", job.Service, 20, 0))
-				c.until("both run", time.Minute, func() bool { return c.referee.On() == 28 })
+				c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 28 })
 				c.lead(oldLeads)
 				time.Sleep(12 * time.Second)
 				by := c.otherVersion()
 				for i, w := range c.cloud.Machines() {
 					w.Hang(i%4 == 0)
 				}
-				hung := c.referee.OnOf("wk-000010")
+				hung := c.referee.RunningTasksOf("wk-000010")
 				c.until("told", 5*time.Second, func() bool { return c.ask(by, "POST", "/v1/jobs/wk-000010/abort", nil).Status == 200 })
 				told := time.Now()
 				c.store.Down(true)
 				c.kill(by)
-				c.until("tasks gone", 51*time.Second, func() bool { return c.referee.OnOf("wk-000010") == 0 })
+				c.until("tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000010") == 0 })
 				if took := time.Since(told); hung == 0 || took < time.Second {
 					c.t.Errorf("%d tasks were on, gone after %v: no machine hung", hung, took)
 				}
@@ -235,7 +235,7 @@
 			c.accept(10*time.Second, inside, submission("wk-000012", job.Array, 4, 5))
 			c.until("work goes on in the zone", time.Minute, c.done("wk-000012"))
 			time.Sleep(35 * time.Second) // longer than a lease
-			c.net.Cut(nil)
+			c.net.Partition(nil)
 		},
 		"outage": func(c *cluster) {
 			c.store.Down(true)
@@ -244,10 +244,10 @@
 		},
 		"leader refused": func(c *cluster) {
 			old := c.leader()
-			c.net.Cut(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
+			c.net.Partition(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
 			c.until("another leader", 15*time.Second, func() bool { return c.leader() >= 0 && c.leader() != old })
 			time.Sleep(20 * time.Second)
-			c.net.Cut(nil)
+			c.net.Partition(nil)
 		},
 		"all end": func(c *cluster) {
 			for i := range 3 {
@@ -353,7 +353,7 @@
 				many := submission("wk-000050", job.Service, 80, 0)
 				many["cpus"], many["ram_gb"] = 0.25, 0.25
 				c.accept(10*time.Second, 0, many)
-				c.until("all replicas run", time.Minute, func() bool { return c.referee.OnOf("wk-000050") == 80 })
+				c.until("all replicas run", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
 				c.next = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 				for i := range 3 {
 					c.kill(i)
@@ -368,13 +368,13 @@
 				begun := c.begun("wk-000050")
 				c.lead(!oldFirst)
 				time.Sleep(12 * time.Second)
-				if n := c.begun("wk-000050"); n != begun || c.referee.OnOf("wk-000050") != 80 {
-					c.t.Errorf("%d replicas on, %d started by the next leader", c.referee.OnOf("wk-000050"), n-begun)
+				if n := c.begun("wk-000050"); n != begun || c.referee.RunningTasksOf("wk-000050") != 80 {
+					c.t.Errorf("%d replicas on, %d started by the next leader", c.referee.RunningTasksOf("wk-000050"), n-begun)
 				}
 				c.loseReplica("wk-000050", 80)
 				c.lead(oldFirst)
 				c.abort(0, "wk-000050")
-				c.until("gone", 51*time.Second, func() bool { return c.referee.OnOf("wk-000050") == 0 })
+				c.until("gone", 51*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000050") == 0 })
 				c.until("nothing left behind", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
 			})
 		})
@@ -391,5 +391,5 @@
 			break
 		}
 	}
-	c.until("replicas run elsewhere", 2*time.Minute, func() bool { return c.begun(id) > begun && c.referee.OnOf(id) == replicas })
+	c.until("replicas run elsewhere", 2*time.Minute, func() bool { return c.begun(id) > begun && c.referee.RunningTasksOf(id) == replicas })
 }
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -102,7 +102,7 @@
 			c.accept(10*time.Second, i%3, submission(id(i), job.Service, 1, 0))
 		}
 		time.Sleep(30 * time.Second)
-		before := c.store.Asked()
+		before := c.store.Requests()
 		got := make(chan string, jobs)
 		for i := range jobs {
 			go func() { got <- c.status(1, id(i)) }()
@@ -112,7 +112,7 @@
 				t.Errorf("poll: %s", s)
 			}
 		}
-		if n := c.store.Asked() - before; n > jobs/4 {
+		if n := c.store.Requests() - before; n > jobs/4 {
 			t.Errorf("%d polls at once took %d requests", jobs, n)
 		}
 		for i := range 20 {
@@ -131,11 +131,11 @@
 func TestUnansweredTransactions(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
-		c.store.LoseAnswers(1)
+		c.store.LoseResponses(1)
 		if got := c.submit(0, submission("wk-000001", job.Array, 4, 5)); got != 200 {
 			t.Errorf("applied, answer lost: %d, want 200 after reading back", got)
 		}
-		c.store.HoldBack(1, jobstore.JobKey("wk-000002"))
+		c.store.DelayTransactions(1, jobstore.JobKey("wk-000002"))
 		if got := c.submit(0, submission("wk-000002", job.Array, 4, 5)); got != 503 {
 			t.Errorf("held back: %d, want 503", got)
 		}
@@ -146,7 +146,7 @@
 			t.Errorf("retry: %d", got)
 		}
 		c.store.Release()
-		c.store.LoseAnswers(2) // the leader's own writes
+		c.store.LoseResponses(2) // the leader's own writes
 		c.until("first job done", 2*time.Minute, c.done("wk-000001"))
 		c.until("second job done", 2*time.Minute, c.done("wk-000002"))
 		c.startedOnce()
@@ -159,7 +159,7 @@
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.submit(0, submission("wk-000001", job.Array, 8, 40))
-		c.until("tasks run", time.Minute, func() bool { return c.referee.On() >= 4 })
+		c.until("tasks run", time.Minute, func() bool { return c.referee.RunningTasks() >= 4 })
 		old := c.leader()
 		term := c.nodes[old].leader.Load().term.Number()
 		c.kill(old)
@@ -218,13 +218,13 @@
 				t.Errorf("node %d is not ready in an outage: %d", i, got)
 			}
 		}
-		if c.referee.On() != 2 {
-			t.Errorf("%d of 2 replicas left", c.referee.On())
+		if c.referee.RunningTasks() != 2 {
+			t.Errorf("%d of 2 replicas left", c.referee.RunningTasks())
 		}
 		c.store.Down(false)
 		c.accept(10*time.Second, 0, submission("wk-000002", job.Array, 1, 1))
 		c.until("array done", time.Minute, c.done("wk-000002"))
-		if n := c.referee.Begun()["wk-000001/0"]; n != 1 {
+		if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 {
 			t.Errorf("replica started %d times", n)
 		}
 	})
@@ -244,11 +244,11 @@
 				}
 				c.abort(1, "wk-000001")
 				c.store.Down(outage)
-				c.until("task gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
+				c.until("task gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
 				c.store.Down(false)
 				c.until("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
 				time.Sleep(time.Minute)
-				if n := c.referee.Begun()["wk-000001/0"]; n != 1 {
+				if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 {
 					t.Errorf("started %d times", n)
 				}
 			})
@@ -263,7 +263,7 @@
 		time.Sleep(2 * time.Second)
 		c.runService(2)
 		old := c.leader()
-		c.net.Cut(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
+		c.net.Partition(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
 		c.until("old leader stands down", 10*time.Second, func() bool {
 			return c.nodes[old].leader.Load() == nil && c.leader() >= 0
 		})
@@ -281,9 +281,9 @@
 		if got := c.ask(old, "GET", "/ready", nil).Status; got != 503 {
 			t.Errorf("ready on the node cut off: %d, want 503", got)
 		}
-		c.net.Cut(nil)
-		if n := c.referee.Begun()["wk-000001/0"]; n != 1 || c.referee.On() != 2 {
-			t.Errorf("started %d times, %d on", n, c.referee.On())
+		c.net.Partition(nil)
+		if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 || c.referee.RunningTasks() != 2 {
+			t.Errorf("started %d times, %d on", n, c.referee.RunningTasks())
 		}
 	})
 }
@@ -296,10 +296,10 @@
 		c.runService(12)
 		c.cutZone()
 		time.Sleep(40 * time.Second) // longer than the lease
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		time.Sleep(20 * time.Second)
-		if n := c.referee.Begun()["wk-000001/0"]; n != 1 || c.referee.On() != 12 {
-			t.Errorf("started %d times, %d on", n, c.referee.On())
+		if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 || c.referee.RunningTasks() != 12 {
+			t.Errorf("started %d times, %d on", n, c.referee.RunningTasks())
 		}
 	})
 }
@@ -315,10 +315,10 @@
 		c.submit(0, submission("wk-000002", job.Array, 2, 5))
 		c.until("array done on the machines cut off", 30*time.Second, c.done("wk-000002"))
 		c.ask(0, "POST", "/v1/jobs/wk-000001/abort", nil)
-		c.until("service stopped without returning machines", 15*time.Second, func() bool { return c.referee.On() == 0 })
+		c.until("service stopped without returning machines", 15*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
 		if got := c.cloud.Returned(); len(got) != 0 {
 			t.Errorf("returned %v", got)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 	})
 }
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -27,11 +27,11 @@
 				time.Sleep(2 * time.Second)
 				c.runService(2)
 				cut := c.leader()
-				c.net.Cut(func(from, to string) bool { return from == nodeAddr(cut) && to == stateAddr })
+				c.net.Partition(func(from, to string) bool { return from == nodeAddr(cut) && to == stateAddr })
 				c.until("another leader", 15*time.Second, func() bool { return c.leader() >= 0 && c.leader() != cut })
 				before := c.term()
 				c.write(written.changes, written.bytes)
-				c.net.Cut(nil)
+				c.net.Partition(nil)
 				c.until("the node cut off answers", 10*time.Second, func() bool { return c.status(cut, "wk-000001") == "running" })
 				c.accept(10*time.Second, cut, submission("wk-000002", job.Array, 4, 5))
 				c.until("done", time.Minute, func() bool { return c.status(cut, "wk-000002") == jobstore.StatusDone })
@@ -76,7 +76,7 @@
 		for i := range services {
 			c.accept(10*time.Second, i%3, submission(jobID(100+i), job.Service, 1, 0))
 		}
-		c.until("most tasks run", 3*time.Minute, func() bool { return c.referee.On() > 10_000 })
+		c.until("most tasks run", 3*time.Minute, func() bool { return c.referee.RunningTasks() > 10_000 })
 		all := c.cloud.Machines()
 		dead := 0
 		for i, w := range all {
@@ -95,7 +95,7 @@
 		for i := range arrays {
 			c.until("array done", 4*time.Minute, c.done(jobID(i)))
 		}
-		c.until("services run", time.Minute, func() bool { return c.referee.On() >= services })
+		c.until("services run", time.Minute, func() bool { return c.referee.RunningTasks() >= services })
 		seconds, after := time.Since(begin).Seconds(), c.messages()
 		const tasks = arrays*500 + services
 		for _, x := range []struct {
@@ -121,8 +121,8 @@
 type messages struct{ state, cloud, changes, toMachines, toNodes int }
 
 func (c *cluster) messages() messages {
-	m := messages{state: c.net.Asked(stateAddr), cloud: c.net.Asked(cloudAddr), changes: c.store.Changes()}
-	for addr, n := range c.net.AskedAll() {
+	m := messages{state: c.net.RequestsTo(stateAddr), cloud: c.net.RequestsTo(cloudAddr), changes: c.store.Changes()}
+	for addr, n := range c.net.Requests() {
 		switch {
 		case strings.HasPrefix(addr, "10.1."):
 			m.toMachines += n
--- a/internal/controller/together_test.go
+++ b/internal/controller/together_test.go
@@ -28,11 +28,11 @@
 
 // mute lets no report of the machines that f names through; what is sent to them arrives.
 func (c *cluster) mute(f func(addr string) bool) {
-	c.net.Cut(func(from, to string) bool { return isWorker(from) && isNode(to) && f(from) })
+	c.net.Partition(func(from, to string) bool { return isWorker(from) && isNode(to) && f(from) })
 }
 
 // withTasks returns the workers that have tasks, and the first half of them.
-func (c *cluster) withTasks() (all, half []*fake.Worker) {
+func (c *cluster) withTasks() (all, half []*fake.Agent) {
 	for _, w := range c.cloud.Machines() {
 		if w.Tasks() > 0 {
 			all = append(all, w)
@@ -54,7 +54,7 @@
 func TestAnswerLostWhileOthersRead(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
-		c.store.LoseOneIn(2)
+		c.store.LoseOneResponseIn(2)
 		want := map[string]string{}
 		for i := range 30 {
 			id := jobID(i)
@@ -77,7 +77,7 @@
 				c.nextLeader()
 			}
 		}
-		c.store.LoseOneIn(0)
+		c.store.LoseOneResponseIn(0)
 		if n := c.store.Unanswered(); n < 15 {
 			t.Errorf("only %d transactions went unanswered", n)
 		}
@@ -94,7 +94,7 @@
 				c.large()
 				c.runService(24)
 				c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 8, 0))
-				c.until("both run", time.Minute, func() bool { return c.referee.On() == 32 })
+				c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 32 })
 				_, half := c.withTasks()
 				mute := map[string]bool{}
 				for _, w := range c.cloud.Machines() {
@@ -105,16 +105,16 @@
 				for _, w := range half {
 					mute[w.Addr] = true
 				}
-				asked := c.net.Asked(half[0].Addr)
+				asked := c.net.RequestsTo(half[0].Addr)
 				c.mute(func(addr string) bool { return mute[addr] })
 				time.Sleep(time.Second)
 				c.abort(1, "wk-000001")
-				c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.OnOf("wk-000001") == 0 })
-				if c.net.Asked(half[0].Addr) == asked {
+				c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000001") == 0 })
+				if c.net.RequestsTo(half[0].Addr) == asked {
 					t.Error("no direct request came to a mute machine")
 				}
-				c.net.Cut(nil)
-				c.until("the other runs", 2*time.Minute, func() bool { return c.referee.OnOf("wk-000002") == 8 })
+				c.net.Partition(nil)
+				c.until("the other runs", 2*time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000002") == 8 })
 			})
 		})
 	}
@@ -127,13 +127,13 @@
 		c.large()
 		c.runService(24)
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 8, 0))
-		c.until("both run", time.Minute, func() bool { return c.referee.On() == 32 })
+		c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 32 })
 		c.mute(isWorker)
 		c.nextLeader()
 		c.until("cancelled", 10*time.Second, func() bool {
 			return c.ask(c.leader(), "POST", "/v1/jobs/wk-000001/abort", nil).Status == 200
 		})
-		c.until("cancelled tasks gone", 20*time.Second, func() bool { return c.referee.OnOf("wk-000001") == 0 })
+		c.until("cancelled tasks gone", 20*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000001") == 0 })
 		if gone := c.cloud.Returned(); len(gone) > 0 {
 			t.Errorf("machines returned: %v", gone)
 		}
@@ -147,7 +147,7 @@
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(80) // of 96 that the team may use
-		c.store.HoldBack(20, jobstore.JobKey("wk-000002")+"/")
+		c.store.DelayTransactions(20, jobstore.JobKey("wk-000002")+"/")
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 16, 0))
 		c.until("starts held back", 10*time.Second, func() bool { return c.store.Unanswered() > 0 })
 		c.abort(1, "wk-000002")
@@ -155,10 +155,10 @@
 		// A new term proves in half a minute that they were never sent; it need not come to that.
 		c.over(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
 		c.until("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
-		if n := c.referee.Begun()["wk-000002/0"]; n != 0 {
+		if n := c.referee.StartsByTask()["wk-000002/0"]; n != 0 {
 			t.Errorf("started %d times", n)
 		}
-		c.store.HoldBack(0, "")
+		c.store.DelayTransactions(0, "")
 		c.store.Release()
 		time.Sleep(5 * time.Second)
 		if keys := c.store.Keys(jobstore.JobKey("wk-000002")); len(keys) > 0 {
@@ -179,7 +179,7 @@
 				for i := range 4 {
 					c.accept(5*time.Second, i%3, submission(jobID(i), job.Service, 4, 0))
 				}
-				c.until("at the limit", time.Minute, func() bool { return c.referee.On() == 16 })
+				c.until("at the limit", time.Minute, func() bool { return c.referee.RunningTasks() == 16 })
 				c.accept(5*time.Second, 0, submission("wk-000010", job.Array, 32, 10))
 				_, half := c.withTasks()
 				off := map[string]bool{}
@@ -188,21 +188,21 @@
 					off[w.Addr] = true
 				}
 				if !hang {
-					c.net.Cut(func(from, to string) bool { return off[from] || off[to] })
+					c.net.Partition(func(from, to string) bool { return off[from] || off[to] })
 				}
 				for i := range 4 {
 					c.abort(i%3, jobID(i))
 				}
 				term := c.nodes[c.leader()].leader.Load().term.Number()
 				c.nextLeader()
-				if on := c.referee.On(); on == 0 {
+				if on := c.referee.RunningTasks(); on == 0 {
 					t.Error("nothing was left on the machines that can't be asked")
 				}
 				if now := c.nodes[c.leader()].leader.Load().term.Number(); now <= term {
 					t.Errorf("term %d after %d", now, term)
 				}
 				c.until("array done", 3*time.Minute, c.done("wk-000010"))
-				c.net.Cut(nil)
+				c.net.Partition(nil)
 			})
 		})
 	}
@@ -216,21 +216,21 @@
 		c.runService(6)
 		c.accept(5*time.Second, 1, submission("wk-000002", job.Array, 8, 30))
 		c.accept(5*time.Second, 1, submission("wk-000003", job.Service, 2, 0))
-		c.until("all run", time.Minute, func() bool { return c.referee.On() == 16 })
+		c.until("all run", time.Minute, func() bool { return c.referee.RunningTasks() == 16 })
 		c.abort(2, "wk-000003")
 		for i := range 3 {
 			c.kill(i)
 		}
 		time.Sleep(40 * time.Second)
-		if n := c.referee.On(); n != 0 {
+		if n := c.referee.RunningTasks(); n != 0 {
 			t.Errorf("%d tasks on after their leases", n)
 		}
 		for i := range 3 {
 			c.start(i)
 		}
-		c.until("service whole", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
+		c.until("service whole", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000001") == 6 })
 		c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled})
-		if n := c.referee.Begun()["wk-000003/0"]; n != 1 {
+		if n := c.referee.StartsByTask()["wk-000003/0"]; n != 1 {
 			t.Errorf("a cancelled task was started %d times", n)
 		}
 	})
@@ -245,21 +245,21 @@
 				time.Sleep(2 * time.Second)
 				c.runService(4)
 				c.accept(5*time.Second, 0, submission("wk-000002", job.Array, 8, 4))
-				c.until("array runs", time.Minute, func() bool { return c.referee.OnOf("wk-000002") > 0 })
+				c.until("array runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000002") > 0 })
 				var old [][]byte
 				for _, w := range c.cloud.Machines() {
-					old = append(old, w.Copy()) // its tasks run, and the next ones are not there
+					old = append(old, w.CurrentHeartbeat()) // its tasks run, and the next ones are not there
 				}
 				c.until("array done", time.Minute, c.done("wk-000002"))
 				c.accept(5*time.Second, 0, submission("wk-000003", job.Array, 8, 25))
-				c.until("the next one runs", time.Minute, func() bool { return c.referee.OnOf("wk-000003") == 8 })
+				c.until("the next one runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000003") == 8 })
 				if !acted {
 					c.mute(func(string) bool { return true })
 				}
 				c.nextLeader()
 				if acted {
 					c.accept(5*time.Second, 0, submission("wk-000004", job.Array, 2, 25))
-					c.until("it has acted", time.Minute, func() bool { return c.referee.OnOf("wk-000004") == 2 })
+					c.until("it has acted", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000004") == 2 })
 				}
 				taken := 0
 				for i := range 3 {
@@ -273,9 +273,9 @@
 					t.Error("the new leader took no old report")
 				}
 				time.Sleep(3 * time.Second)
-				c.net.Cut(nil)
+				c.net.Partition(nil)
 				c.until("done", 2*time.Minute, c.done("wk-000003"))
-				if n := c.referee.OnOf("wk-000001"); n != 4 {
+				if n := c.referee.RunningTasksOf("wk-000001"); n != 4 {
 					t.Errorf("%d of 4 replicas on", n)
 				}
 				c.startedOnce()
@@ -289,38 +289,38 @@
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cl *fake.Cloud) { cl.Type.BootS, cl.Capacity = 0.5, 24 })
 		time.Sleep(2 * time.Second)
-		c.store.LateWrites(3)
+		c.store.DelayOneWriteIn(3)
 		want := map[string]string{}
 		for i := range 6 {
 			begin := time.Now()
-			c.store.HoldBack(20, jobstore.JobKey(jobID(i))+"/")
+			c.store.DelayTransactions(20, jobstore.JobKey(jobID(i))+"/")
 			c.accept(time.Minute, i%3, submission(jobID(i), job.Array, 8, 6))
 			want[jobID(i)] = jobstore.StatusDone
 			time.Sleep(5 * time.Second)
-			if n := c.referee.OnOf(jobID(i)); n != 0 {
+			if n := c.referee.RunningTasksOf(jobID(i)); n != 0 {
 				t.Errorf("%d tasks begun whose starts are not recorded", n)
 			}
-			c.store.HoldBack(0, "")
-			c.until("tasks begin", time.Minute, func() bool { return c.referee.OnOf(jobID(i)) > 0 })
+			c.store.DelayTransactions(0, "")
+			c.until("tasks begin", time.Minute, func() bool { return c.referee.RunningTasksOf(jobID(i)) > 0 })
 			// The next leader does not hear of them for a while, and has room elsewhere.
 			busy := map[string]bool{}
 			all, _ := c.withTasks()
 			for _, w := range all {
 				busy[w.Addr] = true
 			}
-			c.net.Cut(func(from, to string) bool { return busy[from] || busy[to] })
+			c.net.Partition(func(from, to string) bool { return busy[from] || busy[to] })
 			if i == 0 && time.Since(begin) > 20*time.Second {
 				t.Errorf("first tasks begin after %v", time.Since(begin))
 			}
 			c.nextLeader()
 			time.Sleep(14 * time.Second)
-			c.net.Cut(nil)
+			c.net.Partition(nil)
 			c.store.Release() // what the earlier leader wrote of them
 		}
 		if n := c.store.Unanswered(); n < 10 {
 			t.Errorf("only %d writes were late", n)
 		}
-		c.store.LateWrites(0)
+		c.store.DelayOneWriteIn(0)
 		c.over(3*time.Minute, want)
 	})
 }
@@ -425,7 +425,7 @@
 			t.Errorf("terms %d to %d", first, last)
 		}
 		c.over(3*time.Minute, want)
-		if n := c.referee.OnOf("wk-000001"); n != 6 {
+		if n := c.referee.RunningTasksOf("wk-000001"); n != 6 {
 			t.Errorf("%d of 6 replicas on", n)
 		}
 	})
@@ -439,11 +439,11 @@
 		for i := range jobs {
 			c.accept(5*time.Second, i%3, submission(jobID(i), job.Service, 2, 0))
 		}
-		c.until("all run", time.Minute, func() bool { return c.referee.On() == 2*jobs })
+		c.until("all run", time.Minute, func() bool { return c.referee.RunningTasks() == 2*jobs })
 		time.Sleep(12 * time.Second)
 		old := c.leader()
-		c.store.Slow(100 * time.Millisecond) // so that starts are on their way for a while
-		c.net.Cut(func(from, to string) bool {
+		c.store.Delay(100 * time.Millisecond) // so that starts are on their way for a while
+		c.net.Partition(func(from, to string) bool {
 			return isWorker(from) && to == nodeAddr(old) || from == nodeAddr(old) && isWorker(to)
 		})
 		under := map[int]int{} // cancellations by who led
@@ -455,7 +455,7 @@
 			small := submission(jobID(100+i), job.Array, 8, 60)
 			small["cpus"], small["ram_gb"] = 0.25, 0.5
 			if i%4 == 0 {
-				c.store.HoldBack(3, jobstore.JobKey(jobID(100+i))+"/") // its starts are not recorded for a while
+				c.store.DelayTransactions(3, jobstore.JobKey(jobID(100+i))+"/") // its starts are not recorded for a while
 			}
 			c.accept(10*time.Second, i%3, small)
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
@@ -464,11 +464,11 @@
 		if under[old] < 5 || under[old] > jobs-5 {
 			t.Errorf("cancelled by who led: %v, at first %d", under, old)
 		}
-		c.until("all halted, without waiting for machines to be returned", 15*time.Second, func() bool { return c.referee.On() == 0 })
-		c.net.Cut(nil)
-		c.store.Slow(0)
+		c.until("all halted, without waiting for machines to be returned", 15*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
+		c.net.Partition(nil)
+		c.store.Delay(0)
 		c.until("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
-		if n := c.referee.Late(); n != 0 {
+		if n := c.referee.StartsAfterCancellation(); n != 0 {
 			t.Errorf("%d tasks were started after their cancellation was told", n)
 		}
 	})
--- a/internal/controller/together_work_test.go
+++ b/internal/controller/together_work_test.go
@@ -17,8 +17,8 @@
 		time.Sleep(2 * time.Second)
 		c.runService(8)
 		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 4, 0))
-		c.until("both run", time.Minute, func() bool { return c.referee.On() == 12 })
-		c.store.Slow(350 * time.Millisecond)
+		c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 12 })
+		c.store.Delay(350 * time.Millisecond)
 		time.Sleep(40 * time.Second)
 		c.until("cancelled", 10*time.Second, func() bool { return c.ask(1, "POST", "/v1/jobs/wk-000001/abort", nil).Status == 200 })
 		answered := 0
@@ -31,12 +31,12 @@
 		if answered < 15 {
 			t.Errorf("%d of 20 questions answered", answered)
 		}
-		if n := c.referee.OnOf("wk-000001"); n != 0 {
+		if n := c.referee.RunningTasksOf("wk-000001"); n != 0 {
 			t.Errorf("%d cancelled tasks on", n)
 		}
-		c.store.Slow(0)
-		if n := c.referee.OnOf("wk-000002"); n != 4 || c.referee.Begun()["wk-000002/0"] != 1 {
-			t.Errorf("%d of 4 replicas on, started %d times", n, c.referee.Begun()["wk-000002/0"])
+		c.store.Delay(0)
+		if n := c.referee.RunningTasksOf("wk-000002"); n != 4 || c.referee.StartsByTask()["wk-000002/0"] != 1 {
+			t.Errorf("%d of 4 replicas on, started %d times", n, c.referee.StartsByTask()["wk-000002/0"])
 		}
 	})
 }
@@ -52,8 +52,8 @@
 			}
 			return 0
 		}
-		c.net.Hold(slow)
-		c.net.HoldAnswers(slow)
+		c.net.DelayRequests(slow)
+		c.net.DelayResponses(slow)
 		want := map[string]string{}
 		for i := range 6 {
 			m := submission(jobID(i), job.Array, 20, 6)
@@ -67,12 +67,12 @@
 		urgent := submission("wk-000010", job.Service, 8, 0)
 		urgent["rank"] = "high"
 		c.accept(10*time.Second, 0, urgent)
-		c.until("the urgent service runs", 40*time.Second, func() bool { return c.referee.OnOf("wk-000010") == 8 })
+		c.until("the urgent service runs", 40*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000010") == 8 })
 		if c.status(0, jobID(0)) == jobstore.StatusDone && c.status(0, jobID(1)) == jobstore.StatusDone && c.status(0, jobID(5)) == jobstore.StatusDone {
 			t.Error("there was room for all")
 		}
-		c.net.Hold(nil)
-		c.net.HoldAnswers(nil)
+		c.net.DelayRequests(nil)
+		c.net.DelayResponses(nil)
 		c.over(5*time.Minute, want)
 	})
 }
@@ -136,9 +136,9 @@
 			id := jobID(i)
 			m := submission(id, job.Array, 1, 3)
 			c.accept(10*time.Second, i%3, m)
-			c.until("it runs", 20*time.Second, func() bool { return c.referee.OnOf(id) == 1 })
+			c.until("it runs", 20*time.Second, func() bool { return c.referee.RunningTasksOf(id) == 1 })
 			if i == 20 {
-				c.store.Slow(60 * time.Millisecond) // so that more is on its way at once
+				c.store.Delay(60 * time.Millisecond) // so that more is on its way at once
 			}
 			time.Sleep(3*time.Second - 20*time.Millisecond + time.Duration(i%20)*40*time.Millisecond)
 			var wg sync.WaitGroup
@@ -181,7 +181,7 @@
 			m["depot"] = z
 			c.accept(5*time.Second, i, m)
 		}
-		c.until("all run", time.Minute, func() bool { return c.referee.On() == 24 })
+		c.until("all run", time.Minute, func() bool { return c.referee.RunningTasks() == 24 })
 		c.until("a leader in zone a", 2*time.Minute, func() bool {
 			if c.leader() == 1 {
 				c.nextLeader()
@@ -195,14 +195,14 @@
 				inside[w.Addr] = true
 			}
 		}
-		c.net.Cut(func(from, to string) bool { return inside[from] != inside[to] })
+		c.net.Partition(func(from, to string) bool { return inside[from] != inside[to] })
 		cut := time.Now()
 		c.abort(0, jobID(0))
-		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.OnOf(jobID(0)) == 0 })
+		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasksOf(jobID(0)) == 0 })
 		time.Sleep(time.Until(cut.Add(40 * time.Second)))
-		c.net.Cut(nil)
-		c.until("the others whole", 2*time.Minute, func() bool { return c.referee.OnOf(jobID(1)) == 8 && c.referee.OnOf(jobID(2)) == 8 })
-		if n := c.referee.Begun()[jobID(2)+"/0"]; n != 1 {
+		c.net.Partition(nil)
+		c.until("the others whole", 2*time.Minute, func() bool { return c.referee.RunningTasksOf(jobID(1)) == 8 && c.referee.RunningTasksOf(jobID(2)) == 8 })
+		if n := c.referee.StartsByTask()[jobID(2)+"/0"]; n != 1 {
 			t.Errorf("a replica outside was started %d times", n)
 		}
 	})
@@ -231,7 +231,7 @@
 				want[jobID(i)] = jobstore.StatusDone
 			}
 		}
-		c.until("they run", time.Minute, func() bool { return c.referee.On() >= 24 })
+		c.until("they run", time.Minute, func() bool { return c.referee.RunningTasks() >= 24 })
 		for round := range 3 {
 			all, _ := c.withTasks()
 			for k, w := range all {
@@ -245,7 +245,7 @@
 			time.Sleep(12 * time.Second)
 		}
 		c.over(4*time.Minute, want)
-		c.until("services whole", 2*time.Minute, func() bool { return c.referee.OnOf(jobID(2)) == 4 && c.referee.OnOf(jobID(5)) == 4 })
+		c.until("services whole", 2*time.Minute, func() bool { return c.referee.RunningTasksOf(jobID(2)) == 4 && c.referee.RunningTasksOf(jobID(5)) == 4 })
 		if len(c.cloud.Returned()) == 0 {
 			t.Error("no machine was lost")
 		}
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -31,7 +31,7 @@
 					time.Sleep(10 * time.Second)
 				}
 				began := 0
-				for task := range c.referee.Begun() {
+				for task := range c.referee.StartsByTask() {
 					if task[:9] == "wk-900000" {
 						began++
 					}
@@ -92,7 +92,7 @@
 		c.until("array done", time.Minute, c.done("wk-000001"))
 		var copies [][]byte
 		for _, w := range c.cloud.Machines() {
-			copies = append(copies, w.Copy())
+			copies = append(copies, w.CurrentHeartbeat())
 		}
 		c.until("machines returned", 2*time.Minute, func() bool { return len(c.cloud.Machines()) == 0 })
 		deliver := func() {
@@ -109,12 +109,12 @@
 		deliver()
 		begin := time.Now()
 		c.submit(c.leader(), submission("wk-000002", job.Service, 2, 0))
-		for time.Since(begin) < 16*time.Second && c.referee.On() < 2 {
+		for time.Since(begin) < 16*time.Second && c.referee.RunningTasks() < 2 {
 			time.Sleep(2 * time.Second)
 			deliver() // ever again
 		}
 		// Booting takes 10 s; a start on a machine that is not there costs more.
-		if c.referee.On() < 2 {
+		if c.referee.RunningTasks() < 2 {
 			t.Errorf("service not running %v after its submission", time.Since(begin))
 		}
 	})
@@ -139,8 +139,8 @@
 			return true
 		})
 		c.submit(c.leader(), submission("wk-000002", job.Service, 4, 0))
-		c.until("more replicas run", 20*time.Second, func() bool { return c.referee.On() == 12 })
-		c.net.Cut(nil)
+		c.until("more replicas run", 20*time.Second, func() bool { return c.referee.RunningTasks() == 12 })
+		c.net.Partition(nil)
 		c.startedOnce()
 	})
 }
@@ -157,8 +157,8 @@
 		time.Sleep(time.Second)
 		c.abort((old+1)%3, "wk-000001")
 		c.store.Down(true)
-		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
-		c.net.Cut(nil)
+		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
+		c.net.Partition(nil)
 		c.store.Down(false)
 		c.accept(20*time.Second, 0, submission("wk-000002", job.Array, 2, 5))
 		c.until("array done", time.Minute, c.done("wk-000002"))
@@ -184,7 +184,7 @@
 		time.Sleep(2 * time.Second)
 		c.runService(8)
 		old := c.cancelWithoutLeader()
-		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.On() == 0 })
+		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
 		c.start(old)
 		c.store.Down(false)
 		c.until("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
@@ -199,7 +199,7 @@
 		time.Sleep(2 * time.Second)
 		c.runService(8)
 		old := c.leader()
-		c.net.Cut(func(from, to string) bool {
+		c.net.Partition(func(from, to string) bool {
 			worker := func(addr string) bool { return strings.HasPrefix(addr, "10.1.") }
 			node := func(addr string) bool { return strings.HasPrefix(addr, "10.0.") }
 			mine := from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old)
@@ -208,12 +208,12 @@
 		c.abort((old+1)%3, "wk-000001")
 		c.store.Down(true)
 		time.Sleep(32 * time.Second)
-		if n := c.referee.On(); n != 8 {
+		if n := c.referee.RunningTasks(); n != 8 {
 			t.Errorf("%d of 8 tasks on at the end of the outage", n)
 		}
-		c.net.Cut(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
+		c.net.Partition(func(from, to string) bool { return from == nodeAddr(old) && to == stateAddr })
 		c.store.Down(false)
-		c.until("cancelled tasks gone", 15*time.Second, func() bool { return c.referee.On() == 0 })
+		c.until("cancelled tasks gone", 15*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
 		time.Sleep(3 * time.Second)
 		if got := c.cloud.Returned(); len(got) != 0 {
 			t.Errorf("returned %v", got)
@@ -246,11 +246,11 @@
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.submit(0, submission("wk-000001", job.Array, 16, 60))
-		c.until("tasks run", time.Minute, func() bool { return c.referee.On() >= 4 })
+		c.until("tasks run", time.Minute, func() bool { return c.referee.RunningTasks() >= 4 })
 		last := c.nodes[c.leader()].leader.Load().term.Number()
 		for range 4 {
 			node := c.leader()
-			c.store.HoldBack(1, "lead/")
+			c.store.DelayTransactions(1, "lead/")
 			c.kill(node)
 			c.start(node)
 			time.Sleep(200 * time.Millisecond) // its claim is on its way
@@ -292,7 +292,7 @@
 			}
 		}
 		time.Sleep(70 * time.Second)
-		if n := c.referee.On(); n != 8 {
+		if n := c.referee.RunningTasks(); n != 8 {
 			t.Errorf("%d of 8 replicas left", n)
 		}
 		c.store.Down(false)
@@ -312,17 +312,17 @@
 		c.runService(12)
 		time.Sleep(20 * time.Second)
 		old := c.leader()
-		c.net.Cut(func(from, to string) bool {
+		c.net.Partition(func(from, to string) bool {
 			return strings.HasPrefix(from, "10.1.") && to == nodeAddr(old) || from == nodeAddr(old) && strings.HasPrefix(to, "10.1.")
 		})
 		c.until("another leader", 20*time.Second, func() bool { return c.leader() >= 0 && c.leader() != old })
 		c.submit(old, submission("wk-000002", job.Array, 2, 5))
 		c.until("array done", 30*time.Second, c.done("wk-000002"))
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		time.Sleep(30 * time.Second)
 		c.startedOnce()
-		if got := c.cloud.Returned(); len(got) != 0 || c.referee.On() != 12 {
-			t.Errorf("returned %v, %d of 12 replicas on", got, c.referee.On())
+		if got := c.cloud.Returned(); len(got) != 0 || c.referee.RunningTasks() != 12 {
+			t.Errorf("returned %v, %d of 12 replicas on", got, c.referee.RunningTasks())
 		}
 	})
 }
@@ -337,7 +337,7 @@
 		old := c.leader()
 		term := c.nodes[old].leader.Load().term.Number()
 		heard := (old + 1) % 3
-		c.net.Cut(func(from, to string) bool {
+		c.net.Partition(func(from, to string) bool {
 			worker := func(addr string) bool { return strings.HasPrefix(addr, "10.1.") }
 			node := func(addr string) bool { return strings.HasPrefix(addr, "10.0.") && addr != nodeAddr(heard) }
 			return worker(from) && node(to) || node(from) && worker(to)
@@ -347,7 +347,7 @@
 			t.Errorf("term %d after %d", now, term)
 		}
 		time.Sleep(20 * time.Second)
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		c.startedOnce()
 	})
 }
@@ -358,7 +358,7 @@
 // were told, and nothing is rented twice.
 func TestRepeats(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.net.Repeat(300*time.Millisecond, 5*time.Second, 40*time.Second)
+		c.net.DuplicateRequests(300*time.Millisecond, 5*time.Second, 40*time.Second)
 		time.Sleep(2 * time.Second)
 		id := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 		for i := range 4 {
@@ -375,7 +375,7 @@
 		time.Sleep(20 * time.Second)
 		c.submit(0, submission(id(6), job.Array, 4, 4))
 		c.until("array done in a cut", time.Minute, c.done(id(6)))
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 		for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(5 * time.Second) {
 			for i, want := range []string{"done", "done", "done", "done", "withdrawn", "running", "done"} {
 				if got := c.status(i%3, id(i)); got != want && got != "503" {
@@ -383,7 +383,7 @@
 				}
 			}
 		}
-		if on := c.referee.On(); on != 2 {
+		if on := c.referee.RunningTasks(); on != 2 {
 			t.Errorf("%d replicas on, 2 wanted", on)
 		}
 		c.startedOnce()
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -68,7 +68,7 @@
 			if err != nil {
 				c.t.Fatal(id, err)
 			}
-			c.referee.Know(rec.Spec)
+			c.referee.AddJob(rec.Spec)
 		}
 	}
 	c.cloud.Begin(1000)
@@ -103,13 +103,13 @@
 					}
 					c.over(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled,
 						"wk-000004": jobstore.StatusDone, "wk-000005": jobstore.StatusCancelled})
-					c.until("the service runs", time.Minute, func() bool { return c.referee.OnOf("wk-000001") == 6 })
+					c.until("the service runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000001") == 6 })
 					if kept[jobstore.JobKey(gangID)] != nil {
 						c.until("the gang runs again, whole", time.Minute, func() bool { return c.cloud.Gangs.Counted().Began == 1 })
 						c.accept(time.Second, 0, gang(4, 600))
 					}
 					mistaken := 0
-					for task, n := range c.referee.Begun() {
+					for task, n := range c.referee.StartsByTask() {
 						id, k, _ := strings.Cut(task, "/")
 						switch {
 						case id == "wk-000006":
@@ -178,16 +178,16 @@
 	c.until("all serve", 10*time.Second, func() bool { return c.serves(0) && c.serves(1) && c.serves(2) })
 	c.runService(6)
 	mistaken := submission("wk-000006", job.Array, 20, 5)
-	mistaken["lane"] = fake.Mistaken
+	mistaken["lane"] = fake.FailingClass
 	c.accept(5*time.Second, 0, mistaken)
 	c.accept(5*time.Second, 0, submission("wk-000002", job.Array, 3, 2))
 	c.until("done", time.Minute, c.done("wk-000002"))
 	c.accept(5*time.Second, 0, submission("wk-000003", job.Array, 2, 60))
-	c.until("runs", time.Minute, func() bool { return c.referee.OnOf("wk-000003") == 2 })
+	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000003") == 2 })
 	c.abort(1, "wk-000003")
 	c.until("over", time.Minute, func() bool { return len(c.store.Keys("end/wk-000003")) == 1 })
 	c.accept(5*time.Second, 0, submission("wk-000005", job.Service, 4, 0))
-	c.until("runs", time.Minute, func() bool { return c.referee.OnOf("wk-000005") == 4 })
+	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000005") == 4 })
 	c.runGang(gang(4, 600))
 	c.accept(5*time.Second, 0, submission("wk-000004", job.Array, 300, 10))
 	c.until("some done", 2*time.Minute, func() bool { return c.referee.Ended("wk-000004/120") })
@@ -267,7 +267,7 @@
 		for _, w := range c.cloud.Machines() {
 			w.Hang(false)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 	})
 }
 
@@ -396,7 +396,7 @@
 		for _, w := range c.cloud.Machines() {
 			w.Hang(false)
 		}
-		c.net.Cut(nil)
+		c.net.Partition(nil)
 	})
 }
 
@@ -441,7 +441,7 @@
 		many := submission("wk-000050", job.Service, 80, 0) // more than fit a chunk later
 		many["cpus"], many["ram_gb"] = 0.25, 0.25
 		c.accept(10*time.Second, 0, many)
-		c.until("all replicas run", time.Minute, func() bool { return c.referee.OnOf("wk-000050") == 80 })
+		c.until("all replicas run", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
 		want := map[string]string{}
 		for i := 2; i < 6; i++ {
 			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
@@ -471,7 +471,7 @@
 		c.until("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		c.nextLeader()
 		c.over(6*time.Minute, want)
-		if n := c.referee.OnOf("wk-000001"); n != 8 {
+		if n := c.referee.RunningTasksOf("wk-000001"); n != 8 {
 			t.Errorf("%d of 8 replicas on", n)
 		}
 		for _, w := range c.cloud.Machines() {
@@ -480,8 +480,8 @@
 				break
 			}
 		}
-		c.until("a replica is lost", 30*time.Second, func() bool { return c.referee.OnOf("wk-000050") < 80 })
-		c.until("all replicas run again", 2*time.Minute, func() bool { return c.referee.OnOf("wk-000050") == 80 })
+		c.until("a replica is lost", 30*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000050") < 80 })
+		c.until("all replicas run again", 2*time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
 		if large, many := c.store.Refused(); large > 30 || large+many == 0 {
 			t.Errorf("%d transactions refused as too large, %d as too many", large, many)
 		}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -19,24 +19,24 @@
 	Lag      time.Duration // lists leave out machines rented so lately
 	Gangs    *Gangs
 
-	net     *Net
-	referee *Referee
+	net     *Network
+	referee *InvariantChecker
 	nodes   []string // addresses that workers report to
 	names   []string // of the nodes, in the same order
 	lease   time.Duration
 
 	mu       sync.Mutex
 	rentals  map[string][]string
-	machines map[string]*Worker
+	machines map[string]*Agent
 	next     int
 	returned []string
 	down     bool
 }
 
 // NewCloud returns a cloud with one machine type in the given zones.
-func NewCloud(n *Net, r *Referee, names, nodes []string, lease time.Duration, t cloud.Type, capacity int) *Cloud {
+func NewCloud(n *Network, r *InvariantChecker, names, nodes []string, lease time.Duration, t cloud.Type, capacity int) *Cloud {
 	return &Cloud{Type: t, Capacity: capacity, Gangs: newGangs(45*time.Second, 4*time.Second), net: n, referee: r, nodes: nodes, names: names, lease: lease,
-		rentals: map[string][]string{}, machines: map[string]*Worker{}}
+		rentals: map[string][]string{}, machines: map[string]*Agent{}}
 }
 
 // Change changes what the cloud offers, while it serves.
@@ -54,10 +54,10 @@
 }
 
 // Machines returns the workers that have not been returned, by name.
-func (c *Cloud) Machines() []*Worker {
+func (c *Cloud) Machines() []*Agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
+	var out []*Agent
 	for _, w := range c.machines {
 		out = append(out, w)
 	}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -46,7 +46,7 @@
 
 // member is one task of an attempt on its machine.
 type member struct {
-	w      *Worker
+	w      *Agent
 	t      *task
 	key    fleetKey
 	told   bool // to save and stop
@@ -75,7 +75,7 @@
 }
 
 // join adds a task that waits, with its machine's lock held.
-func (g *Gangs) join(s *job.Spec, w *Worker, k fleetKey, t *task) {
+func (g *Gangs) join(s *job.Spec, w *Agent, k fleetKey, t *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	j := g.jobs[s.ID]
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -15,8 +15,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// Net is a network in memory: servers by address, and cuts between hosts.
-type Net struct {
+// Network is a network in memory: servers by address, and cuts between hosts.
+type Network struct {
 	ctx     context.Context
 	mu      sync.Mutex
 	servers map[string]wire.Handler
@@ -28,13 +28,13 @@
 	linger  func(from, to string) time.Duration
 }
 
-// NewNet returns a network without servers that lasts until ctx ends.
-func NewNet(ctx context.Context) *Net {
-	return &Net{ctx: ctx, servers: map[string]wire.Handler{}, conns: map[net.Conn][2]string{}, asked: map[string]int{}}
+// NewNetwork returns a network without servers that lasts until ctx ends.
+func NewNetwork(ctx context.Context) *Network {
+	return &Network{ctx: ctx, servers: map[string]wire.Handler{}, conns: map[net.Conn][2]string{}, asked: map[string]int{}}
 }
 
 // Serve answers at addr until ctx ends.
-func (n *Net) Serve(ctx context.Context, addr string, h wire.Handler) {
+func (n *Network) Serve(ctx context.Context, addr string, h wire.Handler) {
 	n.mu.Lock()
 	n.servers[addr] = h
 	n.mu.Unlock()
@@ -49,8 +49,8 @@
 	n.mu.Unlock()
 }
 
-// Cut makes requests hang for which cut says so; nil heals the network.
-func (n *Net) Cut(cut func(from, to string) bool) {
+// Partition makes requests hang for which cut says so; nil heals the network.
+func (n *Network) Partition(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
@@ -61,45 +61,45 @@
 	}
 }
 
-// Repeat makes every request that was carried out arrive once more after each of the
+// DuplicateRequests makes every request that was carried out arrive once more after each of the
 // delays, with nobody waiting for the answer: as late copies of packets do.
-func (n *Net) Repeat(delays ...time.Duration) {
+func (n *Network) DuplicateRequests(delays ...time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays = delays
 }
 
-// Hold makes requests arrive so much later, also when whoever sent them has given up; nil
+// DelayRequests makes requests arrive so much later, also when whoever sent them has given up; nil
 // ends that.
-func (n *Net) Hold(hold func(from, to string) time.Duration) {
+func (n *Network) DelayRequests(hold func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hold = hold
 }
 
-// HoldAnswers makes the answers to requests leave so much later; nil ends that.
-func (n *Net) HoldAnswers(linger func(from, to string) time.Duration) {
+// DelayResponses makes the answers to requests leave so much later; nil ends that.
+func (n *Network) DelayResponses(linger func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.linger = linger
 }
 
-// Asked returns how many requests a server has had.
-func (n *Net) Asked(addr string) int {
+// RequestsTo returns how many requests a server has had.
+func (n *Network) RequestsTo(addr string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.asked[addr]
 }
 
-// AskedAll returns how many requests each server has had.
-func (n *Net) AskedAll() map[string]int {
+// Requests returns how many requests each server has had.
+func (n *Network) Requests() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.asked)
 }
 
 // again delivers copies of a request, if that is wanted.
-func (n *Net) again(addr string, req wire.Request) {
+func (n *Network) again(addr string, req wire.Request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.asked[addr]++
@@ -118,7 +118,7 @@
 }
 
 // Dial returns the dial function of the host called from.
-func (n *Net) Dial(from string) wire.DialFunc {
+func (n *Network) Dial(from string) wire.DialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		n.mu.Lock()
 		h, ok := n.servers[addr]
@@ -142,7 +142,7 @@
 
 type conn struct {
 	net.Conn
-	n *Net
+	n *Network
 }
 
 func (c *conn) Close() error {
@@ -159,7 +159,7 @@
 	hang = -2
 )
 
-func (n *Net) answer(from, addr string, c net.Conn, h wire.Handler) {
+func (n *Network) answer(from, addr string, c net.Conn, h wire.Handler) {
 	defer c.Close()
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -11,8 +11,8 @@
 	"tulipshelf/internal/job"
 )
 
-// Referee watches the rules and keeps the jobs' descriptions for the workers.
-type Referee struct {
+// InvariantChecker watches the rules and keeps the jobs' descriptions for the workers.
+type InvariantChecker struct {
 	Within time.Duration // in which tasks of a cancelled job must be gone
 
 	mu     sync.Mutex
@@ -33,21 +33,21 @@
 	try           uint64
 }
 
-// NewReferee returns a referee that has seen nothing.
-func NewReferee() *Referee {
-	return &Referee{jobs: map[string]*job.Spec{}, on: map[string]place{}, told: map[string]time.Time{}, zones: map[string]string{},
+// NewInvariantChecker returns a referee that has seen nothing.
+func NewInvariantChecker() *InvariantChecker {
+	return &InvariantChecker{jobs: map[string]*job.Spec{}, on: map[string]place{}, told: map[string]time.Time{}, zones: map[string]string{},
 		limits: map[string]float64{}, starts: map[string]int{}, done: map[string]bool{}}
 }
 
 // Limit says how many CPUs a team may use at once.
-func (r *Referee) Limit(team string, cpus float64) {
+func (r *InvariantChecker) Limit(team string, cpus float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limits[team] = cpus
 }
 
-// Told notes that a user was told that a job is cancelled.
-func (r *Referee) Told(id string) {
+// CancellationConfirmed notes that a user was told that a job is cancelled.
+func (r *InvariantChecker) CancellationConfirmed(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, before := r.told[id]; before {
@@ -67,41 +67,41 @@
 	}
 }
 
-// Late returns how many tasks were started after a user was told that their job is
+// StartsAfterCancellation returns how many tasks were started after a user was told that their job is
 // cancelled.
-func (r *Referee) Late() int {
+func (r *InvariantChecker) StartsAfterCancellation() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.late
 }
 
-// Faults returns what has broken a rule so far.
-func (r *Referee) Faults() []string {
+// Violations returns what has broken a rule so far.
+func (r *InvariantChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.faults)
 }
 
-func (r *Referee) fault(format string, args ...any) {
+func (r *InvariantChecker) fault(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
-// Know uploads a job's description, as users do.
-func (r *Referee) Know(s *job.Spec) {
+// AddJob uploads a job's description, as users do.
+func (r *InvariantChecker) AddJob(s *job.Spec) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobs[s.ID] = s
 }
 
-// On returns how many tasks are on machines.
-func (r *Referee) On() int {
+// RunningTasks returns how many tasks are on machines.
+func (r *InvariantChecker) RunningTasks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.on)
 }
 
-// OnOf returns how many tasks of a job are on machines.
-func (r *Referee) OnOf(id string) (n int) {
+// RunningTasksOf returns how many tasks of a job are on machines.
+func (r *InvariantChecker) RunningTasksOf(id string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.on {
@@ -113,27 +113,27 @@
 }
 
 // Zones returns the zone in which each task started last.
-func (r *Referee) Zones() map[string]string {
+func (r *InvariantChecker) Zones() map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.zones)
 }
 
 // Ended tells whether a task has completed.
-func (r *Referee) Ended(task string) bool {
+func (r *InvariantChecker) Ended(task string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.done[task]
 }
 
-// Begun returns how often each task has started so far.
-func (r *Referee) Begun() map[string]int {
+// StartsByTask returns how often each task has started so far.
+func (r *InvariantChecker) StartsByTask() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.starts)
 }
 
-func (r *Referee) start(task string, at place) (*job.Spec, bool) {
+func (r *InvariantChecker) start(task string, at place) (*job.Spec, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id, _, _ := agent.ParseTaskName(task)
@@ -158,7 +158,7 @@
 }
 
 // place checks limits and zones as a task starts.
-func (r *Referee) place(task, id string, s *job.Spec, at place) {
+func (r *InvariantChecker) place(task, id string, s *job.Spec, at place) {
 	used, there := 0.0, 0
 	for other, p := range r.on {
 		of, _, _ := agent.ParseTaskName(other)
@@ -187,7 +187,7 @@
 	}
 }
 
-func (r *Referee) end(task, machine string, done bool) {
+func (r *InvariantChecker) end(task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.on[task].machine == machine {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -161,16 +161,16 @@
 	return v
 }
 
-// LoseAnswers applies the next n transactions without answering them.
-func (s *Store) LoseAnswers(n int) {
+// LoseResponses applies the next n transactions without answering them.
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = n
 }
 
-// HoldBack keeps the next n transactions that change a key with the given prefix,
+// DelayTransactions keeps the next n transactions that change a key with the given prefix,
 // unanswered, until Release.
-func (s *Store) HoldBack(n int, prefix string) {
+func (s *Store) DelayTransactions(n int, prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hold, s.holdKey = n, prefix
@@ -187,17 +187,17 @@
 	}
 }
 
-// LateWrites lets one in so many transactions go unanswered and be applied 2 to 12 s
+// DelayOneWriteIn lets one in so many transactions go unanswered and be applied 2 to 12 s
 // later, after newer ones; 0 ends that.
-func (s *Store) LateWrites(every int) {
+func (s *Store) DelayOneWriteIn(every int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.every = every
 }
 
-// LoseOneIn lets one in so many transactions go unanswered though it is applied; 0 ends
+// LoseOneResponseIn lets one in so many transactions go unanswered though it is applied; 0 ends
 // that.
-func (s *Store) LoseOneIn(every int) {
+func (s *Store) LoseOneResponseIn(every int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.atOnce = every
@@ -210,8 +210,8 @@
 	return s.silent
 }
 
-// Slow lets every request take so much longer.
-func (s *Store) Slow(d time.Duration) {
+// Delay lets every request take so much longer.
+func (s *Store) Delay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
@@ -224,8 +224,8 @@
 	return s.changes
 }
 
-// Asked returns how many requests have come.
-func (s *Store) Asked() int {
+// Requests returns how many requests have come.
+func (s *Store) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -12,11 +12,11 @@
 	"tulipshelf/internal/wire"
 )
 
-// Mistaken is the class of jobs that fail on every machine.
-const Mistaken = "mistaken"
+// FailingClass is the class of jobs that fail on every machine.
+const FailingClass = "mistaken"
 
-// Worker is one machine.
-type Worker struct {
+// Agent is one machine.
+type Agent struct {
 	Name, Addr, Zone string
 
 	cloud  *Cloud
@@ -53,21 +53,21 @@
 	hung func(hung bool)
 }
 
-func newWorker(c *Cloud, name, zone string) *Worker {
+func newWorker(c *Cloud, name, zone string) *Agent {
 	ctx, halt := context.WithCancel(context.Background())
-	return &Worker{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rented: time.Now(), ctx: ctx, halt: halt,
+	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rented: time.Now(), ctx: ctx, halt: halt,
 		session: 1, tasks: map[fleetKey]*task{}, more: make(chan struct{}, 1)}
 }
 
 // Up tells whether the worker has booted.
-func (w *Worker) Up() bool {
+func (w *Agent) Up() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.up
 }
 
 // Hang stops or resumes the worker; its services stay where they are.
-func (w *Worker) Hang(hung bool) {
+func (w *Agent) Hang(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hung = hung
@@ -78,15 +78,15 @@
 	}
 }
 
-// Deafen lets reports leave the worker while nothing reaches it.
-func (w *Worker) Deafen(deaf bool) {
+// DropIncoming lets reports leave the worker while nothing reaches it.
+func (w *Agent) DropIncoming(deaf bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.deaf = deaf
 }
 
-// Copy returns a copy of what the worker would report now, to be delivered late.
-func (w *Worker) Copy() []byte {
+// CurrentHeartbeat returns a copy of what the worker would report now, to be delivered late.
+func (w *Agent) CurrentHeartbeat() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.snapshot()
@@ -94,7 +94,7 @@
 
 // Restart ends all tasks, as a machine that is back at once does, and begins a new
 // session.
-func (w *Worker) Restart() {
+func (w *Agent) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.kill()
@@ -103,22 +103,22 @@
 	w.changed()
 }
 
-// Sicken makes every task that starts on the worker fail.
-func (w *Worker) Sicken() {
+// FailTasks makes every task that starts on the worker fail.
+func (w *Agent) FailTasks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sick = true
 }
 
-// Notice announces that the cloud takes the machine after d.
-func (w *Worker) Notice(d time.Duration) {
+// TerminateIn announces that the cloud takes the machine after d.
+func (w *Agent) TerminateIn(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.notice = time.Now().Add(d)
 }
 
 // Has tells whether a task of a job is on the worker.
-func (w *Worker) Has(id string) bool {
+func (w *Agent) Has(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for k, t := range w.tasks {
@@ -130,7 +130,7 @@
 }
 
 // Tasks returns how many tasks are on the worker.
-func (w *Worker) Tasks() int {
+func (w *Agent) Tasks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -142,27 +142,27 @@
 	return n
 }
 
-func (w *Worker) hanging() bool {
+func (w *Agent) hanging() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hung
 }
 
 // Token returns the highest token seen.
-func (w *Worker) Token() uint64 {
+func (w *Agent) Token() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.token
 }
 
-func (w *Worker) stop() {
+func (w *Agent) stop() {
 	w.halt()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.kill()
 }
 
-func (w *Worker) kill() {
+func (w *Agent) kill() {
 	for k, t := range w.tasks {
 		if t.status != agent.StatusExited {
 			t.stop.Stop()
@@ -175,7 +175,7 @@
 	clear(w.tasks)
 }
 
-func (w *Worker) run(boot time.Duration) {
+func (w *Agent) run(boot time.Duration) {
 	if !clock.Sleep(w.ctx, boot) {
 		return
 	}
@@ -225,7 +225,7 @@
 }
 
 // expire kills all tasks once the lease is over.
-func (w *Worker) expire() {
+func (w *Agent) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Since(w.leaseAt) > w.cloud.lease {
@@ -235,7 +235,7 @@
 	}
 }
 
-func (w *Worker) snapshot() []byte {
+func (w *Agent) snapshot() []byte {
 	w.tick++
 	r := agent.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Incarnation: w.session, Sequence: w.tick, FencingToken: w.token}
 	if !w.notice.IsZero() {
@@ -249,7 +249,7 @@
 	return wire.Marshal(r)
 }
 
-func (w *Worker) report(addr string) (int, []byte) {
+func (w *Agent) report(addr string) (int, []byte) {
 	w.mu.Lock()
 	body := w.snapshot()
 	w.mu.Unlock()
@@ -271,7 +271,7 @@
 	return resp.Status, resp.Body
 }
 
-func (w *Worker) take(body []byte, sent time.Time) {
+func (w *Agent) take(body []byte, sent time.Time) {
 	var a agent.HeartbeatResponse
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -283,7 +283,7 @@
 	w.execute(a.Commands)
 }
 
-func (w *Worker) handle(_ context.Context, req *wire.Request) wire.Response {
+func (w *Agent) handle(_ context.Context, req *wire.Request) wire.Response {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var c agent.CommandRequest
@@ -304,14 +304,14 @@
 	return wire.Response{Status: 200, Body: w.snapshot()}
 }
 
-func (w *Worker) changed() {
+func (w *Agent) changed() {
 	select {
 	case w.more <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Worker) execute(orders []agent.Command) {
+func (w *Agent) execute(orders []agent.Command) {
 	for _, o := range orders {
 		k := fleetKey{o.Task, o.Attempt}
 		t := w.tasks[k]
@@ -340,7 +340,7 @@
 	}
 }
 
-func (w *Worker) begin(k fleetKey) *task {
+func (w *Agent) begin(k fleetKey) *task {
 	for other, t := range w.tasks {
 		if other.task == k.task && t.status != agent.StatusExited {
 			return &task{status: agent.StatusExited, cause: agent.CauseInUse}
@@ -350,7 +350,7 @@
 	if !known {
 		return &task{status: agent.StatusExited, cause: agent.CauseUnknownJob}
 	}
-	if w.sick || s.Class == Mistaken {
+	if w.sick || s.Class == FailingClass {
 		w.cloud.referee.end(k.task, w.Name, false)
 		w.changed()
 		return &task{status: agent.StatusExited, cause: agent.CauseError}
