--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -51,7 +51,7 @@
 			tries[word[1]] = a.Number
 			m.Assign(a, now)
 		case "stop":
-			m.Stop(m.Assignments[key{name(word[1]), tries[word[1]]}], 0)
+			m.Stop(m.Assignments[job.AttemptID{Task: name(word[1]), Number: tries[word[1]]}], 0)
 		case "report":
 			r := &Heartbeat{Machine: m.Name, Incarnation: number(1), Sequence: number(2), FencingToken: number(3)}
 			for _, w := range word[4:] {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"tulipshelf/internal/jobstore"
 )
 
 // answers is what shows whether a machine gets what it is told.
@@ -76,7 +74,7 @@
 		switch {
 		case h.Stopping && (listed || !h.FirstSent.IsZero()):
 			need = append(need, h)
-		case !listed && !h.Stopping && h.Dispatchable() && h.Incarnation == m.Incarnation && jobstore.AttemptTerm(h.Number) == token:
+		case !listed && !h.Stopping && h.Dispatchable() && h.Incarnation == m.Incarnation && h.ID().Term() == token:
 			// A start recorded under an earlier token is never sent again: the
 			// worker's next reports prove it gone.
 			need = append(need, h)
@@ -98,21 +96,21 @@
 			h.FirstSent = now
 		}
 	}
-	for k, s := range m.Reported {
+	for id, s := range m.Reported {
 		if len(out) == limit {
 			break
 		}
-		if m.Assignments[k] != nil {
+		if m.Assignments[id] != nil {
 			continue
 		}
 		switch {
 		case s.Status != StatusExited:
 			// On the machine but in no record, so it must not be.
 			zero := 0.0
-			out = append(out, Command{"halt", k.task, k.try, &zero})
-		case jobstore.AttemptTerm(k.try) < m.FencingToken && settled(k.task):
+			out = append(out, Command{"halt", id.Task, id.Number, &zero})
+		case id.Term() < m.FencingToken && settled(id.Task):
 			// Only now can no late copy of its start run it again.
-			out = append(out, Command{Verb: "forget", Task: k.task, Attempt: k.try})
+			out = append(out, Command{Verb: "forget", Task: id.Task, Attempt: id.Number})
 		}
 	}
 	return out
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -9,12 +9,6 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// key tells attempts apart; attempts are numbered across all tasks.
-type key struct {
-	task string
-	try  uint64
-}
-
 // TaskState is what the newest report says of one attempt.
 type TaskState struct {
 	Status string
@@ -48,8 +42,8 @@
 	LastHeartbeat   time.Time // last report under this leader
 	Created         time.Time // when this leader first knew of it
 	TerminationAt   time.Time // when the cloud takes it away; zero: no notice
-	Reported        map[key]TaskState
-	Assignments     map[key]*Assignment
+	Reported        map[job.AttemptID]TaskState
+	Assignments     map[job.AttemptID]*Assignment
 	FailedAttempts  int                 // failed attempts since the last that was done
 	FailedJobs      map[string]struct{} // jobs whose tasks failed since then
 	Quarantined     bool
@@ -81,14 +75,14 @@
 // Assign books an attempt on its machine.
 func (m *Machine) Assign(a *jobstore.Attempt, now time.Time) *Assignment {
 	h := &Assignment{Attempt: a, AssignedAt: now}
-	m.Assignments[key{a.TaskName(), a.Number}] = h
+	m.Assignments[a.ID()] = h
 	m.Version++
 	return h
 }
 
 // Release forgets an attempt that was never sent.
 func (m *Machine) Release(a *jobstore.Attempt) {
-	k := key{a.TaskName(), a.Number}
+	k := a.ID()
 	delete(m.Assignments, k)
 	if s, listed := m.Reported[k]; listed && s.Status != StatusExited {
 		m.hasUnknownTask = true
@@ -98,17 +92,17 @@
 
 // Renumber books an attempt that was never sent under its new number.
 func (m *Machine) Renumber(a *jobstore.Attempt, was uint64) {
-	old := key{a.TaskName(), was}
+	old := job.AttemptID{Task: a.TaskName(), Number: was}
 	if h := m.Assignments[old]; h != nil {
 		delete(m.Assignments, old)
-		m.Assignments[key{a.TaskName(), a.Number}] = h
+		m.Assignments[a.ID()] = h
 		m.Version++
 	}
 }
 
 // AssignmentOf returns the assignment of an attempt, or nil.
 func (m *Machine) AssignmentOf(a *jobstore.Attempt) *Assignment {
-	return m.Assignments[key{a.TaskName(), a.Number}]
+	return m.Assignments[a.ID()]
 }
 
 // HasUnknownTask tells whether the newest report listed a live attempt that was booked
@@ -171,7 +165,7 @@
 	}
 	clear(m.Reported)
 	for _, t := range r.Tasks {
-		m.Reported[key{t.Task, t.Attempt}] = TaskState{t.Status, t.Cause}
+		m.Reported[t.ID()] = TaskState{t.Status, t.Cause}
 	}
 	for k, h := range m.Assignments {
 		s, listed := m.Reported[k]
@@ -186,7 +180,7 @@
 				h.RunningSince = now
 			}
 			continue
-		case jobstore.AttemptTerm(h.Number) < r.FencingToken:
+		case h.ID().Term() < r.FencingToken:
 			out = append(out, Outcome{h, CauseLost})
 		default:
 			h.MissedHeartbeats++
@@ -211,17 +205,17 @@
 // LatestHeartbeat returns the newest report, but for its type, zone and notice.
 func (m *Machine) LatestHeartbeat() Heartbeat {
 	r := Heartbeat{Machine: m.Name, Addr: m.Addr, Spot: m.Spot, Incarnation: m.Incarnation, Sequence: m.Sequence, FencingToken: m.FencingToken}
-	for k, s := range m.Reported {
-		r.Tasks = append(r.Tasks, ReportedTask{k.task, k.try, s.Status, s.Cause})
+	for id, s := range m.Reported {
+		r.Tasks = append(r.Tasks, ReportedTask{id.Task, id.Number, s.Status, s.Cause})
 	}
 	return r
 }
 
 // EachExited calls fn for each exited task that the worker still reports.
 func (m *Machine) EachExited(fn func(task string)) {
-	for k, s := range m.Reported {
+	for id, s := range m.Reported {
 		if s.Status == StatusExited {
-			fn(k.task)
+			fn(id.Task)
 		}
 	}
 }
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -4,6 +4,8 @@
 
 import (
 	"time"
+
+	"tulipshelf/internal/job"
 )
 
 // Registry is all machines that this leader knows.
@@ -53,7 +55,7 @@
 	}
 	f.free = i + 1
 	m := &Machine{Index: i, Name: name, Created: now, IdleSince: now,
-		Reported: map[key]TaskState{}, Assignments: map[key]*Assignment{}, FailedJobs: map[string]struct{}{}}
+		Reported: map[job.AttemptID]TaskState{}, Assignments: map[job.AttemptID]*Assignment{}, FailedJobs: map[string]struct{}{}}
 	f.byName[name] = m
 	if i == len(f.all) {
 		f.all = append(f.all, m)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"strconv"
-	"strings"
 
-	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
@@ -26,16 +24,16 @@
 
 // ConfirmsGone tells whether the report, however late it comes, proves that an attempt made in
 // a session is gone (see Machine.Handle).
-func (r *Heartbeat) ConfirmsGone(task string, try, session uint64) bool {
-	if r.Incarnation != session {
-		return r.Incarnation > session
+func (r *Heartbeat) ConfirmsGone(attempt job.AttemptID, incarnation uint64) bool {
+	if r.Incarnation != incarnation {
+		return r.Incarnation > incarnation
 	}
-	for _, t := range r.Tasks {
-		if t.Task == task && t.Attempt == try {
-			return t.Status == StatusExited
+	for i := range r.Tasks {
+		if r.Tasks[i].ID() == attempt {
+			return r.Tasks[i].Status == StatusExited
 		}
 	}
-	return jobstore.AttemptTerm(try) < r.FencingToken
+	return attempt.Term() < r.FencingToken
 }
 
 // ReportedTask is one attempt as a worker has it.
@@ -46,6 +44,9 @@
 	Cause   string `cbor:"cause"`
 }
 
+// ID returns which attempt it is.
+func (t *ReportedTask) ID() job.AttemptID { return job.AttemptID{Task: t.Task, Number: t.Attempt} }
+
 // States and causes of the protocol that are acted on.
 const (
 	StatusPulling       = "pulling"
@@ -97,10 +98,3 @@
 	}
 	return r, wire.Unmarshal(resp.Body, &r)
 }
-
-// ParseTaskName takes apart the protocol's name of a task.
-func ParseTaskName(name string) (id string, task int, ok bool) {
-	id, n, found := strings.Cut(name, "/")
-	task, err := strconv.Atoi(n)
-	return id, task, found && err == nil && task >= 0
-}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -10,8 +10,8 @@
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
-	"tulipshelf/internal/peer"
 )
 
 // How fresh the knowledge of cancellations is kept, beside what users' questions do for
@@ -67,23 +67,17 @@
 type guard struct {
 	mu    sync.Mutex
 	watch map[string][]jobstore.Location // by machine
-	gone  map[attempt]struct{}
-}
-
-// attempt is a try to run a task; no two have the same task and number.
-type attempt struct {
-	task string
-	try  uint64
+	gone  map[job.AttemptID]struct{}
 }
 
 // look takes all that is recorded of cancelled jobs.
 func (g *guard) look(places []jobstore.Location) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	gone := map[attempt]struct{}{}
+	gone := map[job.AttemptID]struct{}{}
 	g.watch = map[string][]jobstore.Location{}
 	for _, p := range places {
-		a := attempt{p.Task, p.Try}
+		a := p.Attempt
 		if _, ok := g.gone[a]; ok {
 			gone[a] = struct{}{}
 		} else {
@@ -99,7 +93,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range places {
-		if _, ok := g.gone[attempt{p.Task, p.Try}]; !ok && len(machines) < limit && !slices.Contains(machines, p.Machine) {
+		if _, ok := g.gone[p.Attempt]; !ok && len(machines) < limit && !slices.Contains(machines, p.Machine) {
 			machines = append(machines, p.Machine)
 		}
 	}
@@ -112,22 +106,22 @@
 	defer g.mu.Unlock()
 	for _, p := range g.watch[machine] {
 		if f(p) {
-			g.gone[attempt{p.Task, p.Try}] = struct{}{}
+			g.gone[p.Attempt] = struct{}{}
 		}
 	}
 }
 
 // proven tells whether an attempt of a cancelled job has been shown to be gone.
-func (g *guard) proven(task string, try uint64) bool {
+func (g *guard) proven(id job.AttemptID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, ok := g.gone[attempt{task, try}]
+	_, ok := g.gone[id]
 	return ok
 }
 
 // observe learns from a report what is gone, by the same proofs as a leader.
 func (g *guard) observe(r *agent.Heartbeat) {
-	g.prove(r.Machine, func(p jobstore.Location) bool { return r.ConfirmsGone(p.Task, p.Try, p.Session) })
+	g.prove(r.Machine, func(p jobstore.Location) bool { return r.ConfirmsGone(p.Attempt, p.Incarnation) })
 }
 
 // returned takes the cloud's word that machines are gone.
@@ -138,24 +132,24 @@
 }
 
 // known returns what is known to be gone, for the other controllers; a heartbeat takes what fits.
-func (g *guard) known() (out []*peer.Attempt) {
+func (g *guard) known() (out []job.AttemptID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for a := range g.gone {
-		out = append(out, &peer.Attempt{Task: a.task, Try: a.try})
+	for id := range g.gone {
+		out = append(out, id)
 	}
 	return out
 }
 
 // learn takes the word of another controller.
-func (g *guard) learn(gone []*peer.Attempt) {
+func (g *guard) learn(gone []job.AttemptID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.gone == nil {
 		return // nothing has been looked for here yet
 	}
-	for _, a := range gone {
-		g.gone[attempt{a.Task, a.Try}] = struct{}{}
+	for _, id := range gone {
+		g.gone[id] = struct{}{}
 	}
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -453,9 +453,9 @@
 		h := m.AssignmentOf(a)
 		switch {
 		case h == nil || !a.Recorded:
-		case j.Cancelled && l.node.guard.proven(a.TaskName(), a.Number):
+		case j.Cancelled && l.node.guard.proven(a.ID()):
 			gone = append(gone, a)
-		case h.FirstSent.IsZero() && jobstore.AttemptTerm(a.Number) >= l.firstTerm:
+		case h.FirstSent.IsZero() && a.ID().Term() >= l.firstTerm:
 			gone = append(gone, a) // recorded by this leader and never sent
 		default:
 			m.Stop(h, 0)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -18,6 +18,7 @@
 	"tulipshelf/internal/clock"
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/leadership"
@@ -402,7 +403,7 @@
 func (n *Node) halts(r *agent.Heartbeat) (out []agent.Command) {
 	now := 0.0
 	for _, t := range r.Tasks {
-		id, _, _ := agent.ParseTaskName(t.Task)
+		id, _, _ := job.ParseTaskName(t.Task)
 		if t.Status != agent.StatusExited && len(out) < maxOrders && n.cancelled.Contains(id) {
 			out = append(out, agent.Command{Verb: "halt", Task: t.Task, Attempt: t.Attempt, GracePeriodS: &now})
 		}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
 )
@@ -95,7 +96,7 @@
 		return
 	}
 	for _, t := range r.Tasks {
-		id, _, _ := agent.ParseTaskName(t.Task)
+		id, _, _ := job.ParseTaskName(t.Task)
 		if j := l.jobs.Job(id); j != nil && (t.Status == agent.StatusRunning || t.Cause == agent.CauseDone) {
 			m.Images.Use(j.Spec.Image, j.Spec.ImageGB, l.types[m.Type].Disk, now)
 			m.Images.Fetched(j.Spec.Image)
@@ -117,7 +118,7 @@
 
 // settled tells whether the result of a task is written, or needed by nobody.
 func (l *leader) settled(task string) bool {
-	id, n, ok := agent.ParseTaskName(task)
+	id, n, ok := job.ParseTaskName(task)
 	if !ok {
 		return true
 	}
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -143,7 +143,7 @@
 			need = true
 		}
 		for _, h := range m.Assignments {
-			if h.Stopping && h.MissedHeartbeats >= 2 && jobstore.AttemptTerm(h.Number) == l.term.Number() {
+			if h.Stopping && h.MissedHeartbeats >= 2 && h.ID().Term() == l.term.Number() {
 				need = true
 			}
 		}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -48,7 +48,7 @@
 type member struct {
 	w      *Agent
 	t      *task
-	key    fleetKey
+	key    job.AttemptID
 	told   bool // to save and stop
 	absent bool // gone, or its machine hangs
 }
@@ -75,7 +75,7 @@
 }
 
 // join adds a task that waits, with its machine's lock held.
-func (g *Gangs) join(s *job.Spec, w *Agent, k fleetKey, t *task) {
+func (g *Gangs) join(s *job.Spec, w *Agent, k job.AttemptID, t *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	j := g.jobs[s.ID]
@@ -83,13 +83,13 @@
 		j = &gangJob{spec: s, tries: map[uint64]*gangTry{}}
 		g.jobs[s.ID] = j
 	}
-	try := j.tries[k.try]
+	try := j.tries[k.Number]
 	if try == nil {
 		try = &gangTry{job: j, members: map[string]*member{}}
-		j.tries[k.try] = try
+		j.tries[k.Number] = try
 	}
 	m := &member{w: w, t: t, key: k}
-	try.members[k.task] = m
+	try.members[k.Task] = m
 	t.stop = time.AfterFunc(g.Wait, func() { g.exit(m, agent.CauseIncomplete) })
 	t.left = func(halt bool, windDown float64) { g.leave(try, m, halt, windDown) }
 	t.hung = func(hung bool) { g.hang(try, m, hung) }
@@ -159,19 +159,19 @@
 		g.Count.MatesGone++
 	}
 	for _, try := range g.jobs[m.id()].tries {
-		if try.members[m.key.task] == m && try.began.IsZero() {
-			delete(try.members, m.key.task)
+		if try.members[m.key.Task] == m && try.began.IsZero() {
+			delete(try.members, m.key.Task)
 		}
 	}
 	g.mu.Unlock()
 	m.t.stop.Stop()
 	m.t.status, m.t.cause = agent.StatusExited, cause
-	m.w.cloud.referee.end(m.key.task, m.w.Name, cause == agent.CauseDone)
+	m.w.cloud.referee.end(m.key.Task, m.w.Name, cause == agent.CauseDone)
 	m.w.changed()
 }
 
 func (m *member) id() string {
-	id, _, _ := agent.ParseTaskName(m.key.task)
+	id, _, _ := job.ParseTaskName(m.key.Task)
 	return id
 }
 
@@ -183,7 +183,7 @@
 	s := try.job.spec
 	switch {
 	case try.began.IsZero():
-		delete(try.members, m.key.task) // the rest keep waiting
+		delete(try.members, m.key.Task) // the rest keep waiting
 		return
 	case try.over, halt && m.told && windDown > 0:
 		return
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -7,7 +7,6 @@
 	"sync"
 	"time"
 
-	"tulipshelf/internal/agent"
 	"tulipshelf/internal/job"
 )
 
@@ -59,7 +58,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			for task := range r.on {
-				if of, _, _ := agent.ParseTaskName(task); of == id {
+				if of, _, _ := job.ParseTaskName(task); of == id {
 					r.fault("%s is on a machine %v after its cancellation was told", task, r.Within)
 				}
 			}
@@ -105,7 +104,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.on {
-		if of, _, _ := agent.ParseTaskName(task); of == id {
+		if of, _, _ := job.ParseTaskName(task); of == id {
 			n++
 		}
 	}
@@ -136,7 +135,7 @@
 func (r *InvariantChecker) start(task string, at place) (*job.Spec, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, _, _ := agent.ParseTaskName(task)
+	id, _, _ := job.ParseTaskName(task)
 	s := r.jobs[id]
 	if s == nil {
 		return nil, false
@@ -161,7 +160,7 @@
 func (r *InvariantChecker) place(task, id string, s *job.Spec, at place) {
 	used, there := 0.0, 0
 	for other, p := range r.on {
-		of, _, _ := agent.ParseTaskName(other)
+		of, _, _ := job.ParseTaskName(other)
 		spec := r.jobs[of]
 		if spec.Team == s.Team {
 			used += spec.CPUs
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -30,7 +30,7 @@
 	tick    uint64
 	token   uint64
 	leaseAt time.Time // when the last answered report was sent
-	tasks   map[fleetKey]*task
+	tasks   map[job.AttemptID]*task
 	more    chan struct{}
 	hung    bool
 	deaf    bool // reports leave, but nothing reaches it
@@ -38,11 +38,6 @@
 	notice  time.Time // when the cloud takes the machine; zero: no notice
 }
 
-type fleetKey struct {
-	task string
-	try  uint64
-}
-
 type task struct {
 	status string
 	cause  string
@@ -56,7 +51,7 @@
 func newWorker(c *Cloud, name, zone string) *Agent {
 	ctx, halt := context.WithCancel(context.Background())
 	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rented: time.Now(), ctx: ctx, halt: halt,
-		session: 1, tasks: map[fleetKey]*task{}, more: make(chan struct{}, 1)}
+		session: 1, tasks: map[job.AttemptID]*task{}, more: make(chan struct{}, 1)}
 }
 
 // Up tells whether the worker has booted.
@@ -122,7 +117,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for k, t := range w.tasks {
-		if of, _, _ := agent.ParseTaskName(k.task); of == id && t.status != agent.StatusExited {
+		if of, _, _ := job.ParseTaskName(k.Task); of == id && t.status != agent.StatusExited {
 			return true
 		}
 	}
@@ -169,7 +164,7 @@
 			if t.left != nil {
 				t.left(false, 0)
 			}
-			w.cloud.referee.end(k.task, w.Name, false)
+			w.cloud.referee.end(k.Task, w.Name, false)
 		}
 	}
 	clear(w.tasks)
@@ -243,7 +238,7 @@
 		r.TerminationNoticeS = &left
 	}
 	for k, t := range w.tasks {
-		r.Tasks = append(r.Tasks, agent.ReportedTask{Task: k.task, Attempt: k.try, Status: t.status, Cause: t.cause})
+		r.Tasks = append(r.Tasks, agent.ReportedTask{Task: k.Task, Attempt: k.Number, Status: t.status, Cause: t.cause})
 	}
 	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].Task < r.Tasks[j].Task })
 	return wire.Marshal(r)
@@ -313,7 +308,7 @@
 
 func (w *Agent) execute(orders []agent.Command) {
 	for _, o := range orders {
-		k := fleetKey{o.Task, o.Attempt}
+		k := job.AttemptID{Task: o.Task, Number: o.Attempt}
 		t := w.tasks[k]
 		switch {
 		case o.Verb == "run" && t == nil:
@@ -332,7 +327,7 @@
 			}
 			t.stop.Stop()
 			t.status, t.cause = agent.StatusExited, agent.CauseStopped
-			w.cloud.referee.end(k.task, w.Name, false)
+			w.cloud.referee.end(k.Task, w.Name, false)
 			w.changed()
 		case o.Verb == "forget" && t != nil && t.status == agent.StatusExited:
 			delete(w.tasks, k)
@@ -340,18 +335,18 @@
 	}
 }
 
-func (w *Agent) begin(k fleetKey) *task {
+func (w *Agent) begin(k job.AttemptID) *task {
 	for other, t := range w.tasks {
-		if other.task == k.task && t.status != agent.StatusExited {
+		if other.Task == k.Task && t.status != agent.StatusExited {
 			return &task{status: agent.StatusExited, cause: agent.CauseInUse}
 		}
 	}
-	s, known := w.cloud.referee.start(k.task, place{w.Name, w.Zone, k.try})
+	s, known := w.cloud.referee.start(k.Task, place{w.Name, w.Zone, k.Number})
 	if !known {
 		return &task{status: agent.StatusExited, cause: agent.CauseUnknownJob}
 	}
 	if w.sick || s.Class == FailingClass {
-		w.cloud.referee.end(k.task, w.Name, false)
+		w.cloud.referee.end(k.Task, w.Name, false)
 		w.changed()
 		return &task{status: agent.StatusExited, cause: agent.CauseError}
 	}
@@ -370,7 +365,7 @@
 		defer w.mu.Unlock()
 		if t.status == agent.StatusRunning {
 			t.status, t.cause = agent.StatusExited, agent.CauseDone
-			w.cloud.referee.end(k.task, w.Name, true)
+			w.cloud.referee.end(k.Task, w.Name, true)
 			w.changed()
 		}
 	})
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -8,12 +8,6 @@
 	"tulipshelf/internal/job"
 )
 
-const termShift = 24
-
-// AttemptTerm returns the term under which an attempt was made. Attempts are
-// numbered within a term, so that no number is ever used twice.
-func AttemptTerm(try uint64) uint64 { return try >> termShift }
-
 // TaskState of a task.
 type TaskState uint8
 
@@ -147,10 +141,13 @@
 	Recorded    bool // durable: only then may the start be sent
 }
 
-// TaskName returns the protocol's name of the attempt's task.
-func (a *Attempt) TaskName() string { return taskName(a.Job.Spec.ID, a.Task) }
+// ID returns what tells the attempt from all others.
+func (a *Attempt) ID() job.AttemptID {
+	return job.AttemptID{Task: job.TaskName(a.Job.Spec.ID, a.Task), Number: a.Number}
+}
 
-func taskName(id string, task int) string { return id + "/" + strconv.Itoa(task) }
+// TaskName returns the name of the attempt's task.
+func (a *Attempt) TaskName() string { return job.TaskName(a.Job.Spec.ID, a.Task) }
 
 type chunk struct {
 	n      int
--- a/internal/jobstore/jobs.go
+++ b/internal/jobstore/jobs.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"time"
 
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
@@ -163,7 +164,7 @@
 // start together share one; of a task, no two attempts have the same.
 func (b *Store) NextAttemptNumber(term uint64) uint64 {
 	b.seq++
-	return term<<termShift | b.seq
+	return job.AttemptNumber(term, b.seq)
 }
 
 // StartAttempt makes an attempt. It must not be sent before a batch has recorded it.
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -71,8 +71,8 @@
 	if a.Recorded {
 		t.Fatal("recorded before the batch was committed")
 	}
-	if AttemptTerm(a.Number) != 3 {
-		t.Fatalf("attempt of term %d", AttemptTerm(a.Number))
+	if a.ID().Term() != 3 {
+		t.Fatalf("attempt of term %d", a.ID().Term())
 	}
 	b.BatchFailed(bt)
 	if again := b.NextBatch(fence, 8, 8, 8<<10, t0); again == nil || !hasCond(again, "job/wk-000001/000001", 0) {
@@ -212,7 +212,7 @@
 		}
 	}
 	done, live, err := DecodeChunk("wk-000001", wire.Marshal(j.chunkValue(0)))
-	if err != nil || done != 3 || len(live) != 1 || live[0] != (Location{"wk-000001/1", 1<<termShift | 2, "vm-1", 1}) {
+	if err != nil || done != 3 || len(live) != 1 || live[0] != (Location{job.AttemptID{Task: "wk-000001/1", Number: 1<<24 | 2}, "vm-1", 1}) {
 		t.Fatalf("done %d, live %v, %v", done, live, err)
 	}
 	for _, bad := range []string{"x", "3-1", "-1", "1-", "0-999999999"} {
@@ -331,7 +331,7 @@
 			t.Errorf("number was %d, told %d", was, try)
 		}
 	})
-	if told != 2 || AttemptTerm(one.Number) != 5 || one.Number != two.Number || AttemptTerm(recorded.Number) != 1 {
+	if told != 2 || one.ID().Term() != 5 || one.Number != two.Number || recorded.ID().Term() != 1 {
 		t.Errorf("%d told: %d, %d, recorded %d", told, one.Number, two.Number, recorded.Number)
 	}
 }
--- a/internal/jobstore/record.go
+++ b/internal/jobstore/record.go
@@ -122,10 +122,9 @@
 
 // Location is a live attempt by its record.
 type Location struct {
-	Task    string // the protocol's name
-	Try     uint64
-	Machine string
-	Session uint64
+	Attempt     job.AttemptID
+	Machine     string
+	Incarnation uint64 // of the worker agent
 }
 
 // DecodeChunk returns how many tasks a chunk's value says are done, and its live attempts.
@@ -135,7 +134,7 @@
 		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
 	}
 	for _, a := range v.Live {
-		live = append(live, Location{taskName(id, a.Task), a.Try, a.Machine, a.Session})
+		live = append(live, Location{job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Try}, a.Machine, a.Session})
 	}
 	err = eachInRanges(v.Done, func(int) error { done++; return nil })
 	return done, live, err
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,6 +18,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"tulipshelf/internal/cancellation"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
@@ -46,8 +47,8 @@
 	StoreReachable  func() bool            // whether the state service serves this node
 	Register        *cancellation.Register // of cancelled jobs
 	OnCancelled     func(jobs []string)    // jobs are news there
-	ConfirmedGone   func() []*Attempt      // of cancelled jobs, though recorded as live
-	OnConfirmedGone func([]*Attempt)       // the same of another node
+	ConfirmedGone   func() []job.AttemptID // of cancelled jobs, though recorded as live
+	OnConfirmedGone func([]job.AttemptID)  // the same of another node
 
 	mu         sync.Mutex
 	rounds     map[string]*round        // heartbeats to come for which somebody waits
@@ -224,7 +225,7 @@
 	if s.Knows {
 		b.KnownMs = uint64(s.Age.Milliseconds()) + 2 // rounded up, and one more
 	}
-	b.Gone = within(n.ConfirmedGone(), maxHeartbeat-proto.Size(b))
+	b.Gone = within(encodeAttempts(n.ConfirmedGone()), maxHeartbeat-proto.Size(b))
 	return marshal(b), s.Sequence
 }
 
@@ -247,6 +248,22 @@
 	return gone
 }
 
+func encodeAttempts(ids []job.AttemptID) []*Attempt {
+	messages := make([]*Attempt, 0, len(ids))
+	for _, id := range ids {
+		messages = append(messages, &Attempt{Task: id.Task, Try: id.Number})
+	}
+	return messages
+}
+
+func decodeAttempts(messages []*Attempt) []job.AttemptID {
+	ids := make([]job.AttemptID, 0, len(messages))
+	for _, m := range messages {
+		ids = append(ids, job.AttemptID{Task: m.Task, Number: m.Try})
+	}
+	return ids
+}
+
 // statement returns what a heartbeat says of cancellations.
 func statement(b *Heartbeat) cancellation.Statement {
 	return cancellation.Statement{Jobs: b.Cancelled, Memory: time.Duration(b.MemoryMs) * time.Millisecond,
@@ -327,7 +344,7 @@
 	if news := n.Register.Add(b.Cancelled...); len(news) > 0 {
 		n.OnCancelled(news)
 	}
-	n.OnConfirmedGone(b.Gone)
+	n.OnConfirmedGone(decodeAttempts(b.Gone))
 	return &b, true
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tulipshelf/internal/cancellation"
+	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
@@ -18,12 +19,12 @@
 	for i := range 4096 {
 		register.Add(fmt.Sprintf("wk-%06d", i))
 	}
-	var gone []*Attempt
+	var gone []job.AttemptID
 	for i := range 5000 {
-		gone = append(gone, &Attempt{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Try: 1<<40 + uint64(i)})
+		gone = append(gone, job.AttemptID{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Number: 1<<40 + uint64(i)})
 	}
 	sender := &Group{Node: "shelf-0", Leadership: func() (string, uint64) { return "shelf-1", 1 << 30 }, Redirected: func() int { return 6000 },
-		StoreReachable: func() bool { return true }, Register: register, ConfirmedGone: func() []*Attempt { return gone }}
+		StoreReachable: func() bool { return true }, Register: register, ConfirmedGone: func() []job.AttemptID { return gone }}
 	beat, _ := sender.own()
 	if len(beat) > wire.MaxBody {
 		t.Fatalf("a beat of %d bytes, %d may be sent", len(beat), wire.MaxBody)
@@ -34,7 +35,7 @@
 	taken, told := 0, 0
 	receiver := &Group{Node: "shelf-1", Leadership: sender.Leadership, OnLeadership: func(string, uint64) {}, Redirected: func() int { return 0 },
 		StoreReachable: sender.StoreReachable, Register: cancellation.New(3, 51*time.Second), OnCancelled: func(jobs []string) { taken += len(jobs) },
-		ConfirmedGone: func() []*Attempt { return nil }, OnConfirmedGone: func(a []*Attempt) { told += len(a) }}
+		ConfirmedGone: func() []job.AttemptID { return nil }, OnConfirmedGone: func(a []job.AttemptID) { told += len(a) }}
 	message := wire.AppendRequest(nil, "POST", heartbeatPath, "10.0.0.2:8081", beat)
 	req, _, err := wire.ParseRequest(message)
 	if err != nil {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -5,6 +5,7 @@
 	"strconv"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/job"
 )
 
 // UpPrefix is where reports are written; the leader watches it.
@@ -81,16 +82,19 @@
 	Cause   string
 }
 
+// ID returns which attempt it is.
+func (t *ReportedTask) ID() job.AttemptID { return job.AttemptID{Task: t.Task, Number: t.Attempt} }
+
 // Apply returns the report that a change stands for, given the one before it.
 func (c *HeartbeatDelta) Apply(before agent.Heartbeat) agent.Heartbeat {
 	r := before
 	r.Sequence, r.FencingToken, r.Tasks = c.Sequence, c.FencingToken, nil
-	out := map[attempt]bool{}
+	out := map[job.AttemptID]bool{}
 	for _, t := range slices.Concat(c.Tasks, c.Removed) {
-		out[attempt{t.Task, t.Attempt}] = true
+		out[t.ID()] = true
 	}
 	for _, t := range before.Tasks {
-		if !out[attempt{t.Task, t.Attempt}] {
+		if !out[t.ID()] {
 			r.Tasks = append(r.Tasks, t)
 		}
 	}
@@ -98,27 +102,22 @@
 	return r
 }
 
-type attempt struct {
-	task string
-	try  uint64
-}
-
 // difference returns what makes b of a, reports of one session.
 func difference(a, b *agent.Heartbeat) HeartbeatDelta {
 	c := HeartbeatDelta{Machine: b.Machine, Incarnation: b.Incarnation, BaseSequence: a.Sequence, Sequence: b.Sequence, FencingToken: b.FencingToken}
-	had := make(map[attempt]agent.ReportedTask, len(a.Tasks))
+	had := make(map[job.AttemptID]agent.ReportedTask, len(a.Tasks))
 	for _, t := range a.Tasks {
-		had[attempt{t.Task, t.Attempt}] = t
+		had[t.ID()] = t
 	}
 	for _, t := range b.Tasks {
-		k := attempt{t.Task, t.Attempt}
+		k := t.ID()
 		if old, ok := had[k]; !ok || old != t {
 			c.Tasks = append(c.Tasks, brief(t))
 		}
 		delete(had, k)
 	}
 	for _, t := range a.Tasks {
-		if _, ok := had[attempt{t.Task, t.Attempt}]; ok {
+		if _, ok := had[t.ID()]; ok {
 			c.Removed = append(c.Removed, ReportedTask{Task: t.Task, Attempt: t.Attempt})
 		}
 	}
