--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -57,7 +57,7 @@
 			for _, w := range word[4:] {
 				task, state, _ := strings.Cut(w, "=")
 				status, cause, _ := strings.Cut(state, "/")
-				r.Tasks = append(r.Tasks, ReportedTask{Task: name(task), Attempt: tries[task], Status: status, Cause: cause})
+				r.Tasks = append(r.Tasks, ReportedTask{Task: name(task), Attempt: tries[task], Status: TaskStatus(status), Cause: ExitCause(cause)})
 			}
 			outcomes, fresh := m.ApplyHeartbeat(r, 26*time.Second, now)
 			if !fresh {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -88,10 +88,10 @@
 			return out
 		}
 		if h.Stopping {
-			out = append(out, Command{"halt", h.TaskName(), h.Number, &h.GracePeriodS})
+			out = append(out, Command{VerbHalt, h.TaskName(), h.Number, &h.GracePeriodS})
 			continue
 		}
-		out = append(out, Command{Verb: "run", Task: h.TaskName(), Attempt: h.Number})
+		out = append(out, Command{Verb: VerbRun, Task: h.TaskName(), Attempt: h.Number})
 		if h.FirstSent.IsZero() {
 			h.FirstSent = now
 		}
@@ -107,10 +107,10 @@
 		case s.Status != StatusExited:
 			// On the machine but in no record, so it must not be.
 			zero := 0.0
-			out = append(out, Command{"halt", id.Task, id.Number, &zero})
+			out = append(out, Command{VerbHalt, id.Task, id.Number, &zero})
 		case id.Term() < m.FencingToken && settled(id.Task):
 			// Only now can no late copy of its start run it again.
-			out = append(out, Command{Verb: "forget", Task: id.Task, Attempt: id.Number})
+			out = append(out, Command{Verb: VerbForget, Task: id.Task, Attempt: id.Number})
 		}
 	}
 	return out
@@ -121,7 +121,7 @@
 func (m *Machine) HaltCommands(limit int) (out []Command) {
 	for _, h := range m.SortedAssignments() {
 		if h.Job.Cancelled && h.Stopping && len(out) < limit {
-			out = append(out, Command{"halt", h.TaskName(), h.Number, &h.GracePeriodS})
+			out = append(out, Command{VerbHalt, h.TaskName(), h.Number, &h.GracePeriodS})
 		}
 	}
 	if out != nil {
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -11,8 +11,8 @@
 
 // TaskState is what the newest report says of one attempt.
 type TaskState struct {
-	Status string
-	Cause  string
+	Status TaskStatus
+	Cause  ExitCause
 }
 
 // Assignment is an attempt on a machine, from its start being decided until there is
@@ -48,12 +48,12 @@
 	FailedJobs      map[string]struct{} // jobs whose tasks failed since then
 	Quarantined     bool
 	RequestInFlight bool
-	LastProbe       time.Time // when the leader last asked directly it, unheard
-	ProbeFailed     bool      // it did not answer
-	RelayedBy       string    // node through which it is heard, if not directly
-	Failed          bool      // the cloud lists it as failed
-	Booting         bool      // the cloud lists it as starting and it has not reported
-	RetireReason    string    // why it is being returned, empty: it is not
+	LastProbe       time.Time    // when the leader last asked directly it, unheard
+	ProbeFailed     bool         // it did not answer
+	RelayedBy       string       // node through which it is heard, if not directly
+	Failed          bool         // the cloud lists it as failed
+	Booting         bool         // the cloud lists it as starting and it has not reported
+	RetireReason    RetireReason // why it is being returned, empty: it is not
 	Gone            bool
 
 	Images            Images
@@ -69,7 +69,7 @@
 // Outcome is the proof that an assignment has ended.
 type Outcome struct {
 	Assignment *Assignment
-	Cause      string
+	Cause      ExitCause
 }
 
 // Assign books an attempt on its machine.
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -38,37 +38,59 @@
 
 // ReportedTask is one attempt as a worker has it.
 type ReportedTask struct {
-	Task    string `cbor:"ticket"`
-	Attempt uint64 `cbor:"try"`
-	Status  string `cbor:"status"`
-	Cause   string `cbor:"cause"`
+	Task    string     `cbor:"ticket"`
+	Attempt uint64     `cbor:"try"`
+	Status  TaskStatus `cbor:"status"`
+	Cause   ExitCause  `cbor:"cause"`
 }
 
 // ID returns which attempt it is.
 func (t *ReportedTask) ID() job.AttemptID { return job.AttemptID{Task: t.Task, Number: t.Attempt} }
 
-// States and causes of the protocol that are acted on.
+// TaskStatus is how far an attempt has come on its machine, in the protocol's words.
+type TaskStatus string
+
+// Statuses that are acted on.
+const (
+	StatusPulling       TaskStatus = "pulling"
+	StatusWaiting       TaskStatus = "waiting" // for the other tasks of its gang
+	StatusRunning       TaskStatus = "running"
+	StatusCheckpointing TaskStatus = "saving"
+	StatusExited        TaskStatus = "exited"
+)
+
+// ExitCause is why an attempt is gone, in the protocol's words.
+type ExitCause string
+
+// Causes that are acted on.
+const (
+	CauseDone        ExitCause = "done"
+	CauseStopped     ExitCause = "stopped"
+	CauseError       ExitCause = "error"
+	CauseNoRoom      ExitCause = "no_room"
+	CauseInUse       ExitCause = "in_use"
+	CauseUnknownJob  ExitCause = "unknown"
+	CauseMembersGone ExitCause = "mates_gone" // another task of its gang is gone
+	CauseIncomplete  ExitCause = "incomplete" // its gang was not complete in time
+
+	// CauseLost stands for the absence of an exit: the incarnation is over, or the attempt was
+	// never started.
+	CauseLost ExitCause = ""
+)
+
+// Verb is what a command asks for, in the protocol's words.
+type Verb string
+
+// The verbs.
 const (
-	StatusPulling       = "pulling"
-	StatusWaiting       = "waiting" // for the others of its gang
-	StatusRunning       = "running"
-	StatusCheckpointing = "saving"
-	StatusExited        = "exited"
-	CauseDone           = "done"
-	CauseStopped        = "stopped"
-	CauseError          = "error"
-	CauseNoRoom         = "no_room"
-	CauseInUse          = "in_use"
-	CauseUnknownJob     = "unknown"
-
-	CauseMembersGone = "mates_gone" // another task of its gang is gone
-	CauseIncomplete  = "incomplete" // its gang was not complete in time
-	CauseLost        = ""           // gone without an exit: session over, or never started
+	VerbRun    Verb = "run"
+	VerbHalt   Verb = "halt"
+	VerbForget Verb = "forget"
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Verb         string   `cbor:"verb"`
+	Verb         Verb     `cbor:"verb"`
 	Task         string   `cbor:"ticket"`
 	Attempt      uint64   `cbor:"try"`
 	GracePeriodS *float64 `cbor:"wind_down_s,omitempty"`
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -44,16 +44,19 @@
 
 // Objective restates one aim at start or at finish.
 type Objective struct {
-	Kind   string
+	Kind   ObjectiveKind
 	Class  string
 	Within time.Duration
 	Times  float64
 }
 
+// ObjectiveKind is what a service-level objective is about, in the protocol's words.
+type ObjectiveKind string
+
 // Kinds of the objectives at start: of a class, and of work within its team's guarantee.
 const (
-	KindWait      = "wait"
-	KindGuarantee = "guarantee"
+	KindWait      ObjectiveKind = "wait"
+	KindGuarantee ObjectiveKind = "guarantee"
 )
 
 // Workers holds the workers' fixed intervals.
@@ -163,7 +166,7 @@
 	}
 	for _, o := range params.list("objectives") {
 		class, _ := o.fields["class"].(string)
-		s.Objectives = append(s.Objectives, Objective{o.text("kind"), class,
+		s.Objectives = append(s.Objectives, Objective{ObjectiveKind(o.text("kind")), class,
 			seconds(o.optional("within_s", 0, 1e6)), o.optional("times", 0, 1e3)})
 	}
 	w := params.object("workers")
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -405,7 +405,7 @@
 	for _, t := range r.Tasks {
 		id, _, _ := job.ParseTaskName(t.Task)
 		if t.Status != agent.StatusExited && len(out) < maxOrders && n.cancelled.Contains(id) {
-			out = append(out, agent.Command{Verb: "halt", Task: t.Task, Attempt: t.Attempt, GracePeriodS: &now})
+			out = append(out, agent.Command{Verb: agent.VerbHalt, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &now})
 		}
 	}
 	return out
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -115,7 +115,7 @@
 		v.Fetch = v.Fetch || h.RunningSince.IsZero()
 	}
 	v.Free, v.Tasks, v.Load = st.free, st.tasks, st.index.Value()
-	v.Open = l.present(m) && !m.HasUnknownTask() && !m.Quarantined && !m.Failed && m.RetireReason == "" && m.TerminationAt.IsZero() &&
+	v.Open = l.present(m) && !m.HasUnknownTask() && !m.Quarantined && !m.Failed && m.RetireReason == agent.NotRetired && m.TerminationAt.IsZero() &&
 		m.UnresponsiveSince.IsZero() && now.Sub(m.LastHeartbeat) < l.node.operator.UnhealthyAfter
 	return v, st.assigned
 }
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -150,8 +150,8 @@
 		if m.Registered {
 			heard = m.LastHeartbeat
 		}
-		if !in[m.Name] && m.RetireReason == "" && asked.Sub(heard) > lag && asked.Sub(m.Created) > lag {
-			giveUp(m, "no longer listed")
+		if !in[m.Name] && m.RetireReason == agent.NotRetired && asked.Sub(heard) > lag && asked.Sub(m.Created) > lag {
+			giveUp(m, agent.RetireUnlisted)
 		}
 	})
 }
@@ -159,13 +159,13 @@
 // decide returns the machines to return and the rentals to ask for.
 func (l *leader) decide(now time.Time) (names []string, asks []cloud.Rental) {
 	if !l.loaded.Load() || !l.term.Valid() || !l.surveyed(now) {
-		return l.givenUp(func(m *agent.Machine) bool { return m.RetireReason == stuckCancelled }), nil
+		return l.givenUp(func(m *agent.Machine) bool { return m.RetireReason == agent.RetireStuckCanceled }), nil
 	}
 	l.reprice(*l.node.types.Load())
 	var ms []*agent.Machine
 	var machines []autoscaler.Machine
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.Type < 0 || m.Zone < 0 || m.RetireReason != "" {
+		if m.Type < 0 || m.Zone < 0 || m.RetireReason != agent.NotRetired {
 			return
 		}
 		v, _ := l.view(m, now)
@@ -195,9 +195,9 @@
 	d := autoscaler.Plan(demand, machines, pools, l.node.operator.IdleReturn)
 	l.logFleet(now, d)
 	for _, i := range d.ScaleIn {
-		giveUp(ms[i], "idle")
+		giveUp(ms[i], agent.RetireIdle)
 	}
-	names = l.givenUp(func(m *agent.Machine) bool { return m.RetireReason != "" })
+	names = l.givenUp(func(m *agent.Machine) bool { return m.RetireReason != agent.NotRetired })
 	if len(l.renting) > 0 {
 		return names, nil // what is asked for is not in the list of machines yet
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -192,7 +192,7 @@
 			l.fleet.Each(func(m *agent.Machine) {
 				if _, blamed := m.FailedJobs[a.Job.Spec.ID]; blamed {
 					delete(m.FailedJobs, a.Job.Spec.ID)
-					m.Quarantined = m.Quarantined && (m.RetireReason != "" || len(m.FailedJobs) >= sickJobs)
+					m.Quarantined = m.Quarantined && (m.RetireReason != agent.NotRetired || len(m.FailedJobs) >= sickJobs)
 				}
 			})
 			return
@@ -283,7 +283,7 @@
 		if m.Registered {
 			since = m.LastHeartbeat
 		}
-		if now.Sub(since) < quiet && m.UnresponsiveSince.IsZero() || m.Addr == "" || m.RetireReason != "" || m.Booting || m.RequestInFlight || m.RelayedBy != "" ||
+		if now.Sub(since) < quiet && m.UnresponsiveSince.IsZero() || m.Addr == "" || m.RetireReason != agent.NotRetired || m.Booting || m.RequestInFlight || m.RelayedBy != "" ||
 			now.Sub(m.LastProbe) < probeEvery || l.probing >= l.node.settings.Resources.MaxSockets/pushShare {
 			return
 		}
--- a/internal/controller/retire.go
+++ b/internal/controller/retire.go
@@ -20,12 +20,7 @@
 	cancelLast   = 0.8                          // the same while a new leader gathers reports
 )
 
-// stuckCancelled is why a machine is given up that can't be told of a cancellation. It
-// is returned even while it is not sure that this node still leads, as its time runs
-// out: the worst is work lost on it that another leader has sent there.
-const stuckCancelled = "holds a cancelled task that cannot be stopped"
-
-func giveUp(m *agent.Machine, why string) {
+func giveUp(m *agent.Machine, why agent.RetireReason) {
 	m.RetireReason = why
 	slog.Info("machine given up", "machine", m.Name, "why", why, "tasks", len(m.Assignments))
 }
@@ -33,8 +28,8 @@
 // retire decides which machines are given up for what time has shown.
 func (l *leader) retire(now time.Time) {
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.RetireReason != stuckCancelled && l.overdueCancel(m, now) {
-			giveUp(m, stuckCancelled)
+		if m.RetireReason != agent.RetireStuckCanceled && l.overdueCancel(m, now) {
+			giveUp(m, agent.RetireStuckCanceled)
 		}
 	})
 	if !l.term.Valid() || !l.surveyed(now) {
@@ -43,32 +38,32 @@
 	zones := l.silence(now)
 	l.noteCuts(zones, now)
 	l.fleet.Each(func(m *agent.Machine) {
-		if why := l.retireReason(m, zones, now); m.RetireReason == "" && why != "" {
+		if why := l.retireReason(m, zones, now); m.RetireReason == agent.NotRetired && why != agent.NotRetired {
 			giveUp(m, why)
 		}
 	})
 }
 
-// retireReason returns why a machine is to be given up; empty: it is not.
-func (l *leader) retireReason(m *agent.Machine, zones zoneSilence, now time.Time) string {
+// retireReason returns why a machine is to be given up, or agent.NotRetired.
+func (l *leader) retireReason(m *agent.Machine, zones zoneSilence, now time.Time) agent.RetireReason {
 	inUse := m.Registered || len(m.Assignments) > 0
 	switch {
 	case m.Failed:
-		return "failed"
+		return agent.RetireFailed
 	case m.Quarantined:
-		return "faulty"
+		return agent.RetireQuarantined
 	case !inUse && now.Sub(m.Created) > l.bootLimit(m):
-		return "never came up"
+		return agent.RetireNeverBooted
 	case inUse && l.lost(m, zones, now):
-		return "silent"
+		return agent.RetireSilent
 	case !m.TerminationAt.IsZero() && now.After(m.TerminationAt) && l.quiet(m, now) >= l.node.operator.UnhealthyAfter:
-		return "taken back"
+		return agent.RetireReclaimed
 	case m.Registered && len(m.Assignments) == 0 && (m.Type < 0 || m.Zone < 0):
-		return "of no known type or zone"
+		return agent.RetireUnknownType
 	case !m.UnresponsiveSince.IsZero() && now.Sub(m.UnresponsiveSince) >= deafPatience:
-		return "gets no commands"
+		return agent.RetireUnresponsive
 	}
-	return ""
+	return agent.NotRetired
 }
 
 // quiet returns for how long a machine has not been heard by this leader.
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -162,7 +162,7 @@
 	})
 	free := 0.0
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.Type >= 0 && m.RetireReason == "" && !m.Quarantined && (m.Registered || !l.overdueBoot(m, now)) {
+		if m.Type >= 0 && m.RetireReason == agent.NotRetired && !m.Quarantined && (m.Registered || !l.overdueBoot(m, now)) {
 			v, _ := l.view(m, now)
 			free += v.Free[placement.CPU]
 		}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -138,7 +138,7 @@
 }
 
 // exit ends a task on its machine.
-func (g *Gangs) exit(m *member, cause string) {
+func (g *Gangs) exit(m *member, cause agent.ExitCause) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.t.status == agent.StatusExited || m.w.tasks[m.key] != m.t {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -39,8 +39,8 @@
 }
 
 type task struct {
-	status string
-	cause  string
+	status agent.TaskStatus
+	cause  agent.ExitCause
 	stop   *time.Timer
 
 	// Of a gang, to tell the others: that it is halted or killed, that its machine hangs.
@@ -311,10 +311,10 @@
 		k := job.AttemptID{Task: o.Task, Number: o.Attempt}
 		t := w.tasks[k]
 		switch {
-		case o.Verb == "run" && t == nil:
+		case o.Verb == agent.VerbRun && t == nil:
 			w.tasks[k] = w.begin(k)
 			w.changed()
-		case o.Verb == "halt" && t != nil && t.status != agent.StatusExited:
+		case o.Verb == agent.VerbHalt && t != nil && t.status != agent.StatusExited:
 			if t.left != nil {
 				windDown := 0.0
 				if o.GracePeriodS != nil {
@@ -329,7 +329,7 @@
 			t.status, t.cause = agent.StatusExited, agent.CauseStopped
 			w.cloud.referee.end(k.Task, w.Name, false)
 			w.changed()
-		case o.Verb == "forget" && t != nil && t.status == agent.StatusExited:
+		case o.Verb == agent.VerbForget && t != nil && t.status == agent.StatusExited:
 			delete(w.tasks, k)
 		}
 	}
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -78,8 +78,8 @@
 	_       struct{} `cbor:",toarray"`
 	Task    string
 	Attempt uint64
-	Status  string
-	Cause   string
+	Status  agent.TaskStatus
+	Cause   agent.ExitCause
 }
 
 // ID returns which attempt it is.
@@ -141,7 +141,7 @@
 // Command is a command in short.
 type Command struct {
 	_            struct{} `cbor:",toarray"`
-	Verb         string
+	Verb         agent.Verb
 	Task         string
 	Attempt      uint64
 	GracePeriodS *float64
