--- a/internal/agent/retire.go
+++ b/internal/agent/retire.go
@@ -16,8 +16,8 @@
 	RetireUnlisted     RetireReason = "no longer listed"         // the cloud does not know it any more
 	RetireIdle         RetireReason = "idle"                     // empty, and not needed
 
-	// RetireStuckCanceled is given to a machine that can't be told of a cancellation. It is returned
+	// RetireStuckCancelled is given to a machine that can't be told of a cancellation. It is returned
 	// even while it is not sure that this node still leads, as its time runs out: the worst is work
 	// lost on it that another leader has sent there.
-	RetireStuckCanceled RetireReason = "holds a cancelled task that cannot be stopped"
+	RetireStuckCancelled RetireReason = "holds a cancelled task that cannot be stopped"
 )
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -159,7 +159,7 @@
 // decide returns the machines to return and the rentals to ask for.
 func (l *leader) decide(now time.Time) (names []string, asks []cloud.Rental) {
 	if !l.loaded.Load() || !l.term.Valid() || !l.surveyed(now) {
-		return l.givenUp(func(m *agent.Machine) bool { return m.RetireReason == agent.RetireStuckCanceled }), nil
+		return l.givenUp(func(m *agent.Machine) bool { return m.RetireReason == agent.RetireStuckCancelled }), nil
 	}
 	l.reprice(*l.node.types.Load())
 	var ms []*agent.Machine
--- a/internal/controller/retire.go
+++ b/internal/controller/retire.go
@@ -28,8 +28,8 @@
 // retire decides which machines are given up for what time has shown.
 func (l *leader) retire(now time.Time) {
 	l.fleet.Each(func(m *agent.Machine) {
-		if m.RetireReason != agent.RetireStuckCanceled && l.overdueCancel(m, now) {
-			giveUp(m, agent.RetireStuckCanceled)
+		if m.RetireReason != agent.RetireStuckCancelled && l.overdueCancel(m, now) {
+			giveUp(m, agent.RetireStuckCancelled)
 		}
 	})
 	if !l.term.Valid() || !l.surveyed(now) {
