--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -14,6 +14,7 @@
 	readyPath     = "/ready"
 	heartbeatPath = "/v1/report"
 	jobsPath      = "/v1/jobs"
+	jobPathPrefix = "/v1/jobs/"
 )
 
 // serveHTTP answers users, worker agents and load balancers.
@@ -29,7 +30,7 @@
 			return wire.Response{Status: http.StatusMethodNotAllowed}
 		}
 		return n.handleHeartbeat(ctx, req.Body)
-	case req.Path == jobsPath || strings.HasPrefix(req.Path, jobsPath+"/"):
+	case req.Path == jobsPath || strings.HasPrefix(req.Path, jobPathPrefix):
 		return n.api.Serve(ctx, req)
 	}
 	return wire.Response{Status: http.StatusNotFound}
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -244,11 +244,11 @@
 	})
 }
 
-// cancellationsLearned is the news from this controller or another that jobs are cancelled.
-type cancellationsLearned struct{ jobIDs []string }
+// jobsCancelled is the news from this controller or another that jobs are cancelled.
+type jobsCancelled struct{ jobIDs []string }
 
-func (e cancellationsLearned) apply(l *Leader) { l.attempts.cancelJobs(e.jobIDs, time.Now()) }
+func (e jobsCancelled) apply(l *Leader) { l.attempts.cancelJobs(e.jobIDs, time.Now()) }
 
 // JobsCancelled takes the news that jobs are cancelled. It is safe for concurrent use. News that
 // finds the event queue full comes again with the next look at all jobs.
-func (l *Leader) JobsCancelled(jobIDs []string) { l.loop.trySubmit(cancellationsLearned{jobIDs}) }
+func (l *Leader) JobsCancelled(jobIDs []string) { l.loop.trySubmit(jobsCancelled{jobIDs}) }
--- /dev/null
+++ b/internal/leader/health_test.go
@@ -0,0 +1,108 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/config"
+)
+
+// healthSettings are those of a cluster whose agents send a heartbeat every 5 s.
+func healthSettings() config.Settings {
+	return config.Settings{
+		Peers:   []config.Peer{{Node: "node-1", Zone: "a"}},
+		Workers: config.Workers{HeartbeatInterval: 5 * time.Second, Lease: 26 * time.Second, CancelDeadline: 51 * time.Second},
+	}
+}
+
+// registerMachines adds machines that sent their last heartbeat at some time.
+func registerMachines(l *Leader, zone, count int, lastHeartbeat time.Time) []*agent.Machine {
+	machines := make([]*agent.Machine, count)
+	for i := range machines {
+		machine := l.machines.machine(fmt.Sprintf("vm-%d-%06d", zone, i), lastHeartbeat)
+		machine.Type, machine.Zone, machine.Registered, machine.LastHeartbeat = 0, zone, true, lastHeartbeat
+		machines[i] = machine
+	}
+	return machines
+}
+
+// Of a hundred machines some heartbeat comes every 50 ms: a zone from which none came for a second
+// is cut off, and its machines are not taken for dead.
+func TestZoneWithoutHeartbeatsIsPartitioned(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		machines    int
+		silence     time.Duration
+		partitioned bool
+	}{
+		{"many machines, silent for a second", 100, time.Second, true},
+		{"many machines, silent for less", 100, 900 * time.Millisecond, false},
+		{"few machines, whose heartbeats are seconds apart", 10, 2 * time.Second, false},
+		{"two machines prove nothing", 2, time.Hour, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newTestLeader(healthSettings())
+			now := time.Now()
+			registerMachines(l, 0, c.machines, now.Add(-c.silence))
+			registerMachines(l, 1, 100, now)
+			l.health.notePartitions(l.health.measureSilence(now), now)
+			if got := l.health.partitionedUntil[0].Equal(now); got != c.partitioned {
+				t.Errorf("partitioned: %v", got)
+			}
+			if !l.health.partitionedUntil[1].IsZero() {
+				t.Error("the other zone counts as partitioned")
+			}
+		})
+	}
+}
+
+// A machine that alone is silent is given up soon if it does not answer a probe either; one in a
+// zone that is cut off, where a controller may keep its lease, only after three leases.
+func TestSilentMachineIsKeptInAPartition(t *testing.T) {
+	l := newTestLeader(healthSettings())
+	now := time.Now().Add(time.Hour)
+	silent := l.Operator.UnhealthyAfter + time.Second
+	machines := registerMachines(l, 0, 100, now)
+	lone := machines[0]
+	lone.LastHeartbeat, lone.ProbeFailed = now.Add(-silent), true
+	silence := l.health.measureSilence(now)
+	if reason := l.health.retireReason(lone, silence, now); reason != agent.RetireSilent {
+		t.Errorf("silent alone and without an answer to a probe: %q", reason)
+	}
+	l.health.partitionedUntil[0] = now
+	if reason := l.health.retireReason(lone, silence, now); reason != agent.NotRetired {
+		t.Errorf("in a partition: %q", reason)
+	}
+	lone.LastHeartbeat = now.Add(-partitionLeases * l.Settings.Workers.Lease)
+	if reason := l.health.retireReason(lone, silence, now); reason != agent.RetireSilent {
+		t.Errorf("in a partition of three leases: %q", reason)
+	}
+}
+
+// A machine that cannot be told of a cancellation is returned in time for its task to be gone by the
+// deadline, later while a new leader still reconciles.
+func TestMachineWithCancelledTaskIsGivenUp(t *testing.T) {
+	l := newTestLeader(healthSettings())
+	deadline := l.Settings.Workers.CancelDeadline
+	machine := registerMachines(l, 0, 1, time.Now())[0]
+	j := l.admit(t, arrayRecord("wk-000001", 1))
+	attempt := l.jobs.store.StartAttempt(j, 0, l.jobs.store.NextAttemptNumber(1), machine.Name, 1, time.Now())
+	machine.Assign(attempt, time.Now())
+	j.Cancelled, j.CancelledAt = true, l.startedAt
+	for _, c := range []struct {
+		reconciled bool
+		share      float64
+		overdue    bool
+	}{{true, 0.5, false}, {true, 0.6, true}, {false, 0.6, false}, {false, 0.9, true}} {
+		now := l.startedAt.Add(time.Duration(c.share * float64(deadline)))
+		l.Operator.ReconcileTimeout = 0
+		if !c.reconciled {
+			l.Operator.ReconcileTimeout = time.Hour
+		}
+		if got := l.health.cancelOverdue(machine, now); got != c.overdue {
+			t.Errorf("reconciled %v, after %.1f of the deadline: overdue %v", c.reconciled, c.share, got)
+		}
+	}
+}
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -39,8 +39,8 @@
 func (s *sizer) demand(now time.Time) demand {
 	list := &demandList{jobs: s.jobs, teams: s.jobs.teamUsage()}
 	waiting := s.waitingByImportance()
-	for _, j := range waiting.whole {
-		list.addWhole(j)
+	for _, j := range waiting.allOrNothing {
+		list.addAllOrNothing(j)
 	}
 	reserved := 0
 	for _, reservation := range append(s.serviceReserve(), s.reservations.asDemand(now)...) {
@@ -78,8 +78,8 @@
 
 // waitingJobs is the jobs that wait for machines, the most important first.
 type waitingJobs struct {
-	whole  []*jobstore.Job // services and gangs
-	arrays []*jobstore.Job
+	allOrNothing []*jobstore.Job // services and gangs
+	arrays       []*jobstore.Job
 }
 
 func (s *sizer) waitingByImportance() (waiting waitingJobs) {
@@ -89,13 +89,13 @@
 		case j.Spec.Shape == job.Array:
 			waiting.arrays = append(waiting.arrays, j)
 		default:
-			waiting.whole = append(waiting.whole, j)
+			waiting.allOrNothing = append(waiting.allOrNothing, j)
 		}
 	})
 	byImportance := func(a, b *jobstore.Job) int {
 		return cmp.Or(b.Spec.Rank()-a.Spec.Rank(), cmp.Compare(a.Arrival, b.Arrival))
 	}
-	slices.SortFunc(waiting.whole, byImportance)
+	slices.SortFunc(waiting.allOrNothing, byImportance)
 	slices.SortFunc(waiting.arrays, byImportance)
 	return waiting
 }
@@ -132,9 +132,9 @@
 	return tasks
 }
 
-// addWhole adds a service, or a gang of which nothing is left on machines and which its team's limit
+// addAllOrNothing adds a service, or a gang of which nothing is left on machines and which its team's limit
 // has room for.
-func (d *demandList) addWhole(j *jobstore.Job) {
+func (d *demandList) addAllOrNothing(j *jobstore.Job) {
 	team := &d.teams[d.jobs.states[j].team]
 	switch {
 	case j.IsGang() && j.LiveTasks() > 0:
