--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -27,8 +27,8 @@
 			continue
 		}
 		slog.Info("elected", "term", r.number)
-		c.note(c.Node, r.number)
-		c.serve(ctx, r, lead)
+		c.observe(c.Node, r.number)
+		c.keepLeading(ctx, r, lead)
 	}
 }
 
@@ -38,19 +38,19 @@
 // campaign returns a term if this node was elected, or nil after waiting for
 // a change where another node leads.
 func (c *Candidate) campaign(ctx context.Context) (*Term, error) {
-	s, err := c.read(ctx)
+	s, err := c.readState(ctx)
 	if err != nil {
 		return nil, err
 	}
 	// A key that names this node was left by an earlier process of it: a node
 	// is one process, so nobody else acts under it, and it is taken over
 	// without waiting for the lease to end.
-	if s.hrev != 0 && s.holder.Node != c.Node {
-		c.note(s.holder.Node, s.holder.Term)
+	if s.holderRevision != 0 && s.holder.Node != c.Node {
+		c.observe(s.holder.Node, s.holder.Term)
 		c.mu.Lock()
-		c.seen, c.waited = time.Now(), false
+		c.confirmedAt, c.backedOff = time.Now(), false
 		c.mu.Unlock()
-		if _, _, err := c.Store.Watch(ctx, prefix, s.rev, 5*time.Second); err != nil {
+		if _, _, err := c.Store.Watch(ctx, keyPrefix, s.storeRevision, 5*time.Second); err != nil {
 			return nil, err
 		}
 		return nil, nil
@@ -58,8 +58,8 @@
 	// One that hears most machines goes first, or the next term is as short as the
 	// last: after a cut two elections in 12 s, in which services were given up. It has
 	// a moment only, as it may not be able to stand.
-	if c.PreferOther != nil && !c.waited && c.PreferOther() {
-		c.waited = true
+	if c.PreferOther != nil && !c.backedOff && c.PreferOther() {
+		c.backedOff = true
 		clock.Sleep(ctx, c.TTL/4)
 		return nil, nil
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("leadership: lease: %w", err)
 	}
-	r := &Term{c: c, lease: lease, until: c.validUntil(sent)}
+	r := &Term{candidate: c, lease: lease, validUntil: c.validUntil(sent)}
 	if err := c.claim(ctx, r, s); err != nil {
 		// Without the lease's end a claim that is applied late would hold the
 		// key for a node that does not know of it.
@@ -82,25 +82,25 @@
 
 // claim takes the next term for r, conditioned on s still standing. An
 // unanswered claim is read back.
-func (c *Candidate) claim(ctx context.Context, r *Term, s standing) error {
+func (c *Candidate) claim(ctx context.Context, r *Term, s electionState) error {
 	term := s.term + 1
 	rev, err := c.Store.Txn(ctx,
-		[]kvstore.Compare{{Key: holderKey, Revision: s.hrev}, {Key: TermKey, Revision: s.trev}},
+		[]kvstore.Compare{{Key: holderKey, Revision: s.holderRevision}, {Key: termKey, Revision: s.termRevision}},
 		[]kvstore.Mutation{
-			{Put: holderKey, Value: wire.Marshal(holder{c.Node, term, r.lease}), Lease: r.lease},
-			{Put: TermKey, Value: wire.Marshal(termValue{term})},
+			{Put: holderKey, Value: wire.Marshal(holderRecord{c.Node, term, r.lease}), Lease: r.lease},
+			{Put: termKey, Value: wire.Marshal(termRecord{term})},
 		}, kvstore.PriorityLease)
 	if errors.Is(err, kvstore.ErrUnknown) {
-		now, rerr := c.read(ctx)
-		if rerr == nil && now.holder.Lease == r.lease && now.term == term && now.hrev == now.trev {
-			rev, err = now.trev, nil
+		now, rerr := c.readState(ctx)
+		if rerr == nil && now.holder.Lease == r.lease && now.term == term && now.holderRevision == now.termRevision {
+			rev, err = now.termRevision, nil
 		}
 	}
 	if err != nil {
 		return fmt.Errorf("leadership: claim: %w", err)
 	}
 	r.mu.Lock()
-	r.number, r.rev = term, rev
+	r.number, r.revision = term, rev
 	r.mu.Unlock()
 	return nil
 }
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -19,15 +19,15 @@
 	Store       *kvstore.Client
 	PreferOther func() bool // whether another node had better be elected; nil: never
 
-	mu      sync.Mutex
-	leader  string
-	term    uint64
-	seen    time.Time          // when the leader key was last read and named another node
-	current *Term              // while this node leads
-	depose  context.CancelFunc // ends it
-	asking  bool               // whether a higher token that was seen is a term
-	yields  bool               // whether this term of leadership ends for another node to lead
-	waited  bool               // whether this node has let another go first in this election
+	mu            sync.Mutex
+	leader        string
+	term          uint64
+	confirmedAt   time.Time          // when the leader key was last read and named another node
+	current       *Term              // while this node leads
+	endTerm       context.CancelFunc // ends it
+	checkingToken bool               // whether a higher token that was seen is a term
+	transferring  bool               // whether this term of leadership ends for another node to lead
+	backedOff     bool               // whether this node has let another go first in this election
 }
 
 // Leader returns the name of the node last known to lead and its term. A node names
@@ -46,10 +46,10 @@
 func (c *Candidate) Confirmed(d time.Duration) (leader string, term uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader, c.term, c.leader != "" && time.Since(c.seen) < d
+	return c.leader, c.term, c.leader != "" && time.Since(c.confirmedAt) < d
 }
 
-func (c *Candidate) note(leader string, term uint64) {
+func (c *Candidate) observe(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if term >= c.term {
@@ -69,7 +69,7 @@
 	c.leader, c.term = leader, term
 	if c.current != nil && leader != c.Node {
 		slog.Info("leadership lost: another node was elected", "term", c.current.Number(), "leader", leader, "new_term", term)
-		c.depose()
+		c.endTerm()
 	}
 }
 
@@ -79,8 +79,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != nil {
-		c.yields = true
-		c.depose()
+		c.transferring = true
+		c.endTerm()
 	}
 }
 
@@ -91,22 +91,22 @@
 func (c *Candidate) ObserveToken(ctx context.Context, token uint64) {
 	c.mu.Lock()
 	r := c.current
-	if r == nil || token <= r.Number() || c.asking {
+	if r == nil || token <= r.Number() || c.checkingToken {
 		c.mu.Unlock()
 		return
 	}
-	c.asking = true
+	c.checkingToken = true
 	c.mu.Unlock()
-	s, err := c.read(ctx)
+	s, err := c.readState(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asking = false
+	c.checkingToken = false
 	switch {
 	case c.current != r:
 	case err == nil && s.term < token:
 		slog.Error("a worker shows a token that was never given out", "token", token, "term", s.term)
 	default:
 		slog.Info("leadership lost: a worker has seen a higher token", "term", r.Number(), "token", token)
-		c.depose()
+		c.endTerm()
 	}
 }
--- a/internal/leadership/records.go
+++ b/internal/leadership/records.go
@@ -10,45 +10,45 @@
 
 // Keys of this slice. They share a prefix so that one read gives both.
 const (
-	prefix    = "lead/"
+	keyPrefix = "lead/"
 	holderKey = "lead/holder" // leased: who leads
-	TermKey   = "lead/term"   // persistent: the highest term given out
+	termKey   = "lead/term"   // persistent: the highest term given out
 )
 
-type holder struct {
+type holderRecord struct {
 	Node  string `cbor:"node"`
 	Term  uint64 `cbor:"term"`
 	Lease uint64 `cbor:"lease"`
 }
 
-type termValue struct {
+type termRecord struct {
 	Term uint64 `cbor:"term"`
 }
 
-type standing struct {
-	holder holder
-	hrev   uint64
-	term   uint64
-	trev   uint64
-	rev    uint64
+type electionState struct {
+	holder         holderRecord
+	holderRevision uint64
+	term           uint64
+	termRevision   uint64
+	storeRevision  uint64
 }
 
-func (c *Candidate) read(ctx context.Context) (standing, error) {
-	var s standing
-	page, err := c.Store.List(ctx, prefix, "", 10, kvstore.PriorityLease)
+func (c *Candidate) readState(ctx context.Context) (electionState, error) {
+	var s electionState
+	page, err := c.Store.List(ctx, keyPrefix, "", 10, kvstore.PriorityLease)
 	if err != nil {
 		return s, err
 	}
-	s.rev = page.Revision
+	s.storeRevision = page.Revision
 	for _, it := range page.Items {
 		switch it.Key {
 		case holderKey:
-			s.hrev = it.Revision
+			s.holderRevision = it.Revision
 			err = wire.Unmarshal(it.Value, &s.holder)
-		case TermKey:
-			var t termValue
+		case termKey:
+			var t termRecord
 			err = wire.Unmarshal(it.Value, &t)
-			s.term, s.trev = t.Term, it.Revision
+			s.term, s.termRevision = t.Term, it.Revision
 		}
 		if err != nil {
 			return s, fmt.Errorf("leadership: %s: %w", it.Key, err)
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -10,15 +10,15 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// serve renews the lease while lead runs. A renewal that fails for any reason
+// keepLeading renews the lease while lead runs. A renewal that fails for any reason
 // but the lease's end is tried again: in an outage of the state service every
 // lease has its full time again afterwards, and no other node can be elected.
-func (c *Candidate) serve(ctx context.Context, r *Term, lead func(context.Context, *Term)) {
+func (c *Candidate) keepLeading(ctx context.Context, r *Term, lead func(context.Context, *Term)) {
 	outer := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.current, c.depose, c.yields = r, cancel, false
+	c.current, c.endTerm, c.transferring = r, cancel, false
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
@@ -49,7 +49,7 @@
 		}
 		if err == nil {
 			r.mu.Lock()
-			r.until = c.validUntil(sent)
+			r.validUntil = c.validUntil(sent)
 			r.mu.Unlock()
 		} else if ctx.Err() == nil {
 			slog.Debug("lease not renewed", "term", r.Number(), "err", err)
@@ -58,7 +58,7 @@
 	cancel()
 	<-done
 	c.mu.Lock()
-	yields := c.yields
+	yields := c.transferring
 	c.mu.Unlock()
 	if yields {
 		// Nothing is sent under this term any more. The others have until about the
--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -15,63 +15,63 @@
 
 // Term is one time of being the leader.
 type Term struct {
-	mu     sync.Mutex
-	number uint64
-	rev    uint64
-	lease  uint64
-	until  time.Time
-	c      *Candidate
+	mu         sync.Mutex
+	number     uint64
+	revision   uint64
+	lease      uint64
+	validUntil time.Time
+	candidate  *Candidate
 }
 
 // Number returns the token of this term.
-func (r *Term) Number() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.number
+func (t *Term) Number() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.number
 }
 
 // Fence returns the condition that every write of this term carries.
-func (r *Term) Fence() kvstore.Compare {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return kvstore.Compare{Key: TermKey, Revision: r.rev}
+func (t *Term) Fence() kvstore.Compare {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return kvstore.Compare{Key: termKey, Revision: t.revision}
 }
 
 // Valid tells whether no other node can have been elected: the lease was
 // renewed by a request sent less than its time ago, less the clocks' drift.
-func (r *Term) Valid() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return time.Now().Before(r.until)
+func (t *Term) Valid() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return time.Now().Before(t.validUntil)
 }
 
 // Advance takes a new term without giving up leadership. Workers that have seen
 // it execute no late copy of a command sent under an earlier one.
-func (r *Term) Advance(ctx context.Context) error {
-	s, err := r.c.read(ctx)
+func (t *Term) Advance(ctx context.Context) error {
+	s, err := t.candidate.readState(ctx)
 	if err != nil {
 		return err
 	}
-	if s.holder.Lease != r.lease {
-		return fmt.Errorf("leadership: raise: term %d is over", r.Number())
+	if s.holder.Lease != t.lease {
+		return fmt.Errorf("leadership: raise: term %d is over", t.Number())
 	}
-	if s.trev != r.Fence().Revision {
+	if s.termRevision != t.Fence().Revision {
 		// An earlier raise that went unanswered was applied after all.
-		r.mu.Lock()
-		r.number, r.rev = s.term, s.trev
-		r.mu.Unlock()
+		t.mu.Lock()
+		t.number, t.revision = s.term, s.termRevision
+		t.mu.Unlock()
 		return nil
 	}
-	if err := r.c.claim(ctx, r, s); err != nil {
+	if err := t.candidate.claim(ctx, t, s); err != nil {
 		return err
 	}
-	r.c.note(r.c.Node, r.Number())
+	t.candidate.observe(t.candidate.Node, t.Number())
 	return nil
 }
 
 // Resign ends the lease, so that another node can lead at once.
-func (r *Term) Resign(ctx context.Context) {
-	if err := r.c.Store.Revoke(ctx, r.lease); err != nil {
+func (t *Term) Resign(ctx context.Context) {
+	if err := t.candidate.Store.Revoke(ctx, t.lease); err != nil {
 		slog.Info("lease not revoked", "err", err)
 	}
 }
