--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -1,3 +1,5 @@
+// Campaigning: follow another leader, give way to a preferred node, or claim the next term.
+
 package leadership
 
 import (
@@ -10,97 +12,120 @@
 
 	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
-	"tulipshelf/internal/wire"
 )
 
-// Run stands for election until ctx ends. While this node leads, it runs lead
-// with a context that ends when leadership is lost.
+const (
+	// campaignRetry is about how long a candidate waits after a campaign that failed, so
+	// that a store which refuses or has just lost its own leader is not asked all the time.
+	campaignRetry = 300 * time.Millisecond
+
+	// followInterval is for how long one watch waits for a change of the leadership. A
+	// leader that stays is confirmed this often (Candidate.Confirmed).
+	followInterval = 5 * time.Second
+
+	// backOffDivisor gives the time, TTL/backOffDivisor, for which a candidate lets a
+	// preferred one stand first. It is short, as that one may be unable to stand.
+	backOffDivisor = 4
+)
+
+// Run campaigns until ctx ends. While this node leads, it runs lead with a context that
+// ends when leadership is lost; leadership ends when lead returns, too. It waits for lead
+// before it campaigns again or returns.
 func (c *Candidate) Run(ctx context.Context, lead func(context.Context, *Term)) {
 	for ctx.Err() == nil {
-		r, err := c.campaign(ctx)
+		term, err := c.campaign(ctx)
 		if err != nil {
 			slog.Debug("no leadership", "err", err)
-			clock.Sleep(ctx, jitter(300*time.Millisecond))
+			clock.Sleep(ctx, jitter(campaignRetry))
 			continue
 		}
-		if r == nil {
+		if term == nil {
 			continue
 		}
-		slog.Info("elected", "term", r.number)
-		c.observe(c.Node, r.number)
-		c.keepLeading(ctx, r, lead)
+		slog.Info("elected", "term", term.Number())
+		c.observe(c.Node, term.Number())
+		c.keepLeading(ctx, term, lead)
 	}
 }
 
-// jitter returns about d, so that nodes do not act in step.
+// jitter returns about d, from half to one and a half times as long, so that nodes do not
+// act in step.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// campaign returns a term if this node was elected, or nil after waiting for
-// a change where another node leads.
+// campaign returns this node's term if it was elected. It returns nil if another node leads
+// or should stand first, after it has waited for a change of that.
 func (c *Candidate) campaign(ctx context.Context) (*Term, error) {
-	s, err := c.readState(ctx)
+	state, err := c.readState(ctx)
 	if err != nil {
 		return nil, err
 	}
-	// A key that names this node was left by an earlier process of it: a node
-	// is one process, so nobody else acts under it, and it is taken over
-	// without waiting for the lease to end.
-	if s.holderRevision != 0 && s.holder.Node != c.Node {
-		c.observe(s.holder.Node, s.holder.Term)
-		c.mu.Lock()
-		c.confirmedAt, c.backedOff = time.Now(), false
-		c.mu.Unlock()
-		if _, _, err := c.Store.Watch(ctx, keyPrefix, s.storeRevision, 5*time.Second); err != nil {
-			return nil, err
-		}
-		return nil, nil
-	}
-	// One that hears most machines goes first, or the next term is as short as the
-	// last: after a cut two elections in 12 s, in which services were given up. It has
-	// a moment only, as it may not be able to stand.
-	if c.PreferOther != nil && !c.backedOff && c.PreferOther() {
+	switch {
+	case state.heldByOther(c.Node):
+		return nil, c.follow(ctx, state)
+	case c.shouldBackOff():
 		c.backedOff = true
-		clock.Sleep(ctx, c.TTL/4)
+		clock.Sleep(ctx, c.TTL/backOffDivisor)
 		return nil, nil
 	}
+	return c.stand(ctx, state)
+}
+
+// follow waits for a change of the leadership that another node holds, or for
+// followInterval.
+func (c *Candidate) follow(ctx context.Context, state electionState) error {
+	c.backedOff = false
+	c.mu.Lock()
+	c.view.confirm(state.holder.Node, state.holder.Term, time.Now())
+	c.mu.Unlock()
+	_, _, err := c.Store.Watch(ctx, keyPrefix, state.storeRevision, followInterval)
+	return err
+}
+
+// shouldBackOff reports whether a preferred node should stand before this one, which gives
+// way once an election. Without it a node that most machines cannot reach is elected again,
+// and the next term is as short as the last (docs/leadership.md, "Left without workers").
+func (c *Candidate) shouldBackOff() bool {
+	return c.PreferOther != nil && !c.backedOff && c.PreferOther()
+}
+
+// stand claims the leadership on a new lease. The lease of a claim that failed is revoked:
+// if the claim is applied late after all, it would hold the key for a node that does not
+// know of it.
+func (c *Candidate) stand(ctx context.Context, state electionState) (*Term, error) {
 	sent := time.Now()
 	lease, err := c.Store.Grant(ctx, c.TTL)
 	if err != nil {
 		return nil, fmt.Errorf("leadership: lease: %w", err)
 	}
-	r := &Term{candidate: c, lease: lease, validUntil: c.validUntil(sent)}
-	if err := c.claim(ctx, r, s); err != nil {
-		// Without the lease's end a claim that is applied late would hold the
-		// key for a node that does not know of it.
-		if err := c.Store.Revoke(context.WithoutCancel(ctx), lease); err != nil {
-			slog.Debug("lease not revoked", "err", err)
+	issued, err := c.claimNext(ctx, lease, state)
+	if err != nil {
+		if revokeErr := c.Store.Revoke(context.WithoutCancel(ctx), lease); revokeErr != nil {
+			slog.Debug("lease not revoked", "err", revokeErr)
 		}
 		return nil, err
 	}
-	return r, nil
+	return &Term{candidate: c, lease: lease, issued: issued, validUntil: leaseValidUntil(sent, c.TTL)}, nil
 }
 
-// claim takes the next term for r, conditioned on s still standing. An
-// unanswered claim is read back.
-func (c *Candidate) claim(ctx context.Context, r *Term, s electionState) error {
-	term := s.term + 1
-	rev, err := c.Store.Txn(ctx,
-		[]kvstore.Compare{{Key: holderKey, Revision: s.holderRevision}, {Key: termKey, Revision: s.termRevision}},
-		[]kvstore.Mutation{
-			{Put: holderKey, Value: wire.Marshal(holderRecord{c.Node, term, r.lease}), Lease: r.lease},
-			{Put: termKey, Value: wire.Marshal(termRecord{term})},
-		}, kvstore.PriorityLease)
+// claimNext takes the term after the latest, provided that state still stands.
+func (c *Candidate) claimNext(ctx context.Context, lease uint64, state electionState) (issuedTerm, error) {
+	next := state.newClaim(c.Node, lease)
+	revision, err := c.Store.Txn(ctx, next.compares, next.mutations, kvstore.PriorityLease)
 	if errors.Is(err, kvstore.ErrUnknown) {
-		now, rerr := c.readState(ctx)
-		if rerr == nil && now.holder.Lease == r.lease && now.term == term && now.holderRevision == now.termRevision {
-			rev, err = now.termRevision, nil
-		}
+		revision, err = c.readBack(ctx, next, err)
 	}
 	if err != nil {
-		return fmt.Errorf("leadership: claim: %w", err)
+		return issuedTerm{}, fmt.Errorf("leadership: claim: %w", err)
+	}
+	return issuedTerm{number: next.number, revision: revision}, nil
+}
+
+// readBack returns the revision of a claim that went unanswered, if the store shows that it
+// was applied, and the claim's own error else.
+func (c *Candidate) readBack(ctx context.Context, sent claim, unanswered error) (uint64, error) {
+	state, err := c.readState(ctx)
+	if err != nil || !state.shows(sent) {
+		return 0, unanswered
 	}
-	r.mu.Lock()
-	r.number, r.revision = term, rev
-	r.mu.Unlock()
-	return nil
+	return state.latest.revision, nil
 }
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -1,6 +1,5 @@
-// Package leadership elects one controller by a leased key in the state
-// service. Every election, also of the same node, raises the term; the term is
-// the token that workers see and the condition of every write of a leader.
+// The candidate of a node: what others may ask it, and tell it of the leadership.
+
 package leadership
 
 import (
@@ -12,101 +11,101 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Candidate takes part in elections for one node.
+// Candidate takes part in the elections for one node. All its methods may be called by any
+// goroutine at any time, but Run by one alone.
+//
+// Its lock may be held while a Term's is taken, not the other way round.
 type Candidate struct {
-	Node        string
-	TTL         time.Duration
-	Store       *kvstore.Client
-	PreferOther func() bool // whether another node had better be elected; nil: never
+	// Set before the first call of a method, and not changed after that.
+	Node        string          // this node's name, which no other candidate has
+	TTL         time.Duration   // of the leader's lease: after a leader's death nobody leads for up to so long
+	Store       *kvstore.Client // holds the election's keys
+	PreferOther func() bool     // reports whether another node should be elected rather than this one; nil: never
+
+	backedOff bool // this node has let another stand first in this election; Run's goroutine alone uses it
 
-	mu            sync.Mutex
-	leader        string
-	term          uint64
-	confirmedAt   time.Time          // when the leader key was last read and named another node
-	current       *Term              // while this node leads
-	endTerm       context.CancelFunc // ends it
-	checkingToken bool               // whether a higher token that was seen is a term
-	transferring  bool               // whether this term of leadership ends for another node to lead
-	backedOff     bool               // whether this node has let another go first in this election
+	mu   sync.Mutex
+	view view // guarded by mu
 }
 
-// Leader returns the name of the node last known to lead and its term. A node names
-// itself only while it leads: others may tell it of an earlier process of its own.
+// Leader returns the name of the node last known to lead, "" if none is, and the highest
+// term known. A node names itself only while it leads.
 func (c *Candidate) Leader() (string, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == c.Node && c.current == nil {
-		return "", c.term
-	}
-	return c.leader, c.term
+	return c.view.knownLeader(c.Node)
 }
 
-// Confirmed returns the leader and its term if the state service has named them
-// within d.
+// Confirmed returns the leader and its term; ok says whether the key-value store has named
+// another node as the leader to this one within d.
 func (c *Candidate) Confirmed(d time.Duration) (leader string, term uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader, c.term, c.leader != "" && time.Since(c.confirmedAt) < d
-}
-
-func (c *Candidate) observe(leader string, term uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if term >= c.term {
-		c.leader, c.term = leader, term
-	}
+	v := &c.view
+	return v.leader, v.term, v.leader != "" && time.Since(v.confirmedAt) < d
 }
 
-// ObserveTerm takes what another node says of the leadership. A higher term than
-// one's own has been given out by an election, so this node leads no more, even
-// if it cannot reach the state service to see that for itself.
+// ObserveTerm takes in what another node says of the leadership. A higher term than the
+// highest known was issued by an election, so this node leads no more, even if it cannot
+// reach the key-value store to see that for itself.
 func (c *Candidate) ObserveTerm(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if term <= c.term {
+	if !c.view.observeTerm(c.Node, leader, term) {
 		return
 	}
-	c.leader, c.term = leader, term
-	if c.current != nil && leader != c.Node {
-		slog.Info("leadership lost: another node was elected", "term", c.current.Number(), "leader", leader, "new_term", term)
-		c.endTerm()
-	}
+	current := c.view.current
+	slog.Info("leadership lost: another node was elected", "term", current.term.Number(), "leader", leader, "new_term", term)
+	current.cancel()
 }
 
-// TransferLeadership ends this node's term so that another node leads, one that the machines
-// can reach.
+// TransferLeadership ends this node's term, if it leads, so that another node leads, one
+// that the machines can reach. It does not wait for that.
 func (c *Candidate) TransferLeadership() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current != nil {
-		c.transferring = true
-		c.endTerm()
+	if c.view.transfer() {
+		c.view.current.cancel()
 	}
 }
 
-// ObserveToken takes the news that a worker has seen a token above this leader's. Only
-// an election gives one out, so this node leads no more, unless the state service says
-// that no such term exists. Where it cannot be asked the worker's word stands: a leader
-// that is cut off from it and from its peers learns of its successor in no other way.
+// ObserveToken takes in that an agent has seen a fencing token above this leader's. Only an
+// election issues one, so this node leads no more, unless the key-value store says that no
+// such term exists. Where it cannot be asked the agent's word stands (view.finishTokenCheck).
+// It makes a request to the store, which ctx bounds.
 func (c *Candidate) ObserveToken(ctx context.Context, token uint64) {
 	c.mu.Lock()
-	r := c.current
-	if r == nil || token <= r.Number() || c.checkingToken {
-		c.mu.Unlock()
+	checked := c.view.beginTokenCheck(token)
+	c.mu.Unlock()
+	if checked == nil {
 		return
 	}
-	c.checkingToken = true
-	c.mu.Unlock()
-	s, err := c.readState(ctx)
+	state, err := c.readState(ctx)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch c.view.finishTokenCheck(checked, token, state, err) {
+	case tokenOutdated:
+	case tokenNeverIssued:
+		slog.Error("a worker shows a token that was never given out", "token", token, "term", state.latest.number)
+	case tokenDeposes:
+		slog.Info("leadership lost: a worker has seen a higher token", "term", checked.Number(), "token", token)
+		c.view.current.cancel()
+	}
+}
+
+// observe takes in who was elected, as the key-value store says.
+func (c *Candidate) observe(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checkingToken = false
-	switch {
-	case c.current != r:
-	case err == nil && s.term < token:
-		slog.Error("a worker shows a token that was never given out", "token", token, "term", s.term)
-	default:
-		slog.Info("leadership lost: a worker has seen a higher token", "term", r.Number(), "token", token)
-		c.endTerm()
+	c.view.observe(leader, term)
+}
+
+// readState reads the election's keys. The errors are those of kvstore.Client.List, and of
+// decoding.
+func (c *Candidate) readState(ctx context.Context) (electionState, error) {
+	page, err := c.Store.List(ctx, keyPrefix, "", maxElectionKeys, kvstore.PriorityLease)
+	if err != nil {
+		return electionState{}, err
 	}
+	return decodeElectionState(page)
 }
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -1,3 +1,5 @@
+// Leading: the lease is renewed until it is lost or given up.
+
 package leadership
 
 import (
@@ -10,60 +12,86 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// keepLeading renews the lease while lead runs. A renewal that fails for any reason
-// but the lease's end is tried again: in an outage of the state service every
-// lease has its full time again afterwards, and no other node can be elected.
-func (c *Candidate) keepLeading(ctx context.Context, r *Term, lead func(context.Context, *Term)) {
-	outer := ctx
-	ctx, cancel := context.WithCancel(ctx)
+// Times of renewals, as divisors of the lease's TTL. A renewal that hangs until its time-out
+// leaves time for another before the lease expires.
+const (
+	renewIntervalDivisor = 4
+	renewTimeoutDivisor  = 3
+)
+
+// clockDriftMargin is the part of a lease's TTL that a leader does not count on: twice the
+// bound on the drift of a monotonic clock, as this node's may be slow and the store's fast.
+const clockDriftMargin = 0.001
+
+// leaseValidUntil returns until when nobody else can be elected, given that the lease was
+// granted or renewed by a request sent then.
+func leaseValidUntil(sent time.Time, ttl time.Duration) time.Time {
+	return sent.Add(ttl - time.Duration(float64(ttl)*clockDriftMargin))
+}
+
+// keepLeading runs lead and renews the lease meanwhile. It returns once lead has returned;
+// lead's context ends when leadership is lost or ctx ends.
+func (c *Candidate) keepLeading(ctx context.Context, term *Term, lead func(context.Context, *Term)) {
+	leadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.current, c.endTerm, c.transferring = r, cancel, false
+	c.view.begin(term, cancel)
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		c.current = nil
-		if c.leader == c.Node {
-			c.leader = ""
-		}
+		c.view.end(c.Node)
 		c.mu.Unlock()
 	}()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		defer cancel()
-		lead(ctx, r)
+		lead(leadCtx, term)
 	}()
+	c.renewUntilLost(leadCtx, term)
+	cancel()
+	<-done
+	c.mu.Lock()
+	transferring := c.view.transferring()
+	c.mu.Unlock()
+	if transferring {
+		c.completeTransfer(ctx, term)
+	}
+}
+
+// renewUntilLost renews the lease until it has expired or ctx ends. A renewal that fails for
+// any other reason is tried again: after an outage of the key-value store every lease has its
+// full time again, so no other node can be elected in it.
+func (c *Candidate) renewUntilLost(ctx context.Context, term *Term) {
 	for ctx.Err() == nil {
-		select {
-		case <-ctx.Done():
-		case <-time.After(c.TTL / 4):
-		}
-		sent := time.Now()
-		rctx, stop := context.WithTimeout(ctx, c.TTL/3)
-		err := c.Store.Extend(rctx, r.lease)
-		stop()
+		clock.Sleep(ctx, c.TTL/renewIntervalDivisor)
+		err := c.renew(ctx, term)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			slog.Info("leadership lost: lease ended", "term", r.Number())
-			break
+			slog.Info("leadership lost: lease ended", "term", term.Number())
+			return
 		}
-		if err == nil {
-			r.mu.Lock()
-			r.validUntil = c.validUntil(sent)
-			r.mu.Unlock()
-		} else if ctx.Err() == nil {
-			slog.Debug("lease not renewed", "term", r.Number(), "err", err)
+		if err != nil && ctx.Err() == nil {
+			slog.Debug("lease not renewed", "term", term.Number(), "err", err)
 		}
 	}
-	cancel()
-	<-done
-	c.mu.Lock()
-	yields := c.transferring
-	c.mu.Unlock()
-	if yields {
-		// Nothing is sent under this term any more. The others have until about the
-		// lease would have ended; if none of them can lead this node does again.
-		r.Resign(outer)
-		clock.Sleep(outer, jitter(c.TTL))
+}
+
+// renew renews the lease once. kvstore.ErrNotFound says that it has expired or was revoked.
+func (c *Candidate) renew(ctx context.Context, term *Term) error {
+	ctx, cancel := context.WithTimeout(ctx, c.TTL/renewTimeoutDivisor)
+	defer cancel()
+	sent := time.Now()
+	if err := c.Store.Extend(ctx, term.lease); err != nil {
+		return err
 	}
+	term.renewed(leaseValidUntil(sent, c.TTL))
+	return nil
+}
+
+// completeTransfer lets another node be elected. Nothing is sent under the term any more.
+// The others have until about when the lease would have expired; if none of them can lead,
+// this node campaigns again.
+func (c *Candidate) completeTransfer(ctx context.Context, term *Term) {
+	term.Resign(ctx)
+	clock.Sleep(ctx, jitter(c.TTL))
 }
--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -1,3 +1,5 @@
+// A term of leadership, as the leader's work uses it.
+
 package leadership
 
 import (
@@ -10,72 +12,88 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// drift is the bound on how fast a steady clock may run, doubled.
-const drift = 0.001
-
-// Term is one time of being the leader.
+// Term is one leadership of this node: from its election until it is lost, through all the
+// numbers that Advance takes meanwhile. Candidate.Run makes it. Its methods may be called
+// by any goroutine, also after the leadership has ended.
 type Term struct {
+	candidate *Candidate // not changed after the election
+	lease     uint64     // that the holder's key hangs on; not changed after the election
+
 	mu         sync.Mutex
-	number     uint64
-	revision   uint64
-	lease      uint64
-	validUntil time.Time
-	candidate  *Candidate
+	issued     issuedTerm // guarded by mu
+	validUntil time.Time  // guarded by mu; nobody else can be elected before it
 }
 
-// Number returns the token of this term.
-func (t *Term) Number() uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.number
-}
+// Number returns the term's number, which is the fencing token.
+func (t *Term) Number() uint64 { return t.latest().number }
 
-// Fence returns the condition that every write of this term carries.
+// Fence returns the compare that every write of this term carries. It fails once a newer
+// term was issued, also to this leader.
 func (t *Term) Fence() kvstore.Compare {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return kvstore.Compare{Key: termKey, Revision: t.revision}
+	return kvstore.Compare{Key: termKey, Revision: t.latest().revision}
 }
 
-// Valid tells whether no other node can have been elected: the lease was
-// renewed by a request sent less than its time ago, less the clocks' drift.
+// Valid reports whether no other node can have been elected: the lease was renewed by a
+// request sent less than its TTL ago, with a margin for the clocks' drift. It decides only
+// whether the leader goes on working; safety rests on Fence and the token.
 func (t *Term) Valid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Now().Before(t.validUntil)
 }
 
-// Advance takes a new term without giving up leadership. Workers that have seen
-// it execute no late copy of a command sent under an earlier one.
+// Advance takes a new term without giving up the leadership. Agents that have seen it
+// execute no late copy of a command sent under an earlier one.
+//
+// After kvstore.ErrUnknown the term may have been taken all the same: the next call adopts
+// it, and until then the store may refuse writes under Fence.
 func (t *Term) Advance(ctx context.Context) error {
-	s, err := t.candidate.readState(ctx)
+	c := t.candidate
+	state, err := c.readState(ctx)
 	if err != nil {
 		return err
 	}
-	if s.holder.Lease != t.lease {
+	switch state.advanceStep(t.lease, t.latest()) {
+	case advanceDeposed:
 		return fmt.Errorf("leadership: raise: term %d is over", t.Number())
-	}
-	if s.termRevision != t.Fence().Revision {
-		// An earlier raise that went unanswered was applied after all.
-		t.mu.Lock()
-		t.number, t.revision = s.term, s.termRevision
-		t.mu.Unlock()
+	case advanceWasApplied:
+		t.advanced(state.latest)
 		return nil
 	}
-	if err := t.candidate.claim(ctx, t, s); err != nil {
+	issued, err := c.claimNext(ctx, t.lease, state)
+	if err != nil {
 		return err
 	}
-	t.candidate.observe(t.candidate.Node, t.Number())
+	t.advanced(issued)
+	c.observe(c.Node, issued.number)
 	return nil
 }
 
-// Resign ends the lease, so that another node can lead at once.
+// Resign revokes the lease, so that another node can lead at once. A failure is logged: the
+// lease expires by itself then.
 func (t *Term) Resign(ctx context.Context) {
 	if err := t.candidate.Store.Revoke(ctx, t.lease); err != nil {
 		slog.Info("lease not revoked", "err", err)
 	}
 }
 
-func (c *Candidate) validUntil(sent time.Time) time.Time {
-	return sent.Add(c.TTL - time.Duration(float64(c.TTL)*drift))
+// latest returns the term last issued to this leader.
+func (t *Term) latest() issuedTerm {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.issued
+}
+
+// advanced takes in that a term was issued to this leader.
+func (t *Term) advanced(issued issuedTerm) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.issued = issued
+}
+
+// renewed takes in that the lease was renewed.
+func (t *Term) renewed(validUntil time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.validUntil = validUntil
 }
