--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"sync"
@@ -12,6 +13,12 @@
 	"tulipshelf/internal/kvstore"
 )
 
+// ErrDeposed says that a leader has lost its leadership to another term, as happens in any
+// failover. Term.Advance wraps it; whoever finds by a failed compare of Term.Fence that the
+// leadership is over may return it, so that the end of a leader in the ordinary way can be
+// told from a fault.
+var ErrDeposed = errors.New("leadership: deposed by another term")
+
 // Term is one leadership of this node: from its election until it is lost, through all the
 // numbers that Advance takes meanwhile. Candidate.Run makes it. Its methods may be called
 // by any goroutine, also after the leadership has ended.
@@ -45,6 +52,7 @@
 // Advance takes a new term without giving up the leadership. Agents that have seen it
 // execute no late copy of a command sent under an earlier one.
 //
+// The error wraps ErrDeposed if the leadership is over, else that of the key-value store.
 // After kvstore.ErrUnknown the term may have been taken all the same: the next call adopts
 // it, and until then the store may refuse writes under Fence.
 func (t *Term) Advance(ctx context.Context) error {
@@ -55,7 +63,7 @@
 	}
 	switch state.advanceStep(t.lease, t.latest()) {
 	case advanceDeposed:
-		return fmt.Errorf("leadership: raise: term %d is over", t.Number())
+		return fmt.Errorf("leadership: advance term %d: %w", t.Number(), ErrDeposed)
 	case advanceWasApplied:
 		t.advanced(state.latest)
 		return nil
