--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -35,7 +35,7 @@
 	for ctx.Err() == nil {
 		term, err := c.campaign(ctx)
 		if err != nil {
-			slog.Debug("no leadership", "err", err)
+			slog.Debug("campaign failed", "err", err)
 			clock.Sleep(ctx, jitter(campaignRetry))
 			continue
 		}
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -86,9 +86,9 @@
 	switch c.view.finishTokenCheck(checked, token, state, err) {
 	case tokenOutdated:
 	case tokenNeverIssued:
-		slog.Error("a worker shows a token that was never given out", "token", token, "term", state.latest.number)
+		slog.Error("an agent shows a token that was never issued", "token", token, "term", state.latest.number)
 	case tokenDeposes:
-		slog.Info("leadership lost: a worker has seen a higher token", "term", checked.Number(), "token", token)
+		slog.Info("leadership lost: an agent has seen a higher token", "term", checked.Number(), "token", token)
 		c.view.current.cancel()
 	}
 }
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -67,7 +67,7 @@
 		clock.Sleep(ctx, c.TTL/renewIntervalDivisor)
 		err := c.renew(ctx, term)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			slog.Info("leadership lost: lease ended", "term", term.Number())
+			slog.Info("leadership lost: lease expired", "term", term.Number())
 			return
 		}
 		if err != nil && ctx.Err() == nil {
