--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -311,7 +311,14 @@
 		b := c.start("b")
 		c.elected(b, leaseTTL/8)
 		b.stop()
-		c.elected(a, 2*leaseTTL)
+		for len(c.store.Keys(holderKey)) > 0 {
+			time.Sleep(10 * time.Millisecond)
+		}
+		time.Sleep(leaseTTL / 8)
+		if a.leading.Load() != nil {
+			t.Error("it does not give way in the next election")
+		}
+		c.elected(a, leaseTTL/4)
 	})
 	simulate(t, func(c *cluster) {
 		a := c.start("a", preferOther)
