--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -111,6 +111,22 @@
 	}
 }
 
+// failover is an election of another node, while the leader that was is cut off from the
+// store.
+type failover struct {
+	deposed       *node
+	first, second *Term // of the deposed node and of its successor, "b"
+}
+
+func (c *cluster) failover() failover {
+	c.t.Helper()
+	a := c.start("a")
+	first := c.elected(a, time.Second)
+	b := c.start("b")
+	c.network.Partition(func(from, _ string) bool { return from == "a" })
+	return failover{deposed: a, first: first, second: c.elected(b, 2*leaseTTL)}
+}
+
 func TestElectionAndFailover(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
@@ -202,11 +218,8 @@
 
 func TestLossByLeaseExpiry(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		a := c.start("a")
-		first := c.elected(a, time.Second)
-		b := c.start("b")
-		c.network.Partition(func(from, _ string) bool { return from == "a" })
-		second := c.elected(b, 2*leaseTTL)
+		f := c.failover()
+		a, first, second := f.deposed, f.first, f.second
 		if first.Valid() {
 			t.Error("two valid terms")
 		}
@@ -333,11 +346,8 @@
 // A leader that cannot reach the store learns from a peer that another node was elected.
 func TestObserveTerm(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		a := c.start("a")
-		first := c.elected(a, time.Second)
-		b := c.start("b")
-		c.network.Partition(func(from, _ string) bool { return from == "a" })
-		second := c.elected(b, 2*leaseTTL)
+		f := c.failover()
+		a, first, second := f.deposed, f.first, f.second
 		a.ObserveTerm("b", first.Number())
 		time.Sleep(10 * time.Millisecond)
 		if a.leading.Load() != first {
