--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -56,8 +56,7 @@
 // After kvstore.ErrUnknown the term may have been taken all the same: the next call adopts
 // it, and until then the store may refuse writes under Fence.
 func (t *Term) Advance(ctx context.Context) error {
-	c := t.candidate
-	state, err := c.readState(ctx)
+	state, err := t.candidate.readState(ctx)
 	if err != nil {
 		return err
 	}
@@ -68,12 +67,12 @@
 		t.advanced(state.latest)
 		return nil
 	}
-	issued, err := c.claimNext(ctx, t.lease, state)
+	issued, err := t.candidate.claimNext(ctx, t.lease, state)
 	if err != nil {
 		return err
 	}
 	t.advanced(issued)
-	c.observe(c.Node, issued.number)
+	t.candidate.observe(t.candidate.Node, issued.number)
 	return nil
 }
 
