--- /dev/null
+++ b/internal/kvstore/client_test.go
@@ -0,0 +1,63 @@
+package kvstore_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/wire"
+)
+
+const storeAddr = "10.0.0.1:2379"
+
+// service is a key-value store with one client of it, in simulated time.
+type service struct {
+	t       *testing.T
+	ctx     context.Context // that everything runs under
+	network *fake.Network
+	store   *fake.Store
+	client  *kvstore.Client
+}
+
+// simulate runs a test whose client may use 100 requests and 100 changes a second.
+func simulate(t *testing.T, test func(s *service)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		defer func() {
+			stop()
+			time.Sleep(time.Minute) // for requests that are still on their way
+		}()
+		network, store := fake.NewNetwork(ctx), fake.NewStore()
+		go network.Serve(ctx, storeAddr, store.Handle)
+		synctest.Wait()
+		test(&service{t, ctx, network, store, kvstore.New(network.Dial("client"), storeAddr, 100, 100)})
+	})
+}
+
+func put(key string, value any) kvstore.Mutation {
+	return kvstore.Mutation{Put: key, Value: wire.Marshal(value)}
+}
+
+func puts(n int, key string) []kvstore.Mutation {
+	var all []kvstore.Mutation
+	for range n {
+		all = append(all, put(key, 0))
+	}
+	return all
+}
+
+// mustPut writes a key whatever it held, and returns the revision.
+func (s *service) mustPut(key string, value any) uint64 {
+	s.t.Helper()
+	revision, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{put(key, value)}, kvstore.PriorityUser)
+	if err != nil {
+		s.t.Fatalf("put of %s: %v", key, err)
+	}
+	return revision
+}
+
+// exists reports whether the store has the key, without a request of the client.
+func (s *service) exists(key string) bool { return len(s.store.Keys(key)) > 0 }
