--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -22,29 +22,29 @@
 // were refused at the node that leads (a quiet day of omaruru-fares-grown).
 var reservedShare = [...]float64{PriorityScheduling: 0.25, PriorityBackground: 0.5}
 
-// bucket bounds a rate, with one second's worth of burst. Urgent requests may
+// rateBudget bounds a rate, with one second's worth of burst. Urgent requests may
 // overdraw it; the rest leaves a part to them.
-type bucket struct{ *rate.Limiter }
+type rateBudget struct{ *rate.Limiter }
 
-func newBucket(perSecond float64) bucket {
-	return bucket{rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
+func newRateBudget(perSecond float64) rateBudget {
+	return rateBudget{rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
 
-func (b bucket) set(perSecond float64) {
+func (b rateBudget) setRate(perSecond float64) {
 	b.SetLimit(rate.Limit(perSecond))
 	b.SetBurst(max(1, int(perSecond)))
 }
 
-func (b bucket) take(n int, u Priority) bool {
+func (b rateBudget) take(n int, u Priority) bool {
 	now := time.Now()
 	if u == PriorityLease {
 		b.ReserveN(now, n)
 		return true
 	}
-	return n <= b.left(u) && b.AllowN(now, n)
+	return n <= b.available(u) && b.AllowN(now, n)
 }
 
-// left returns how much the urgency may take now.
-func (b bucket) left(u Priority) int {
+// available returns how much the urgency may take now.
+func (b rateBudget) available(u Priority) int {
 	return max(0, int(b.Tokens()-reservedShare[u]*float64(b.Burst())))
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -15,10 +15,10 @@
 
 // Client talks to the state service. It is safe for concurrent use.
 type Client struct {
-	http   *wire.Client
-	reqs   bucket
-	writes bucket
-	lastOK atomic.Int64 // when the service last executed anything, in Unix nanoseconds
+	http          *wire.Client
+	requestBudget rateBudget
+	writeBudget   rateBudget
+	lastServed    atomic.Int64 // when the service last executed anything, in Unix nanoseconds
 
 	// Refused, if not nil, is told when a transaction is refused as too large, or else as
 	// one too many: the service's limits may be lower from now on.
@@ -27,47 +27,47 @@
 
 // SetRates sets lower rates.
 func (c *Client) SetRates(rps, writeRPS float64) {
-	c.reqs.set(rps)
-	c.writes.set(writeRPS)
+	c.requestBudget.setRate(rps)
+	c.writeBudget.setRate(writeRPS)
 }
 
-func (c *Client) refused(target string, tooLarge bool) {
-	if target == txnPath && c.OnRefused != nil {
+func (c *Client) reportRefusal(target string, tooLarge bool) {
+	if target == transactionPath && c.OnRefused != nil {
 		c.OnRefused(tooLarge)
 	}
 }
 
 // ServedWithin tells whether the service executed a request of this node lately.
 func (c *Client) ServedWithin(within time.Duration) bool {
-	return time.Since(time.Unix(0, c.lastOK.Load())) < within
+	return time.Since(time.Unix(0, c.lastServed.Load())) < within
 }
 
-// timeout bounds one request. The service usually answers within 10 ms and now
+// requestTimeout bounds one request. The service usually answers within 10 ms and now
 // and then takes a few hundred.
-const timeout = 1500 * time.Millisecond
+const requestTimeout = 1500 * time.Millisecond
 
-// maxResponse bounds the memory that one response takes. A page of a range read has at most
+// maxResponseBytes bounds the memory that one response takes. A page of a range read has at most
 // 512 KiB, but changes come in one response however many they are: where they are more, the
 // keys are read again by pages.
 //
 // It guards against a node that has fallen behind and asks for the same changes over and over,
 // until they are older than the last 10,000 (TestFallsBehind).
-const maxResponse = 4 << 20
+const maxResponseBytes = 4 << 20
 
 // New returns a client that uses at most the given requests and changes a
 // second.
 func New(dial wire.DialFunc, addr string, rps, writeRPS float64) *Client {
 	return &Client{
-		http:   &wire.Client{Dial: dial, Addr: addr, Limit: maxResponse, MaxIdle: 6},
-		reqs:   newBucket(rps),
-		writes: newBucket(writeRPS),
+		http:          &wire.Client{Dial: dial, Addr: addr, Limit: maxResponseBytes, MaxIdle: 6},
+		requestBudget: newRateBudget(rps),
+		writeBudget:   newRateBudget(writeRPS),
 	}
 }
 
 func (c *Client) do(ctx context.Context, method, target string, body []byte, out any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, timeout)
+		ctx, cancel = context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 	}
 	resp, err := c.http.Do(ctx, method, target, body)
@@ -79,7 +79,7 @@
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	if resp.Status != 429 && resp.Status != 503 {
-		c.lastOK.Store(time.Now().UnixNano())
+		c.lastServed.Store(time.Now().UnixNano())
 	}
 	switch resp.Status {
 	case 200, 409:
@@ -99,7 +99,7 @@
 	case 410:
 		return ErrCompacted
 	case 429:
-		c.refused(target, false)
+		c.reportRefusal(target, false)
 		return fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
 	case 503:
 		return fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
@@ -110,7 +110,7 @@
 		if wire.Unmarshal(resp.Body, &e) == nil && e.Error == "no such lease" {
 			return ErrNoSuchLease
 		}
-		c.refused(target, true)
+		c.reportRefusal(target, true)
 		return fmt.Errorf("kvstore: %s %s: status 400 %q", method, target, e.Error)
 	}
 	return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -10,7 +10,7 @@
 
 // Grant opens a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	c.reqs.take(1, PriorityLease)
+	c.requestBudget.take(1, PriorityLease)
 	var out struct {
 		Lease uint64 `cbor:"hold"`
 	}
@@ -20,12 +20,12 @@
 
 // Extend renews a lease; ErrNotFound says that it has ended.
 func (c *Client) Extend(ctx context.Context, lease uint64) error {
-	c.reqs.take(1, PriorityLease)
+	c.requestBudget.take(1, PriorityLease)
 	return c.do(ctx, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, nil)
 }
 
 // Revoke ends a lease at once.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
-	c.reqs.take(1, PriorityLease)
+	c.requestBudget.take(1, PriorityLease)
 	return c.do(ctx, "DELETE", "/leases/"+strconv.FormatUint(lease, 10), nil, nil)
 }
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -10,7 +10,7 @@
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, key string, u Priority) (Item, error) {
-	if !c.reqs.take(1, u) {
+	if !c.requestBudget.take(1, u) {
 		return Item{}, ErrRateLimited
 	}
 	var it Item
@@ -22,7 +22,7 @@
 
 // List reads up to limit keys that begin with prefix, behind after.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int, u Priority) (Page, error) {
-	if !c.reqs.take(1, u) {
+	if !c.requestBudget.take(1, u) {
 		return Page{}, ErrRateLimited
 	}
 	q := "/keys?starts=" + prefix + "&limit=" + strconv.Itoa(limit)
@@ -36,12 +36,12 @@
 	return p, nil
 }
 
-const txnPath = "/txn"
+const transactionPath = "/txn"
 
 // Txn applies ops if all conditions hold and returns the revision of the
 // change. A failed condition gives a *ConflictError.
 func (c *Client) Txn(ctx context.Context, conds []Compare, ops []Mutation, u Priority) (uint64, error) {
-	if !c.reqs.take(1, u) || !c.writes.take(len(ops), u) {
+	if !c.requestBudget.take(1, u) || !c.writeBudget.take(len(ops), u) {
 		return 0, ErrRateLimited
 	}
 	body := wire.Marshal(struct {
@@ -52,7 +52,7 @@
 		Rev    uint64   `cbor:"epoch"`
 		Failed []string `cbor:"failed"`
 	}
-	err := c.do(ctx, "POST", txnPath, body, &out)
+	err := c.do(ctx, "POST", transactionPath, body, &out)
 	if errors.Is(err, errConflict) {
 		return 0, &ConflictError{out.Failed}
 	}
@@ -60,4 +60,4 @@
 }
 
 // WriteBudget tells how many changes the budget would take now.
-func (c *Client) WriteBudget(u Priority) int { return c.writes.left(u) }
+func (c *Client) WriteBudget(u Priority) int { return c.writeBudget.available(u) }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -13,7 +13,7 @@
 // Watch waits up to wait for changes of keys that begin with prefix, after the
 // given revision, and returns them with the revision they reach to.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
-	c.reqs.take(1, PriorityLease)
+	c.requestBudget.take(1, PriorityLease)
 	ctx, cancel := context.WithTimeout(ctx, wait+2*time.Second)
 	defer cancel()
 	return c.changes(ctx, prefix, after, wait)
@@ -23,7 +23,7 @@
 // revision, at once: a linearizable read, as the revision they reach to is the
 // service's own.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error) {
-	if !c.reqs.take(1, PriorityUser) {
+	if !c.requestBudget.take(1, PriorityUser) {
 		return nil, 0, ErrRateLimited
 	}
 	return c.changes(ctx, prefix, after, 0)
