--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -1,3 +1,5 @@
+// Leases. Their requests have PriorityLease, as leadership hangs on them.
+
 package kvstore
 
 import (
@@ -8,24 +10,28 @@
 	"tulipshelf/internal/wire"
 )
 
-// Grant opens a lease.
+// Grant opens a lease that expires after ttl, in whole milliseconds, unless it is extended.
+// The keys that are put on it end with it.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.requestBudget.take(1, PriorityLease)
-	var out struct {
-		Lease uint64 `cbor:"hold"`
-	}
-	err := c.do(ctx, "POST", "/leases", wire.Marshal(map[string]int64{"ttl_ms": ttl.Milliseconds()}), &out)
+	body := wire.Marshal(grantRequest{TTLMS: ttl.Milliseconds()})
+	var out grantResponse
+	err := c.do(ctx, request{method: "POST", target: "/leases", body: body}, &out)
 	return out.Lease, err
 }
 
-// Extend renews a lease; ErrNotFound says that it has ended.
+// Extend gives a lease its full time again. The error is ErrNotFound if it has expired or was
+// revoked.
 func (c *Client) Extend(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
-	return c.do(ctx, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, nil)
+	return c.do(ctx, request{method: "POST", target: leasePath(lease) + "/extend"}, nil)
 }
 
-// Revoke ends a lease at once.
+// Revoke ends a lease at once, with its keys. The error is ErrNotFound if it has ended
+// already.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
-	return c.do(ctx, "DELETE", "/leases/"+strconv.FormatUint(lease, 10), nil, nil)
+	return c.do(ctx, request{method: "DELETE", target: leasePath(lease)}, nil)
 }
+
+func leasePath(lease uint64) string { return "/leases/" + strconv.FormatUint(lease, 10) }
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -1,3 +1,5 @@
+// Reads of keys, and transactions.
+
 package kvstore
 
 import (
@@ -8,56 +10,60 @@
 	"tulipshelf/internal/wire"
 )
 
-// Get reads one key.
-func (c *Client) Get(ctx context.Context, key string, u Priority) (Item, error) {
-	if !c.requestBudget.take(1, u) {
+// Get reads one key. The error is ErrNotFound if it does not exist.
+func (c *Client) Get(ctx context.Context, key string, priority Priority) (Item, error) {
+	if !c.requestBudget.take(1, priority) {
 		return Item{}, ErrRateLimited
 	}
-	var it Item
-	if err := c.do(ctx, "GET", "/keys/"+key, nil, &it); err != nil {
+	var item Item
+	if err := c.do(ctx, request{method: "GET", target: "/keys/" + key}, &item); err != nil {
 		return Item{}, err
 	}
-	return it, nil
+	return item, nil
 }
 
-// List reads up to limit keys that begin with prefix, behind after.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int, u Priority) (Page, error) {
-	if !c.requestBudget.take(1, u) {
+// List reads up to limit keys that begin with prefix and come after the key named after; ""
+// begins with the first.
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (Page, error) {
+	if !c.requestBudget.take(1, priority) {
 		return Page{}, ErrRateLimited
 	}
-	q := "/keys?starts=" + prefix + "&limit=" + strconv.Itoa(limit)
+	target := "/keys?starts=" + prefix + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
-		q += "&after=" + after
+		target += "&after=" + after
 	}
-	var p Page
-	if err := c.do(ctx, "GET", q, nil, &p); err != nil {
+	var page Page
+	if err := c.do(ctx, request{method: "GET", target: target}, &page); err != nil {
 		return Page{}, err
 	}
-	return p, nil
+	return page, nil
 }
 
-const transactionPath = "/txn"
-
-// Txn applies ops if all conditions hold and returns the revision of the
-// change. A failed condition gives a *ConflictError.
-func (c *Client) Txn(ctx context.Context, conds []Compare, ops []Mutation, u Priority) (uint64, error) {
-	if !c.requestBudget.take(1, u) || !c.writeBudget.take(len(ops), u) {
+// Txn applies all mutations if all compares hold, and none else. It returns the revision that
+// the keys have by it. If compares fail the error is a *ConflictError. After ErrUnknown the
+// transaction may be applied yet, unless a key that it compares has changed.
+func (c *Client) Txn(ctx context.Context, compares []Compare, mutations []Mutation, priority Priority) (uint64, error) {
+	if !c.requestBudget.take(1, priority) || !c.writeBudget.take(len(mutations), priority) {
 		return 0, ErrRateLimited
 	}
-	body := wire.Marshal(struct {
-		When []Compare  `cbor:"when"`
-		Then []Mutation `cbor:"then"`
-	}{conds, ops})
-	var out struct {
-		Rev    uint64   `cbor:"epoch"`
-		Failed []string `cbor:"failed"`
-	}
-	err := c.do(ctx, "POST", transactionPath, body, &out)
-	if errors.Is(err, errConflict) {
-		return 0, &ConflictError{out.Failed}
+	body := wire.Marshal(transactionRequest{Compares: compares, Mutations: mutations})
+	var out transactionResponse
+	err := c.do(ctx, request{method: "POST", target: "/txn", body: body}, &out)
+	switch {
+	case err == nil:
+		return out.Revision, nil
+	case errors.Is(err, errConflict):
+		return 0, &ConflictError{Keys: out.Failed}
+	case errors.Is(err, errThrottled):
+		c.reportRefusal(false)
+	case errors.Is(err, ErrRejected):
+		c.reportRefusal(true)
 	}
-	return out.Rev, err
+	return 0, err
 }
 
-// WriteBudget tells how many changes the budget would take now.
-func (c *Client) WriteBudget(u Priority) int { return c.writeBudget.available(u) }
+func (c *Client) reportRefusal(tooLarge bool) {
+	if c.OnRefused != nil {
+		c.OnRefused(tooLarge)
+	}
+}
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -1,3 +1,5 @@
+// Watches: what has changed since a revision.
+
 package kvstore
 
 import (
@@ -10,38 +12,47 @@
 	"tulipshelf/internal/wire"
 )
 
-// Watch waits up to wait for changes of keys that begin with prefix, after the
-// given revision, and returns them with the revision they reach to.
+// watchGrace is how much longer than its wait a watch may take to be answered.
+const watchGrace = 2 * time.Second
+
+// Watch waits up to wait for changes of keys that begin with prefix, after the given
+// revision. It returns them, none if none came, with the revision that they reach to, from
+// which the next watch goes on. It never waits for the budget, as the election's watch
+// hangs on it. The error is ErrCompacted if the changes cannot be had any more.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	c.requestBudget.take(1, PriorityLease)
-	ctx, cancel := context.WithTimeout(ctx, wait+2*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
-	return c.changes(ctx, prefix, after, wait)
+	out, err := c.changes(ctx, prefix, after, wait)
+	return out.Events, out.Revision, err
 }
 
-// Changes returns the changes of keys that begin with prefix after the given
-// revision, at once: a linearizable read, as the revision they reach to is the
-// service's own.
+// Changes returns at once the changes of keys that begin with prefix after the given
+// revision, with the revision that they reach to. It is a linearizable read, as that
+// revision is the store's own. The error is ErrCompacted if the changes cannot be had any
+// more.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error) {
 	if !c.requestBudget.take(1, PriorityUser) {
 		return nil, 0, ErrRateLimited
 	}
-	return c.changes(ctx, prefix, after, 0)
+	out, err := c.changes(ctx, prefix, after, 0)
+	return out.Events, out.Revision, err
 }
 
-func (c *Client) changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
-	var out struct {
-		Rev    uint64  `cbor:"epoch"`
-		Events []Event `cbor:"events"`
-	}
-	q := "/changes?starts=" + prefix + "&after=" + strconv.FormatUint(after, 10) +
+// changes asks for changes and waits up to wait for the first. A response that is too large
+// counts as ErrCompacted: a node that has fallen behind would ask for the same changes over
+// and over, until the store no longer keeps them (TestChangesTooOldOrTooMany).
+func (c *Client) changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (changesResponse, error) {
+	target := "/changes?starts=" + prefix +
+		"&after=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	err := c.do(ctx, "GET", q, nil, &out)
+	var out changesResponse
+	err := c.do(ctx, request{method: "GET", target: target}, &out)
 	if errors.Is(err, wire.ErrTooLarge) {
-		return nil, 0, fmt.Errorf("%w: %w", ErrCompacted, err)
+		err = fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
 	if err != nil {
-		return nil, 0, err
+		return changesResponse{}, err
 	}
-	return out.Events, out.Rev, nil
+	return out, nil
 }
