--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -13,11 +13,11 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// ErrDeposed says that a leader has lost its leadership to another term, as happens in any
-// failover. Term.Advance wraps it; whoever finds by a failed compare of Term.Fence that the
-// leadership is over may return it, so that the end of a leader in the ordinary way can be
-// told from a fault.
-var ErrDeposed = errors.New("leadership: deposed by another term")
+// ErrDeposed says that a leader has lost its leadership, as happens in any failover: its lease
+// has expired or another node was elected. Term.Advance wraps it. Whoever finds by a failed
+// compare of Term.Fence that the leadership is over may return it too, so that this end of a
+// leader can be told from a fault.
+var ErrDeposed = errors.New("leadership: deposed")
 
 // Term is one leadership of this node: from its election until it is lost, through all the
 // numbers that Advance takes meanwhile. Candidate.Run makes it. Its methods may be called
