--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -5,97 +5,123 @@
 	"time"
 )
 
-const (
-	// beyond is for how long a cancellation is kept after its tasks must be gone: it
-	// may be learnt before it is told, and told long before it is learnt elsewhere.
-	beyond = 15 * time.Second
-)
+// retentionSlack is for how long a cancellation is kept beyond the time in which the job's
+// tasks must be gone. That time counts from the confirmation. A register may learn of a
+// cancellation before it is confirmed, and another register may learn of it from this one
+// long after that.
+const retentionSlack = 15 * time.Second
 
-// maxKept bounds the register to what one message between controllers carries.
-const maxKept = 4096
+// maxJobs bounds a register to what one message between controllers can carry. Controllers
+// of earlier versions accept no larger messages (docs/size.md).
+const maxJobs = 4096
 
-// Register is safe for concurrent use.
+// Register is one controller's replica of the set of cancelled jobs. It lives in memory only:
+// a new incarnation of the process begins with an empty one. It is safe for concurrent use.
 type Register struct {
-	majority int
-	keep     time.Duration
+	majority  int           // controllers that make one, this one included
+	retention time.Duration // for which a job is kept after it was learned
 
-	mu    sync.Mutex
-	jobs  map[string]entry
-	seq   uint64
-	since time.Time // when this memory begins
-	asOf  time.Time // all that was told until then is known; zero: nothing is
-	peers map[string]peer
+	mu            sync.Mutex       // guards all that follows
+	jobs          map[string]entry // by job ID
+	lastSequence  uint64           // of the job learned last
+	memoryStart   time.Time        // nothing that was learned since then has been forgotten too early
+	completeUntil time.Time        // all cancellations confirmed until then are held; zero: unknown
+	peers         map[string]peer  // the last answer of each other controller, by its node name
 }
 
+// entry is one cancelled job.
 type entry struct {
-	seq uint64
-	at  time.Time // when it was learnt
+	sequence  uint64 // position in the order in which this register learned of its jobs
+	learnedAt time.Time
 }
 
-// New returns an empty register of one of so many controllers. Tasks of cancelled
-// jobs must be gone within limit.
-func New(controllers int, limit time.Duration) *Register {
-	return &Register{majority: controllers/2 + 1, keep: limit + beyond,
-		jobs: map[string]entry{}, peers: map[string]peer{}, since: time.Now()}
+// New returns the empty register of a controller in a cluster of the given number of
+// controllers. The tasks of a cancelled job must be gone within taskDeadline of the
+// confirmation.
+func New(controllers int, taskDeadline time.Duration) *Register {
+	return &Register{
+		majority:    controllers/2 + 1,
+		retention:   taskDeadline + retentionSlack,
+		jobs:        map[string]entry{},
+		memoryStart: time.Now(),
+		peers:       map[string]peer{},
+	}
 }
 
-// Add takes jobs that are cancelled, durably, and returns those that are news.
+// Add adds jobs whose cancellation is recorded in the key-value store and returns those that
+// were not known yet.
 func (r *Register) Add(ids ...string) (news []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.note(ids, time.Now())
+	return r.add(ids, time.Now())
 }
 
-func (r *Register) note(ids []string, now time.Time) (news []string) {
+// add is Add. The caller holds mu.
+func (r *Register) add(ids []string, now time.Time) (news []string) {
 	for _, id := range ids {
 		if _, known := r.jobs[id]; known {
 			continue
 		}
-		if len(r.jobs) >= maxKept {
-			r.expire(now)
-		}
-		if len(r.jobs) >= maxKept {
-			// It can account for nothing any more, as a process that has just begun.
-			r.jobs, r.since, r.asOf = map[string]entry{}, now, time.Time{}
-		}
-		r.seq++
-		r.jobs[id] = entry{r.seq, now}
+		r.makeRoom(now)
+		r.lastSequence++
+		r.jobs[id] = entry{sequence: r.lastSequence, learnedAt: now}
 		news = append(news, id)
 	}
 	return news
 }
 
+// makeRoom ensures that one more job can be added. If there are too many that have to be kept,
+// it forgets them all and with them what the register could answer for, like a new incarnation
+// of the process. The caller holds mu.
+func (r *Register) makeRoom(now time.Time) {
+	if len(r.jobs) < maxJobs {
+		return
+	}
+	r.expire(now)
+	if len(r.jobs) < maxJobs {
+		return
+	}
+	r.jobs = map[string]entry{}
+	r.memoryStart = now
+	r.completeUntil = time.Time{}
+}
+
+// expire drops the jobs of which no task can be left. The caller holds mu.
 func (r *Register) expire(now time.Time) {
-	for id, e := range r.jobs {
-		if age(now, e.at) >= r.keep {
+	for id, job := range r.jobs {
+		if elapsed(now, job.learnedAt) >= r.retention {
 			delete(r.jobs, id)
 		}
 	}
 }
 
-// age is the longer of what the steady clock and the time of day say, so that a process
-// which stood still while one of them did counts what it has missed.
-func age(now, then time.Time) time.Duration {
-	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
-}
-
-// Contains tells whether a job is known to be cancelled.
+// Contains reports whether a job is known to be cancelled.
 func (r *Register) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.jobs[id]
-	return ok
+	_, known := r.jobs[id]
+	return known
 }
 
-// LearnedBefore returns the jobs learnt at least d ago and still kept.
+// LearnedBefore returns, in no order, the jobs that were learned at least d ago and are still
+// kept.
 func (r *Register) LearnedBefore(d time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	for id, e := range r.jobs {
-		if age(now, e.at) >= d {
+	for id, job := range r.jobs {
+		if elapsed(now, job.learnedAt) >= d {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
+
+// elapsed returns the time from then to now, by the monotonic clock or by the wall clock,
+// whichever says more. One of them may not advance while the process is suspended; by that
+// clock alone, what was learned before would pass for fresh.
+func elapsed(now, then time.Time) time.Duration {
+	monotonic := now.Sub(then)
+	wall := now.Round(0).Sub(then.Round(0)) // Round strips the monotonic reading
+	return max(monotonic, wall)
+}
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -6,25 +6,29 @@
 	"time"
 )
 
-// exchange lets a tell b what it knows and hear b's answer.
-func exchange(a *Register, name string, b *Register) {
-	sent, s := time.Now(), a.State()
+// taskDeadline is the time in which tasks of cancelled jobs must be gone.
+const taskDeadline = time.Minute
+
+// exchange sends a heartbeat from one register to another and merges the answer.
+func exchange(from *Register, toNode string, to *Register) {
+	sent, state := time.Now(), from.State()
 	time.Sleep(5 * time.Millisecond)
-	b.Add(s.Jobs...)
-	theirs := b.State()
+	to.Add(state.Jobs...)
+	answer := to.State()
 	time.Sleep(5 * time.Millisecond)
-	a.MergeAnswer(name, s.Sequence, sent, theirs)
+	from.MergeAnswer(toNode, state.Sequence, sent, answer)
 }
 
-func three() (a, b, c *Register) {
-	return New(3, time.Minute), New(3, time.Minute), New(3, time.Minute)
+// newCluster returns the registers of three controllers.
+func newCluster() (a, b, c *Register) {
+	return New(3, taskDeadline), New(3, taskDeadline), New(3, taskDeadline)
 }
 
-// A cancellation may be told once a majority holds it, and only as long as that was
-// shown lately: the other may have ended since.
-func TestHeld(t *testing.T) {
+// A cancellation may be confirmed once a majority holds it, and only as long as that was
+// shown recently: another controller may have crashed since.
+func TestHeldByMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, _ := three()
+		a, b, _ := newCluster()
 		a.Add("wk-000001")
 		if a.HeldByMajority("wk-000001") {
 			t.Error("held by one of three")
@@ -35,107 +39,109 @@
 		}
 		a.Add("wk-000002")
 		if a.HeldByMajority("wk-000002") || a.HeldByMajority("wk-000003") {
-			t.Error("held though nobody was told")
+			t.Error("held though no other controller was sent it")
 		}
-		time.Sleep(heldFor)
+		time.Sleep(answerValidity)
 		if a.HeldByMajority("wk-000001") {
-			t.Error("still held after a silence")
+			t.Error("still held though the answer is too old")
 		}
-		if one := New(1, time.Minute); len(one.Add("wk-000001")) != 1 || !one.HeldByMajority("wk-000001") {
+		single := New(1, taskDeadline)
+		if len(single.Add("wk-000001")) != 1 || !single.HeldByMajority("wk-000001") {
 			t.Error("not held by one of one")
 		}
 	})
 }
 
-// What a controller knows is as fresh as its last read, or the last exchange with enough
-// others that remember all since then.
-func TestAge(t *testing.T) {
-	fresh := func(t *testing.T, r *Register, want bool) {
+// A register is as fresh as its last read, or as its last exchange with enough others that
+// have forgotten nothing since.
+func TestStaleness(t *testing.T) {
+	expectFresh := func(t *testing.T, r *Register, want bool) {
 		t.Helper()
-		d, ok := r.Staleness()
-		if got := ok && d < time.Second; got != want {
-			t.Errorf("age %v, known %v; fresh wanted: %v", d, ok, want)
+		staleness, known := r.Staleness()
+		if got := known && staleness < time.Second; got != want {
+			t.Errorf("staleness %v, known %v; fresh wanted: %v", staleness, known, want)
 		}
 	}
-	begin := func() (a, b, c *Register) {
-		a, b, c = three()
+	// newStaleCluster returns registers that were complete ten seconds ago.
+	newStaleCluster := func() (a, b, c *Register) {
+		a, b, c = newCluster()
 		time.Sleep(5 * time.Second)
 		for _, r := range []*Register{a, b, c} {
 			r.MergeRead(nil, time.Now())
 		}
-		time.Sleep(10 * time.Second) // the state service refuses all
+		time.Sleep(10 * time.Second) // the key-value store refuses all
 		return a, b, c
 	}
 	for name, f := range map[string]func(*testing.T){
 		"nothing read": func(t *testing.T) {
-			a, b, _ := three()
+			a, b, _ := newCluster()
 			time.Sleep(10 * time.Second)
 			exchange(a, "b", b)
-			fresh(t, a, false)
+			expectFresh(t, a, false)
 		},
 		"alone": func(t *testing.T) {
-			a, _, _ := begin()
-			fresh(t, a, false)
+			a, _, _ := newStaleCluster()
+			expectFresh(t, a, false)
 			a.MergeRead(nil, time.Now())
-			fresh(t, a, true)
+			expectFresh(t, a, true)
 		},
 		"with one of two": func(t *testing.T) {
-			a, b, _ := begin()
+			a, b, _ := newStaleCluster()
 			exchange(a, "b", b)
-			fresh(t, a, true)
+			expectFresh(t, a, true)
 		},
-		"that one has begun anew": func(t *testing.T) {
-			a, _, _ := begin()
-			b := New(3, time.Minute)
+		"new incarnation of the other": func(t *testing.T) {
+			a, _, _ := newStaleCluster()
+			b := New(3, taskDeadline)
 			exchange(a, "b", b)
 			time.Sleep(10 * time.Second)
 			exchange(a, "b", b)
-			fresh(t, a, false)
+			expectFresh(t, a, false)
 			exchange(b, "a", a)
-			if d, ok := b.Staleness(); !ok || d < 20*time.Second {
-				t.Errorf("age %v, known %v: it can know no more than the other", d, ok)
+			if staleness, known := b.Staleness(); !known || staleness < 20*time.Second {
+				t.Errorf("staleness %v, known %v: it can know no more than the other", staleness, known)
 			}
 		},
-		"begun anew, and two others": func(t *testing.T) {
-			_, b, c := begin()
-			a := New(3, time.Minute)
+		"new incarnation, and two others": func(t *testing.T) {
+			_, b, c := newStaleCluster()
+			a := New(3, taskDeadline)
 			exchange(a, "b", b)
-			fresh(t, a, false)
+			expectFresh(t, a, false)
 			exchange(a, "c", c)
-			fresh(t, a, true) // both account for all since the read
+			expectFresh(t, a, true) // both answer for all since the read
 		},
-		"a late answer": func(t *testing.T) {
-			a, b, _ := begin()
-			sent, s := time.Now(), b.State()
+		"late answer": func(t *testing.T) {
+			a, b, _ := newStaleCluster()
+			sent, state := time.Now(), b.State()
 			time.Sleep(10 * time.Second)
-			a.MergeAnswer("b", 0, sent, s)
-			fresh(t, a, false)
+			a.MergeAnswer("b", 0, sent, state)
+			expectFresh(t, a, false)
 		},
-		"more than it keeps": func(t *testing.T) {
-			a, b, _ := begin()
-			for i := range maxKept + 1 {
+		"more jobs than it keeps": func(t *testing.T) {
+			a, b, _ := newStaleCluster()
+			for i := range maxJobs + 1 {
 				a.Add(string(rune('A'+i/64%64)) + string(rune('A'+i%64)) + string(rune('A'+i/4096)))
 			}
 			exchange(a, "b", b)
-			fresh(t, a, false)
+			expectFresh(t, a, false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 	}
 }
 
-// A cancellation is kept for longer than its tasks may last, and then let go.
-func TestKept(t *testing.T) {
+// A cancellation is kept for longer than its tasks may run, and then dropped.
+func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := New(3, time.Minute)
-		a.Add("wk-000001")
-		time.Sleep(time.Minute + time.Second)
-		if s := a.State(); len(s.Jobs) != 1 || len(a.LearnedBefore(time.Minute)) != 1 {
-			t.Errorf("%d kept", len(s.Jobs))
+		r := New(3, taskDeadline)
+		r.Add("wk-000001")
+		time.Sleep(taskDeadline + time.Second)
+		if state := r.State(); len(state.Jobs) != 1 || len(r.LearnedBefore(taskDeadline)) != 1 {
+			t.Errorf("%d kept", len(state.Jobs))
 		}
-		time.Sleep(beyond)
-		if s := a.State(); len(s.Jobs) != 0 || a.Contains("wk-000001") {
-			t.Errorf("%d kept", len(s.Jobs))
+		time.Sleep(retentionSlack)
+		if state := r.State(); len(state.Jobs) != 0 || r.Contains("wk-000001") {
+			t.Errorf("%d kept", len(state.Jobs))
 		}
 	})
 }
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -1,114 +1,144 @@
 package cancellation
 
+// This file has what a register exchanges with the registers of the other controllers, what
+// follows from their answers and from reads of the records, and for how long. The argument is
+// in the package comment.
+
 import (
 	"slices"
 	"time"
 )
 
-// Times of the argument.
 const (
-	heldFor = 1500 * time.Millisecond // for which a controller that has answered is taken to hold what it was told
-	margin  = 2 * heldFor             // by which a process must have begun before what it is asked to account for
-)
-
-// peer is what another controller's last answer says.
-type peer struct {
-	sent  time.Time // when it was asked
-	since time.Time // its memory began no later
-	seq   uint64    // it holds what was learnt here up to that number
-}
+	// answerValidity is for how long a controller that has answered is taken to hold what it
+	// was sent. It may have crashed since, and its next incarnation holds nothing. Heartbeats
+	// are about a second apart, so the next answer usually comes before this one is too old.
+	answerValidity = 1500 * time.Millisecond
 
-// MergeRead takes all cancelled jobs from a read of the records that was sent at asOf.
-func (r *Register) MergeRead(ids []string, asOf time.Time) (news []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	news = r.note(ids, time.Now())
-	if asOf.After(r.since) {
-		r.advance(asOf)
-	}
-	return news
-}
+	// incarnationMargin is by how much an incarnation must have begun before a time if it is to
+	// answer for all cancellations confirmed since that time. They may have been held up to
+	// answerValidity before they were confirmed; as much again is slack.
+	incarnationMargin = 2 * answerValidity
+)
 
-// Staleness tells how long ago all cancellations told until then were known.
-func (r *Register) Staleness() (d time.Duration, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return age(time.Now(), r.asOf), !r.asOf.IsZero()
+// Statement is what a controller says of its register in a heartbeat or in the answer to one.
+type Statement struct {
+	Jobs     []string      // all that it holds, in no order
+	Sequence uint64        // number of the job that it learned last; not sent to others
+	Memory   time.Duration // for which it has forgotten nothing too early
+	Age      time.Duration // since the time until which it is complete
+	Knows    bool          // whether there is such a time; otherwise Age means nothing
 }
 
-// Statement is what one controller tells another of its register.
-type Statement struct {
-	Jobs     []string
-	Sequence uint64        // the number of the last one learnt
-	Memory   time.Duration // for how long it has remembered
-	Age      time.Duration // how long ago it knew all that was told until then
-	Knows    bool          // whether it ever did
+// peer is the last answer of another controller.
+type peer struct {
+	askedAt      time.Time // when the request was sent that it answered
+	memoryStart  time.Time // its memory began no later
+	acknowledged uint64    // it holds the jobs of this register up to that sequence number
 }
 
-// State returns what to tell other controllers.
+// State returns what to send to other controllers.
 func (r *Register) State() Statement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.expire(now)
-	s := Statement{Jobs: make([]string, 0, len(r.jobs)), Sequence: r.seq, Memory: now.Sub(r.since), Age: age(now, r.asOf), Knows: !r.asOf.IsZero()}
+	ids := make([]string, 0, len(r.jobs))
 	for id := range r.jobs {
-		s.Jobs = append(s.Jobs, id)
+		ids = append(ids, id)
+	}
+	return Statement{
+		Jobs:     ids,
+		Sequence: r.lastSequence,
+		Memory:   now.Sub(r.memoryStart),
+		Age:      elapsed(now, r.completeUntil),
+		Knows:    !r.completeUntil.IsZero(),
 	}
-	return s
 }
 
-// MergeAnswer takes the answer of another controller to what was told it, up to seq, by a
-// request sent at sent: it holds that now, and theirs is what it said.
+// MergeAnswer merges the answer of another controller, theirs, to a request that was sent at
+// sent with the State of this register at the given sequence number. By answering, the other
+// controller says that it has merged that state.
 func (r *Register) MergeAnswer(node string, seq uint64, sent time.Time, theirs Statement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.note(theirs.Jobs, now)
-	r.peers[node] = peer{sent: sent, since: now.Add(-theirs.Memory), seq: seq}
+	r.add(theirs.Jobs, now)
+	r.peers[node] = peer{askedAt: sent, memoryStart: now.Add(-theirs.Memory), acknowledged: seq}
 	if theirs.Knows {
 		r.advance(sent.Add(-theirs.Age))
 	}
-	// With this controller's own memory, where it reaches back, the latest times at which
-	// a majority was heard that accounts for all since asOf.
-	if r.asOf.IsZero() {
-		return
+	r.advanceByMajority(now)
+}
+
+// MergeRead merges a read of all records, sent at asOf, that found the given jobs cancelled. It
+// returns those that were not known yet.
+func (r *Register) MergeRead(ids []string, asOf time.Time) (news []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	news = r.add(ids, time.Now())
+	// What such a read returned may have been forgotten if it was sent before memory began.
+	if asOf.After(r.memoryStart) {
+		r.advance(asOf)
+	}
+	return news
+}
+
+// advanceByMajority advances the time until which the register is complete to the latest time
+// at which, or later, a majority was asked that answers for everything since. This controller
+// counts as asked now. The caller holds mu.
+func (r *Register) advanceByMajority(now time.Time) {
+	if r.completeUntil.IsZero() {
+		return // nobody can answer for all cancellations since ever
 	}
-	var heard []time.Time
-	accounts := func(since time.Time) bool { return !since.After(r.asOf.Add(-margin)) }
-	if accounts(r.since) {
-		heard = append(heard, now)
+	latestStart := r.completeUntil.Add(-incarnationMargin)
+	var askedAt []time.Time
+	if !r.memoryStart.After(latestStart) {
+		askedAt = append(askedAt, now)
 	}
 	for _, p := range r.peers {
-		if accounts(p.since) {
-			heard = append(heard, p.sent)
+		if !p.memoryStart.After(latestStart) {
+			askedAt = append(askedAt, p.askedAt)
 		}
 	}
-	if len(heard) < r.majority {
+	if len(askedAt) < r.majority {
 		return
 	}
-	slices.SortFunc(heard, func(a, b time.Time) int { return b.Compare(a) })
-	r.advance(heard[r.majority-1])
+	latestFirst := func(a, b time.Time) int { return b.Compare(a) }
+	slices.SortFunc(askedAt, latestFirst)
+	r.advance(askedAt[r.majority-1])
 }
 
-func (r *Register) advance(to time.Time) {
-	if to.After(r.asOf) {
-		r.asOf = to
+// advance notes that the register is complete until the given time. The caller holds mu.
+func (r *Register) advance(until time.Time) {
+	if until.After(r.completeUntil) {
+		r.completeUntil = until
 	}
 }
 
-// HeldByMajority tells whether a majority of the controllers, this one included, holds a job's
-// cancellation, by what they have answered lately.
+// Staleness returns how long ago the register was complete: it holds every cancellation that
+// was confirmed until then. ok is false if no such time is known.
+func (r *Register) Staleness() (d time.Duration, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return elapsed(time.Now(), r.completeUntil), !r.completeUntil.IsZero()
+}
+
+// HeldByMajority reports whether a majority of the controllers, this one included, holds a
+// job's cancellation in memory, by the answers that are not too old. Only then may a user be
+// told of the cancellation of an unfinished job.
 func (r *Register) HeldByMajority(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, ok := r.jobs[id]
-	if !ok {
+	job, known := r.jobs[id]
+	if !known {
 		return false
 	}
-	holders, now := 1, time.Now()
+	now := time.Now()
+	holders := 1
 	for _, p := range r.peers {
-		if p.seq >= e.seq && age(now, p.sent) < heldFor {
+		acknowledged := p.acknowledged >= job.sequence
+		if acknowledged && elapsed(now, p.askedAt) < answerValidity {
 			holders++
 		}
 	}
