--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -19,7 +19,7 @@
 // a new incarnation of the process begins with an empty one. It is safe for concurrent use.
 type Register struct {
 	majority  int           // controllers that make one, this one included
-	retention time.Duration // for which a job is kept after it was learned
+	retention time.Duration // for which a job is kept after it was added
 
 	mu            sync.Mutex       // guards all that follows
 	jobs          map[string]entry // by job ID
@@ -31,8 +31,8 @@
 
 // entry is one cancelled job.
 type entry struct {
-	sequence  uint64 // position in the order in which this register learned of its jobs
-	learnedAt time.Time
+	sequence uint64 // position in the order in which this register learned of its jobs
+	addedAt  time.Time
 }
 
 // New returns the empty register of a controller in a cluster of the given number of
@@ -64,7 +64,7 @@
 		}
 		r.makeRoom(now)
 		r.lastSequence++
-		r.jobs[id] = entry{sequence: r.lastSequence, learnedAt: now}
+		r.jobs[id] = entry{sequence: r.lastSequence, addedAt: now}
 		news = append(news, id)
 	}
 	return news
@@ -89,7 +89,7 @@
 // expire drops the jobs of which no task can be left. The caller holds mu.
 func (r *Register) expire(now time.Time) {
 	for id, job := range r.jobs {
-		if elapsed(now, job.learnedAt) >= r.retention {
+		if elapsed(now, job.addedAt) >= r.retention {
 			delete(r.jobs, id)
 		}
 	}
@@ -110,7 +110,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	for id, job := range r.jobs {
-		if elapsed(now, job.learnedAt) >= d {
+		if elapsed(now, job.addedAt) >= d {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -52,27 +52,36 @@
 	})
 }
 
+// newStaleCluster returns the registers of three controllers that were complete ten seconds ago.
+func newStaleCluster() (a, b, c *Register) {
+	a, b, c = newCluster()
+	time.Sleep(5 * time.Second)
+	for _, r := range []*Register{a, b, c} {
+		r.MergeRead(nil, time.Now())
+	}
+	time.Sleep(10 * time.Second) // the key-value store refuses all
+	return a, b, c
+}
+
+func expectFresh(t *testing.T, r *Register, want bool) {
+	t.Helper()
+	staleness, known := r.Staleness()
+	if got := known && staleness < time.Second; got != want {
+		t.Errorf("staleness %v, known %v; fresh wanted: %v", staleness, known, want)
+	}
+}
+
+// runBubbles runs each case in simulated time.
+func runBubbles(t *testing.T, cases map[string]func(*testing.T)) {
+	for name, f := range cases {
+		t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
+	}
+}
+
 // A register is as fresh as its last read, or as its last exchange with enough others that
 // have forgotten nothing since.
 func TestStaleness(t *testing.T) {
-	expectFresh := func(t *testing.T, r *Register, want bool) {
-		t.Helper()
-		staleness, known := r.Staleness()
-		if got := known && staleness < time.Second; got != want {
-			t.Errorf("staleness %v, known %v; fresh wanted: %v", staleness, known, want)
-		}
-	}
-	// newStaleCluster returns registers that were complete ten seconds ago.
-	newStaleCluster := func() (a, b, c *Register) {
-		a, b, c = newCluster()
-		time.Sleep(5 * time.Second)
-		for _, r := range []*Register{a, b, c} {
-			r.MergeRead(nil, time.Now())
-		}
-		time.Sleep(10 * time.Second) // the key-value store refuses all
-		return a, b, c
-	}
-	for name, f := range map[string]func(*testing.T){
+	runBubbles(t, map[string]func(*testing.T){
 		"nothing read": func(t *testing.T) {
 			a, b, _ := newCluster()
 			time.Sleep(10 * time.Second)
@@ -90,6 +99,28 @@
 			exchange(a, "b", b)
 			expectFresh(t, a, true)
 		},
+		"late answer": func(t *testing.T) {
+			a, b, _ := newStaleCluster()
+			sent, state := time.Now(), b.State()
+			time.Sleep(10 * time.Second)
+			a.MergeAnswer("b", 0, sent, state)
+			expectFresh(t, a, false)
+		},
+		"more jobs than it keeps": func(t *testing.T) {
+			a, b, _ := newStaleCluster()
+			for i := range maxJobs + 1 {
+				a.Add(string(rune('A'+i/64%64)) + string(rune('A'+i%64)) + string(rune('A'+i/4096)))
+			}
+			exchange(a, "b", b)
+			expectFresh(t, a, false)
+		},
+	})
+}
+
+// A new incarnation of a process has forgotten what the last one held, so it answers for nothing
+// that was confirmed before it began.
+func TestStalenessWithNewIncarnations(t *testing.T) {
+	runBubbles(t, map[string]func(*testing.T){
 		"new incarnation of the other": func(t *testing.T) {
 			a, _, _ := newStaleCluster()
 			b := New(3, taskDeadline)
@@ -110,24 +141,7 @@
 			exchange(a, "c", c)
 			expectFresh(t, a, true) // both answer for all since the read
 		},
-		"late answer": func(t *testing.T) {
-			a, b, _ := newStaleCluster()
-			sent, state := time.Now(), b.State()
-			time.Sleep(10 * time.Second)
-			a.MergeAnswer("b", 0, sent, state)
-			expectFresh(t, a, false)
-		},
-		"more jobs than it keeps": func(t *testing.T) {
-			a, b, _ := newStaleCluster()
-			for i := range maxJobs + 1 {
-				a.Add(string(rune('A'+i/64%64)) + string(rune('A'+i%64)) + string(rune('A'+i/4096)))
-			}
-			exchange(a, "b", b)
-			expectFresh(t, a, false)
-		},
-	} {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
-	}
+	})
 }
 
 // A cancellation is kept for longer than its tasks may run, and then dropped.
