--- /dev/null
+++ b/internal/api/submit.go
@@ -0,0 +1,60 @@
+package api
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/wire"
+)
+
+func (in *Handler) submit(ctx context.Context, body []byte) wire.Response {
+	id, err := job.DecodeID(body)
+	if err != nil {
+		return fail(400, err.Error())
+	}
+	if s, ok := in.cached(id); ok {
+		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
+	}
+	spec, refusal := in.check(body)
+	if refusal.Status != 0 {
+		// A job that is known is never refused, whatever this copy says.
+		st, err := in.lookup(ctx, id)
+		if err == nil {
+			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+		}
+		if !errors.Is(err, kvstore.ErrNotFound) {
+			return later()
+		}
+		return refusal
+	}
+	if spec.Shape == job.Gang && in.GangsSupported != nil && !in.GangsSupported() {
+		// A controller of an earlier version may lead yet, or next.
+		if st, err := in.lookup(ctx, id); err == nil {
+			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+		}
+		return later()
+	}
+	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: in.ChunkSize}
+	_, err = in.Store.Txn(ctx,
+		[]kvstore.Compare{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
+		[]kvstore.Mutation{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
+	var conflict *kvstore.ConflictError
+	switch {
+	case err == nil:
+		in.OnChanged(id)
+		return wire.Response{Status: 201, Body: wire.Marshal(brief{id, pending})}
+	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
+		// Known already, or perhaps written just now: what stands decides.
+		if st, err := in.lookup(ctx, id); err == nil {
+			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+		}
+	default:
+		slog.Debug("submission not written", "job", id, "err", err)
+	}
+	return later()
+}
--- /dev/null
+++ b/internal/api/validate.go
@@ -0,0 +1,65 @@
+package api
+
+import (
+	"tulipshelf/internal/cloud"
+	"tulipshelf/internal/config"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/wire"
+)
+
+// check returns the checked submission or the answer that refuses it.
+func (in *Handler) check(body []byte) (*job.Spec, wire.Response) {
+	spec, err := job.Decode(body)
+	if err != nil {
+		return nil, fail(400, err.Error())
+	}
+	var team *config.Team
+	for i := range in.Teams {
+		if in.Teams[i].Name == spec.Team {
+			team = &in.Teams[i]
+		}
+	}
+	if team == nil {
+		return nil, fail(422, "unknown team")
+	}
+	tasks := 1.0
+	if spec.Shape != job.Array {
+		tasks = float64(spec.Tasks)
+	}
+	if spec.CPUs*tasks > team.MaxCPUs+1e-6 || spec.GPUs*tasks > team.MaxGPUs+1e-6 {
+		return nil, fail(422, "more than the team's limit")
+	}
+	types := in.Types()
+	if types == nil {
+		return nil, later()
+	}
+	var allowed []string
+	for i := range types {
+		if Allows(spec, &types[i]) {
+			allowed = append(allowed, types[i].Name)
+		}
+	}
+	if len(allowed) == 0 {
+		return nil, fail(422, "fits no allowed machine type")
+	}
+	if spec.Types != nil {
+		spec.Types = allowed
+	}
+	return spec, wire.Response{}
+}
+
+// Allows tells whether a task of the job can run on a machine type at all.
+func Allows(s *job.Spec, t *cloud.Type) bool {
+	if s.CPUs > t.CPUs || s.GPUs > t.GPUs || s.RAM > t.RAM {
+		return false
+	}
+	in := func(list []string, name string) bool {
+		for _, n := range list {
+			if n == name {
+				return true
+			}
+		}
+		return false
+	}
+	return (s.Types == nil || in(s.Types, t.Name)) && (s.Zone == "" || in(t.Zones, s.Zone))
+}
