--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -11,17 +11,17 @@
 	"tulipshelf/internal/wire"
 )
 
-func (in *Handler) abort(ctx context.Context, id string) wire.Response {
+func (h *Handler) abort(ctx context.Context, id string) wire.Response {
 	answer := func(s string) wire.Response {
 		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
 	}
-	if s, ok := in.cached(id); ok {
+	if s, ok := h.cached(id); ok {
 		return answer(s)
 	}
 	for range 3 {
-		it, err := in.Store.Get(ctx, jobstore.JobKey(id), kvstore.PriorityUser)
+		it, err := h.cfg.Store.Get(ctx, jobstore.JobKey(id), kvstore.PriorityUser)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			st, err := in.lookup(ctx, id)
+			st, err := h.lookup(ctx, id)
 			switch {
 			case errors.Is(err, kvstore.ErrNotFound):
 				return fail(404, "no such job")
@@ -43,17 +43,17 @@
 			if rec.Arrival == 0 {
 				rec.Arrival = it.Revision
 			}
-			_, err = in.Store.Txn(ctx, []kvstore.Compare{{Key: it.Key, Revision: it.Revision}},
+			_, err = h.cfg.Store.Txn(ctx, []kvstore.Compare{{Key: it.Key, Revision: it.Revision}},
 				[]kvstore.Mutation{{Put: it.Key, Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
 		}
 		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
-			in.OnCancelled(id)
-			in.OnChanged(id) // the leader needs the revision of the record too
+			h.cfg.OnJobCancelled(id)
+			h.cfg.OnJobChanged(id) // the leader needs the revision of the record too
 			// No task of it is recorded as started from now on; where those are that were
 			// is read before it is told, for whoever has to end them.
-			if in.Refresh(ctx) != nil || in.mayTell(ctx, id) != nil {
+			if h.Refresh(ctx) != nil || h.mayTell(ctx, id) != nil {
 				return later()
 			}
 			return answer(jobstore.StatusCancelled)
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -14,38 +14,69 @@
 	"tulipshelf/internal/wire"
 )
 
-// Handler answers users.
-type Handler struct {
-	Store                 *kvstore.Client
-	Teams                 []config.Team
-	ChunkSize             int
-	Types                 func() []cloud.Type                       // nil while the catalog is unknown
-	OnChanged             func(id string)                           // a job was submitted or cancelled here
-	OnCancelled           func(id string)                           // it was cancelled, durably
-	GangsSupported        func() bool                               // whether all controllers run gangs; nil: they do
-	ReplicateCancellation func(ctx context.Context, id string) bool // whether most controllers hold that it is
-	OnCancellationsRead   func(cancelled []string, asOf time.Time)  // jobs newly found cancelled by a read sent then
+// Config is what a Handler works with. All fields are required. The functions are called by
+// the goroutines that serve requests and by the one of Handler.Run, at the same time and with no
+// lock held.
+type Config struct {
+	Store         *kvstore.Client
+	StoreRPS      float64 // requests a second that the key-value store allows the whole cluster
+	Teams         []config.Team
+	TasksPerChunk int // of the records of new jobs
+
+	// MachineTypes returns the catalog of the cloud, or nil while it is unknown.
+	MachineTypes func() []cloud.Type
+
+	// GangsSupported reports whether all controllers run a version that can schedule gangs. Until
+	// then gangs are not accepted: a controller of an earlier version may lead now or next.
+	GangsSupported func() bool
+
+	// OnJobChanged is called after a job's record was written here. The request waits for it.
+	OnJobChanged func(id string)
+
+	// OnJobCancelled is called after a job's cancellation was recorded, or found recorded, by a
+	// request here. The request waits for it.
+	OnJobCancelled func(id string)
+
+	// OnCancellationsRead is called after each read that brought the replica up to date, with the
+	// jobs that it found newly cancelled and the time at which the read was sent.
+	OnCancellationsRead func(cancelled []string, asOf time.Time)
 
+	// ReplicateCancellation tries to have a majority of the controllers hold a job's cancellation
+	// in memory (package cancellation), and reports whether one does. It returns before ctx ends
+	// or soon after.
+	ReplicateCancellation func(ctx context.Context, id string) bool
+}
+
+// Handler answers users' requests about jobs. It is safe for concurrent use. Requests that
+// need the replica are answered only while Run runs.
+type Handler struct {
+	cfg     Config
 	replica *replica
 
 	mu    sync.Mutex
 	final map[string]string // final states told or read, bounded
 }
 
-// Init readies the intake for a state service that allows rps requests a second.
-func (in *Handler) Init(rps float64) { in.replica = newReplica(in.Store, rps, in.OnCancellationsRead) }
+// New returns a handler that answers once Run is called.
+func New(cfg Config) *Handler {
+	return &Handler{
+		cfg:     cfg,
+		replica: newReplica(cfg.Store, cfg.StoreRPS, cfg.OnCancellationsRead),
+		final:   map[string]string{},
+	}
+}
 
 // Refresh reads what has changed in the records, after the call.
-func (in *Handler) Refresh(ctx context.Context) error { return in.replica.confirm(ctx) }
+func (h *Handler) Refresh(ctx context.Context) error { return h.replica.confirm(ctx) }
 
 // Locations returns where tasks of an unfinished job may be, by what was read last.
-func (in *Handler) Locations(id string) []jobstore.Location { return in.replica.places(id) }
+func (h *Handler) Locations(id string) []jobstore.Location { return h.replica.places(id) }
 
 // Run keeps the copy of the records that polls are answered from, until ctx ends.
-func (in *Handler) Run(ctx context.Context) { in.replica.run(ctx) }
+func (h *Handler) Run(ctx context.Context) { h.replica.run(ctx) }
 
 // Serve answers a request for a path under /v1/jobs.
-func (in *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
+func (h *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
 	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
 	rest := strings.TrimPrefix(req.Path, "/v1/jobs")
@@ -53,16 +84,16 @@
 		if req.Method != "POST" {
 			return wire.Response{Status: 405}
 		}
-		return in.submit(ctx, req.Body)
+		return h.submit(ctx, req.Body)
 	}
 	id, abort := strings.CutSuffix(strings.TrimPrefix(rest, "/"), "/abort")
 	switch {
 	case !job.ValidID(id):
 		return fail(404, "no such job")
 	case abort && req.Method == "POST":
-		return in.abort(ctx, id)
+		return h.abort(ctx, id)
 	case !abort && req.Method == "GET":
-		return in.poll(ctx, id)
+		return h.poll(ctx, id)
 	}
 	return wire.Response{Status: 405}
 }
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -9,11 +9,11 @@
 	"tulipshelf/internal/wire"
 )
 
-func (in *Handler) poll(ctx context.Context, id string) wire.Response {
-	if s, ok := in.cached(id); ok {
+func (h *Handler) poll(ctx context.Context, id string) wire.Response {
+	if s, ok := h.cached(id); ok {
 		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
 	}
-	st, err := in.lookup(ctx, id)
+	st, err := h.lookup(ctx, id)
 	switch {
 	case err == nil:
 		return wire.Response{Status: 200, Body: wire.Marshal(st)}
@@ -26,18 +26,18 @@
 // lookup returns a job's state from the copy of the records, brought up to date
 // after the call, or from its final state. The copy comes first: a job that ends
 // in between is found by the read.
-func (in *Handler) lookup(ctx context.Context, id string) (status, error) {
-	if err := in.replica.confirm(ctx); err != nil {
+func (h *Handler) lookup(ctx context.Context, id string) (status, error) {
+	if err := h.replica.confirm(ctx); err != nil {
 		return status{}, err
 	}
-	st, found, err := in.replica.status(id)
+	st, found, err := h.replica.status(id)
 	if err != nil || found {
 		if st.Status == jobstore.StatusCancelled {
-			err = in.mayTell(ctx, id)
+			err = h.mayTell(ctx, id)
 		}
 		return st, err
 	}
-	it, err := in.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
+	it, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
 	if err != nil {
 		return st, err
 	}
@@ -45,7 +45,7 @@
 	if err := wire.Unmarshal(it.Value, &end); err != nil {
 		return st, err
 	}
-	in.CacheFinal(id, end.Status)
+	h.CacheFinal(id, end.Status)
 	st = status{ID: id, Status: end.Status}
 	if end.Status == jobstore.StatusDone {
 		st.Done = end.Tasks
@@ -61,10 +61,10 @@
 //
 // It guards against the end of the only controller that knows of a cancellation, in an
 // outage of the state service that outlasts that time, while workers go to another.
-func (in *Handler) mayTell(ctx context.Context, id string) error {
-	if !in.ReplicateCancellation(ctx, id) {
+func (h *Handler) mayTell(ctx context.Context, id string) error {
+	if !h.cfg.ReplicateCancellation(ctx, id) {
 		return errUntold
 	}
-	in.CacheFinal(id, jobstore.StatusCancelled)
+	h.CacheFinal(id, jobstore.StatusCancelled)
 	return nil
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -12,18 +12,18 @@
 	"tulipshelf/internal/wire"
 )
 
-func (in *Handler) submit(ctx context.Context, body []byte) wire.Response {
+func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
 		return fail(400, err.Error())
 	}
-	if s, ok := in.cached(id); ok {
+	if s, ok := h.cached(id); ok {
 		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
 	}
-	spec, refusal := in.check(body)
+	spec, refusal := h.check(body)
 	if refusal.Status != 0 {
 		// A job that is known is never refused, whatever this copy says.
-		st, err := in.lookup(ctx, id)
+		st, err := h.lookup(ctx, id)
 		if err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
 		}
@@ -32,25 +32,25 @@
 		}
 		return refusal
 	}
-	if spec.Shape == job.Gang && in.GangsSupported != nil && !in.GangsSupported() {
+	if spec.Shape == job.Gang && !h.cfg.GangsSupported() {
 		// A controller of an earlier version may lead yet, or next.
-		if st, err := in.lookup(ctx, id); err == nil {
+		if st, err := h.lookup(ctx, id); err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
 		}
 		return later()
 	}
-	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: in.ChunkSize}
-	_, err = in.Store.Txn(ctx,
+	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: h.cfg.TasksPerChunk}
+	_, err = h.cfg.Store.Txn(ctx,
 		[]kvstore.Compare{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
 		[]kvstore.Mutation{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		in.OnChanged(id)
+		h.cfg.OnJobChanged(id)
 		return wire.Response{Status: 201, Body: wire.Marshal(brief{id, pending})}
 	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 		// Known already, or perhaps written just now: what stands decides.
-		if st, err := in.lookup(ctx, id); err == nil {
+		if st, err := h.lookup(ctx, id); err == nil {
 			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
 		}
 	default:
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -8,15 +8,15 @@
 )
 
 // check returns the checked submission or the answer that refuses it.
-func (in *Handler) check(body []byte) (*job.Spec, wire.Response) {
+func (h *Handler) check(body []byte) (*job.Spec, wire.Response) {
 	spec, err := job.Decode(body)
 	if err != nil {
 		return nil, fail(400, err.Error())
 	}
 	var team *config.Team
-	for i := range in.Teams {
-		if in.Teams[i].Name == spec.Team {
-			team = &in.Teams[i]
+	for i := range h.cfg.Teams {
+		if h.cfg.Teams[i].Name == spec.Team {
+			team = &h.cfg.Teams[i]
 		}
 	}
 	if team == nil {
@@ -29,7 +29,7 @@
 	if spec.CPUs*tasks > team.MaxCPUs+1e-6 || spec.GPUs*tasks > team.MaxGPUs+1e-6 {
 		return nil, fail(422, "more than the team's limit")
 	}
-	types := in.Types()
+	types := h.cfg.MachineTypes()
 	if types == nil {
 		return nil, later()
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -101,28 +101,28 @@
 		PreferOther: func() bool {
 			return n.peers.MostRedirected(handOverWithin) > handOverTimes*max(n.redirectedCount(), 1)
 		}}
-	n.intake = &api.Handler{
-		Store:     n.store,
-		Teams:     s.Teams,
-		ChunkSize: jobstore.TasksPerChunk(s.Store.ValueBytes),
-		Types: func() []cloud.Type {
+	n.intake = api.New(api.Config{
+		Store:         n.store,
+		StoreRPS:      s.Store.RPS,
+		Teams:         s.Teams,
+		TasksPerChunk: jobstore.TasksPerChunk(s.Store.ValueBytes),
+		MachineTypes: func() []cloud.Type {
 			if t := n.types.Load(); t != nil {
 				return *t
 			}
 			return nil
 		},
-		OnCancelled:           func(id string) { n.onCancelled(n.cancelled.Add(id)) },
+		OnJobCancelled:        func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.ReplicateCancellation(ctx, id) },
 		GangsSupported:        n.gangs.Load,
 		OnCancellationsRead:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
-		OnChanged: func(id string) {
+		OnJobChanged: func(id string) {
 			select {
 			case n.changed <- id:
 			default: // the watch finds it
 			}
 		},
-	}
-	n.intake.Init(s.Store.RPS)
+	})
 	n.peers = &peer.Group{Dial: net.Dial, Node: s.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm, OnChanged: n.onChanged,
 		Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
 		ConfirmedGone: n.guard.known, OnConfirmedGone: n.guard.learn, StoreReachable: func() bool { return n.store.ServedWithin(readyServed) }}
