--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -12,10 +12,10 @@
 )
 
 func (h *Handler) abort(ctx context.Context, id string) wire.Response {
-	answer := func(s string) wire.Response {
-		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
+	answer := func(s JobStatus) wire.Response {
+		return respondOK(jobSummary{id, s})
 	}
-	if s, ok := h.cached(id); ok {
+	if s, ok := h.finalStates.get(id); ok {
 		return answer(s)
 	}
 	for range 3 {
@@ -24,19 +24,19 @@
 			st, err := h.lookup(ctx, id)
 			switch {
 			case errors.Is(err, kvstore.ErrNotFound):
-				return fail(404, "no such job")
-			case err != nil || st.Status == pending || st.Status == running:
-				return later()
+				return noSuchJob()
+			case err != nil || st.Status.unfinished():
+				return unavailable()
 			}
 			return answer(st.Status)
 		}
 		if err != nil {
-			return later()
+			return unavailable()
 		}
 		rec, err := jobstore.DecodeRecord(it.Value)
 		if err != nil {
 			slog.Error("job record unreadable", "job", id, "err", err)
-			return later()
+			return unavailable()
 		}
 		if rec.CancelledMS == 0 {
 			rec.CancelledMS = time.Now().UnixMilli()
@@ -54,13 +54,13 @@
 			// No task of it is recorded as started from now on; where those are that were
 			// is read before it is told, for whoever has to end them.
 			if h.Refresh(ctx) != nil || h.mayTell(ctx, id) != nil {
-				return later()
+				return unavailable()
 			}
-			return answer(jobstore.StatusCancelled)
+			return answer(StatusCancelled)
 		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			continue // read back what stands
 		}
-		return later()
+		return unavailable()
 	}
-	return later()
+	return unavailable()
 }
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"strings"
-	"sync"
 	"time"
 
 	"tulipshelf/internal/cloud"
@@ -50,19 +49,17 @@
 // Handler answers users' requests about jobs. It is safe for concurrent use. Requests that
 // need the replica are answered only while Run runs.
 type Handler struct {
-	cfg     Config
-	replica *replica
-
-	mu    sync.Mutex
-	final map[string]string // final states told or read, bounded
+	cfg         Config
+	replica     *replica
+	finalStates *finalStateCache
 }
 
 // New returns a handler that answers once Run is called.
 func New(cfg Config) *Handler {
 	return &Handler{
-		cfg:     cfg,
-		replica: newReplica(cfg.Store, cfg.StoreRPS, cfg.OnCancellationsRead),
-		final:   map[string]string{},
+		cfg:         cfg,
+		replica:     newReplica(cfg.Store, cfg.StoreRPS, cfg.OnCancellationsRead),
+		finalStates: newFinalStateCache(),
 	}
 }
 
@@ -82,18 +79,18 @@
 	rest := strings.TrimPrefix(req.Path, "/v1/jobs")
 	if rest == "" {
 		if req.Method != "POST" {
-			return wire.Response{Status: 405}
+			return methodNotAllowed()
 		}
 		return h.submit(ctx, req.Body)
 	}
 	id, abort := strings.CutSuffix(strings.TrimPrefix(rest, "/"), "/abort")
 	switch {
 	case !job.ValidID(id):
-		return fail(404, "no such job")
+		return noSuchJob()
 	case abort && req.Method == "POST":
 		return h.abort(ctx, id)
 	case !abort && req.Method == "GET":
 		return h.poll(ctx, id)
 	}
-	return wire.Response{Status: 405}
+	return methodNotAllowed()
 }
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -10,29 +10,29 @@
 )
 
 func (h *Handler) poll(ctx context.Context, id string) wire.Response {
-	if s, ok := h.cached(id); ok {
-		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
+	if s, ok := h.finalStates.get(id); ok {
+		return respondOK(jobSummary{id, s})
 	}
 	st, err := h.lookup(ctx, id)
 	switch {
 	case err == nil:
-		return wire.Response{Status: 200, Body: wire.Marshal(st)}
+		return respondOK(st)
 	case errors.Is(err, kvstore.ErrNotFound):
-		return fail(404, "no such job")
+		return noSuchJob()
 	}
-	return later()
+	return unavailable()
 }
 
 // lookup returns a job's state from the copy of the records, brought up to date
 // after the call, or from its final state. The copy comes first: a job that ends
 // in between is found by the read.
-func (h *Handler) lookup(ctx context.Context, id string) (status, error) {
+func (h *Handler) lookup(ctx context.Context, id string) (jobState, error) {
 	if err := h.replica.confirm(ctx); err != nil {
-		return status{}, err
+		return jobState{}, err
 	}
 	st, found, err := h.replica.status(id)
 	if err != nil || found {
-		if st.Status == jobstore.StatusCancelled {
+		if st.Status == StatusCancelled {
 			err = h.mayTell(ctx, id)
 		}
 		return st, err
@@ -45,9 +45,9 @@
 	if err := wire.Unmarshal(it.Value, &end); err != nil {
 		return st, err
 	}
-	h.CacheFinal(id, end.Status)
-	st = status{ID: id, Status: end.Status}
-	if end.Status == jobstore.StatusDone {
+	h.finalStates.put(id, JobStatus(end.Status))
+	st = jobState{ID: id, Status: JobStatus(end.Status)}
+	if st.Status == StatusDone {
 		st.Done = end.Tasks
 	}
 	return st, nil
@@ -65,6 +65,6 @@
 	if !h.cfg.ReplicateCancellation(ctx, id) {
 		return errUntold
 	}
-	h.CacheFinal(id, jobstore.StatusCancelled)
+	h.finalStates.put(id, StatusCancelled)
 	return nil
 }
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -160,19 +160,19 @@
 var errBroken = errors.New("api: record unreadable")
 
 // status returns what the copy says of an unfinished job.
-func (r *replica) status(id string) (st status, found bool, err error) {
+func (r *replica) status(id string) (st jobState, found bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.jobs[id]
 	switch {
 	case v == nil || !v.known:
-		return status{}, false, nil
+		return jobState{}, false, nil
 	case v.broken:
-		return status{}, true, errBroken
+		return jobState{}, true, errBroken
 	case v.cancelled:
-		return status{ID: id, Status: jobstore.StatusCancelled}, true, nil
+		return jobState{ID: id, Status: StatusCancelled}, true, nil
 	}
-	st = status{ID: id, Status: pending}
+	st = jobState{ID: id, Status: StatusPending}
 	for n, c := range v.chunks {
 		if n >= v.base {
 			st.Done += c.done
@@ -180,7 +180,7 @@
 		}
 	}
 	if st.Running > 0 {
-		st.Status = running
+		st.Status = StatusRunning
 	}
 	return st, true, nil
 }
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -24,7 +24,7 @@
 	if err := r.load(context.Background()); err == nil {
 		t.Fatal("read from a service that is down")
 	}
-	if st, found, err := r.status(id); err != nil || !found || st.Status != pending {
+	if st, found, err := r.status(id); err != nil || !found || st.Status != StatusPending {
 		t.Errorf("%+v, found %v, %v", st, found, err)
 	}
 	apply(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -15,29 +15,29 @@
 func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
-		return fail(400, err.Error())
+		return refuse(statusBadRequest, err.Error())
 	}
-	if s, ok := h.cached(id); ok {
-		return wire.Response{Status: 200, Body: wire.Marshal(brief{id, s})}
+	if s, ok := h.finalStates.get(id); ok {
+		return respondOK(jobSummary{id, s})
 	}
 	spec, refusal := h.check(body)
 	if refusal.Status != 0 {
 		// A job that is known is never refused, whatever this copy says.
 		st, err := h.lookup(ctx, id)
 		if err == nil {
-			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+			return respondOK(jobSummary{id, st.Status})
 		}
 		if !errors.Is(err, kvstore.ErrNotFound) {
-			return later()
+			return unavailable()
 		}
 		return refusal
 	}
 	if spec.Shape == job.Gang && !h.cfg.GangsSupported() {
 		// A controller of an earlier version may lead yet, or next.
 		if st, err := h.lookup(ctx, id); err == nil {
-			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+			return respondOK(jobSummary{id, st.Status})
 		}
-		return later()
+		return unavailable()
 	}
 	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: h.cfg.TasksPerChunk}
 	_, err = h.cfg.Store.Txn(ctx,
@@ -47,14 +47,14 @@
 	switch {
 	case err == nil:
 		h.cfg.OnJobChanged(id)
-		return wire.Response{Status: 201, Body: wire.Marshal(brief{id, pending})}
+		return respondCreated(jobSummary{id, StatusPending})
 	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 		// Known already, or perhaps written just now: what stands decides.
 		if st, err := h.lookup(ctx, id); err == nil {
-			return wire.Response{Status: 200, Body: wire.Marshal(brief{id, st.Status})}
+			return respondOK(jobSummary{id, st.Status})
 		}
 	default:
 		slog.Debug("submission not written", "job", id, "err", err)
 	}
-	return later()
+	return unavailable()
 }
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -11,7 +11,7 @@
 func (h *Handler) check(body []byte) (*job.Spec, wire.Response) {
 	spec, err := job.Decode(body)
 	if err != nil {
-		return nil, fail(400, err.Error())
+		return nil, refuse(statusBadRequest, err.Error())
 	}
 	var team *config.Team
 	for i := range h.cfg.Teams {
@@ -20,18 +20,18 @@
 		}
 	}
 	if team == nil {
-		return nil, fail(422, "unknown team")
+		return nil, refuse(statusUnprocessableEntity, "unknown team")
 	}
 	tasks := 1.0
 	if spec.Shape != job.Array {
 		tasks = float64(spec.Tasks)
 	}
 	if spec.CPUs*tasks > team.MaxCPUs+1e-6 || spec.GPUs*tasks > team.MaxGPUs+1e-6 {
-		return nil, fail(422, "more than the team's limit")
+		return nil, refuse(statusUnprocessableEntity, "more than the team's limit")
 	}
 	types := h.cfg.MachineTypes()
 	if types == nil {
-		return nil, later()
+		return nil, unavailable()
 	}
 	var allowed []string
 	for i := range types {
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(allowed) == 0 {
-		return nil, fail(422, "fits no allowed machine type")
+		return nil, refuse(statusUnprocessableEntity, "fits no allowed machine type")
 	}
 	if spec.Types != nil {
 		spec.Types = allowed
