--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -53,7 +53,7 @@
 			h.cfg.OnJobChanged(id) // the leader needs the revision of the record too
 			// No task of it is recorded as started from now on; where those are that were
 			// is read before it is told, for whoever has to end them.
-			if h.Refresh(ctx) != nil || h.mayTell(ctx, id) != nil {
+			if h.Refresh(ctx) != nil || h.confirmReplicated(ctx, id) != nil {
 				return unavailable()
 			}
 			return answer(StatusCancelled)
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -63,14 +63,16 @@
 	}
 }
 
-// Refresh reads what has changed in the records, after the call.
-func (h *Handler) Refresh(ctx context.Context) error { return h.replica.confirm(ctx) }
+// Run keeps the replica of the records up to date while requests wait for it, until ctx ends.
+func (h *Handler) Run(ctx context.Context) { h.replica.run(ctx) }
 
-// Locations returns where tasks of an unfinished job may be, by what was read last.
-func (h *Handler) Locations(id string) []jobstore.Location { return h.replica.places(id) }
+// Refresh brings the replica to a state no older than the call. It fails if the key-value store
+// cannot be read before ctx ends. The node calls it to learn of cancellations even if no user asks.
+func (h *Handler) Refresh(ctx context.Context) error { return h.replica.confirmFresh(ctx) }
 
-// Run keeps the copy of the records that polls are answered from, until ctx ends.
-func (h *Handler) Run(ctx context.Context) { h.replica.run(ctx) }
+// Locations returns, in no order, where tasks of an unfinished job may run according to the
+// replica as of its last read.
+func (h *Handler) Locations(id string) []jobstore.Location { return h.replica.locations(id) }
 
 // Serve answers a request for a path under /v1/jobs.
 func (h *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
--- a/internal/api/job_view.go
+++ b/internal/api/job_view.go
@@ -7,58 +7,112 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// view is what is known of one unfinished job.
-type view struct {
-	known     bool // its record has been seen, not only chunks
-	cancelled bool
-	learnt    bool // that was passed on
-	broken    bool // its record cannot be read, so nothing is told of it
-	base      int  // chunks below it are of a layout before, and no longer count
-	rev       uint64
-	chunks    map[int]tally
+// jobView is what a replica knows of one unfinished job. Its events may come late or twice, after
+// a load; each part ignores those that are no newer than the revision it was read at. The lock of
+// the replica guards it.
+type jobView struct {
+	// From the job's record.
+	hasRecord  bool // false if only chunks have been seen, or if the record was deleted
+	unreadable bool // the record cannot be decoded, so users are told nothing
+	cancelled  bool
+	firstChunk int // chunks below it are of an earlier layout of the job and no longer count
+	revision   uint64
+
+	reported bool                // the cancellation was passed on by the replica
+	chunks   map[int]chunkCounts // by number
 }
 
-// tally is what is told of one chunk's tasks, and where the live ones are.
-type tally struct {
-	rev  uint64
-	done int
-	live []jobstore.Location
+// chunkCounts is what one chunk's record says of its tasks.
+type chunkCounts struct {
+	revision uint64
+	done     int
+	live     []jobstore.Location
 }
 
-// apply takes one change into a copy.
-func apply(jobs map[string]*view, e *kvstore.Event) {
-	id, chunk, ok := jobstore.SplitKey(e.Put + e.Delete)
+// applyEvent applies one change of a key under jobstore.JobPrefix to the views of all jobs.
+func applyEvent(jobs map[string]*jobView, event *kvstore.Event) {
+	isDelete := event.Delete != ""
+	id, chunk, ok := jobstore.SplitKey(event.Put + event.Delete) // one of them is empty
 	if !ok {
 		return
 	}
-	v := jobs[id]
-	if v == nil {
-		if e.Delete != "" {
+	view := jobs[id]
+	if view == nil {
+		if isDelete {
 			return
 		}
-		v = &view{chunks: map[int]tally{}}
-		jobs[id] = v
+		view = &jobView{chunks: map[int]chunkCounts{}}
+		jobs[id] = view
+	}
+	if chunk >= 0 {
+		view.applyChunk(id, chunk, event)
+	} else {
+		view.applyRecord(event)
+	}
+	if !view.hasRecord && len(view.chunks) == 0 {
+		delete(jobs, id)
+	}
+}
+
+// applyRecord applies a change of the job's record.
+func (v *jobView) applyRecord(event *kvstore.Event) {
+	if event.Revision <= v.revision {
+		return
+	}
+	v.revision = event.Revision
+	if event.Delete != "" {
+		v.hasRecord = false
+		return
+	}
+	cancelled, firstChunk, err := jobstore.DecodeRecordSummary(event.Value)
+	if err != nil {
+		slog.Error("job record unreadable", "key", event.Put, "err", err)
+	}
+	v.hasRecord = true
+	v.unreadable = err != nil
+	v.cancelled = cancelled
+	v.firstChunk = firstChunk
+}
+
+// applyChunk applies a change of one chunk's record.
+func (v *jobView) applyChunk(id string, chunk int, event *kvstore.Event) {
+	if event.Revision <= v.chunks[chunk].revision {
+		return
 	}
-	switch {
-	case chunk >= 0 && e.Revision <= v.chunks[chunk].rev, chunk < 0 && e.Revision <= v.rev:
-	case chunk >= 0 && e.Delete != "":
+	if event.Delete != "" {
 		delete(v.chunks, chunk)
-	case chunk >= 0:
-		done, live, err := jobstore.DecodeChunk(id, e.Value)
-		if err != nil {
-			slog.Error("chunk unreadable", "key", e.Put, "err", err)
-		}
-		v.chunks[chunk] = tally{e.Revision, done, live}
-	case e.Delete != "":
-		v.known, v.rev = false, e.Revision
-	default:
-		cancelled, base, err := jobstore.DecodeRecordSummary(e.Value)
-		if err != nil {
-			slog.Error("job record unreadable", "key", e.Put, "err", err)
+		return
+	}
+	done, live, err := jobstore.DecodeChunk(id, event.Value)
+	if err != nil {
+		slog.Error("chunk unreadable", "key", event.Put, "err", err)
+	}
+	v.chunks[chunk] = chunkCounts{revision: event.Revision, done: done, live: live}
+}
+
+// state returns what users are told of the job, whose record must be readable.
+func (v *jobView) state(id string) jobState {
+	if v.cancelled {
+		return jobState{ID: id, Status: StatusCancelled}
+	}
+	state := jobState{ID: id, Status: StatusPending}
+	for number, chunk := range v.chunks {
+		if number >= v.firstChunk {
+			state.Done += chunk.done
+			state.Running += len(chunk.live)
 		}
-		v.known, v.cancelled, v.broken, v.base, v.rev = true, cancelled, err != nil, base, e.Revision
 	}
-	if !v.known && len(v.chunks) == 0 {
-		delete(jobs, id)
+	if state.Running > 0 {
+		state.Status = StatusRunning
+	}
+	return state
+}
+
+// locations returns where tasks of the job may run, by all chunks that are left.
+func (v *jobView) locations() []jobstore.Location {
+	var locations []jobstore.Location
+	for _, chunk := range v.chunks {
+		locations = append(locations, chunk.live...)
 	}
+	return locations
 }
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -3,67 +3,81 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
+// poll answers the question for a job's state.
 func (h *Handler) poll(ctx context.Context, id string) wire.Response {
-	if s, ok := h.finalStates.get(id); ok {
-		return respondOK(jobSummary{id, s})
+	if status, cached := h.finalStates.get(id); cached {
+		return respondOK(jobSummary{id, status})
 	}
-	st, err := h.lookup(ctx, id)
+	state, err := h.lookup(ctx, id)
 	switch {
 	case err == nil:
-		return respondOK(st)
+		return respondOK(state)
 	case errors.Is(err, kvstore.ErrNotFound):
 		return noSuchJob()
 	}
 	return unavailable()
 }
 
-// lookup returns a job's state from the copy of the records, brought up to date
-// after the call, or from its final state. The copy comes first: a job that ends
-// in between is found by the read.
+// lookup returns a job's state, no older than the call, as it may be told to the user:
+// kvstore.ErrNotFound if there is no such job, any other error if it cannot be told now. The
+// replica of the unfinished jobs comes first: a job that ends in between is found by the read of
+// its final state, while the other order would miss it.
 func (h *Handler) lookup(ctx context.Context, id string) (jobState, error) {
-	if err := h.replica.confirm(ctx); err != nil {
+	if err := h.replica.confirmFresh(ctx); err != nil {
 		return jobState{}, err
 	}
-	st, found, err := h.replica.status(id)
-	if err != nil || found {
-		if st.Status == StatusCancelled {
-			err = h.mayTell(ctx, id)
-		}
-		return st, err
+	state, err := h.replica.state(id)
+	switch {
+	case errors.Is(err, errNotUnfinished):
+		return h.readFinalState(ctx, id)
+	case err != nil:
+		return jobState{}, err
+	case state.Status == StatusCancelled:
+		return state, h.confirmReplicated(ctx, id)
 	}
-	it, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
+	return state, nil
+}
+
+// readFinalState reads the state of a job that has ended.
+func (h *Handler) readFinalState(ctx context.Context, id string) (jobState, error) {
+	item, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
 	if err != nil {
-		return st, err
+		return jobState{}, fmt.Errorf("api: final state: %w", err)
 	}
-	var end jobstore.FinalState
-	if err := wire.Unmarshal(it.Value, &end); err != nil {
-		return st, err
+	var final jobstore.FinalState
+	if err := wire.Unmarshal(item.Value, &final); err != nil {
+		return jobState{}, fmt.Errorf("api: final state: %w", err)
 	}
-	h.finalStates.put(id, JobStatus(end.Status))
-	st = jobState{ID: id, Status: JobStatus(end.Status)}
-	if st.Status == StatusDone {
-		st.Done = end.Tasks
+	status := JobStatus(final.Status)
+	h.finalStates.put(id, status)
+	state := jobState{ID: id, Status: status}
+	if status == StatusDone {
+		state.Done = final.Tasks
 	}
-	return st, nil
+	return state, nil
 }
 
-var errUntold = errors.New("api: too few controllers hold the cancellation")
+// errNotReplicated says that too few controllers hold a cancellation that is recorded.
+var errNotReplicated = errors.New("api: cancellation not held by a majority")
 
-// mayTell tells whether a user may be told that an unfinished job is cancelled: that
-// starts the time in which its tasks must be gone, so most controllers must hold it in
-// memory. Once the job's end is recorded nothing of it is left, and anybody may.
+// confirmReplicated returns nil if a user may be told that an unfinished job is cancelled. The
+// answer starts the time in which the job's tasks must be gone, so a majority of the controllers
+// must hold the cancellation in memory. Once the job's end is recorded no task is left, and this
+// is not needed.
 //
-// It guards against the end of the only controller that knows of a cancellation, in an
-// outage of the state service that outlasts that time, while workers go to another.
-func (h *Handler) mayTell(ctx context.Context, id string) error {
+// Without it the only controller that knows of a cancellation could crash in an outage of the
+// key-value store that outlasts that time, while the others extend the leases of the job's
+// workers (docs/leadership.md, "Who knows of cancellations").
+func (h *Handler) confirmReplicated(ctx context.Context, id string) error {
 	if !h.cfg.ReplicateCancellation(ctx, id) {
-		return errUntold
+		return errNotReplicated
 	}
 	h.finalStates.put(id, StatusCancelled)
 	return nil
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -8,65 +8,96 @@
 	"sync"
 	"time"
 
+	"tulipshelf/internal/clock"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
 )
 
-// replica is this node's copy of what users may be told of unfinished jobs. One
-// read of the changes since the last one brings it up to date and so confirms, as
-// freshly as a read of their own, every answer that waited when it was sent.
+// replica is this node's replica of what users may be told of unfinished jobs. One read of the
+// changes since the last one brings it up to date. The read is linearizable, so it confirms for all
+// requests that waited when it was sent that the replica is as fresh as a read of their own.
 //
-// It guards against polls that cost a request each: with a few hundred jobs, each
-// asked about every 5 s, they took more than the state service's whole rate, and
-// the same users were refused again and again.
+// Without it every poll costs a read. A few hundred jobs, each polled every few seconds, then use up
+// the rate that the key-value store allows, and their users are refused again and again.
 type replica struct {
-	store *kvstore.Client
-	gap   time.Duration // least time between two reads
-	wake  chan struct{}
-	learn func(cancelled []string, asOf time.Time) // jobs newly found cancelled by a read sent then
-
-	mu      sync.Mutex
-	waiting *round
-	rev     uint64 // state of the copy; 0: not read
-	jobs    map[string]*view
+	store       *kvstore.Client
+	minInterval time.Duration // between the beginnings of two reads
+	wake        chan struct{} // has one element if a read is pending
+	onRead      func(cancelled []string, asOf time.Time)
+
+	revision uint64 // up to which jobs is complete; 0: read everything. Only run's goroutine uses it
+
+	mu      sync.Mutex          // guards what follows
+	pending *pendingRead        // nil: no request waits for the next read
+	jobs    map[string]*jobView // by job ID
 }
 
-// round is one read to come, and whoever waits for it.
-type round struct {
-	done chan struct{}
+// pendingRead is a read that has not been sent yet. Requests share it.
+type pendingRead struct {
+	done chan struct{} // closed once the read has ended and err is set
 	err  error
 }
 
-// readShare is the part of the state service's rate that one node spends at most
-// on keeping its copy fresh while users ask.
-const readShare = 0.1
+const (
+	// readShare is the part of the key-value store's rate that one node uses at most for its replica.
+	// The rest is for writes, and the other nodes have replicas, too.
+	readShare = 0.1
+
+	// changesTimeout bounds the read of changes. Users' requests wait for it, and they have to be
+	// answered within requestTimeout.
+	changesTimeout = time.Second
+
+	// pageSize is how many keys one range read may return, the key-value store's own limit.
+	pageSize = 1000
+)
 
-func newReplica(store *kvstore.Client, rps float64, learn func([]string, time.Time)) *replica {
-	return &replica{store: store, learn: learn, gap: time.Duration(float64(time.Second) / (readShare * rps)),
-		wake: make(chan struct{}, 1), jobs: map[string]*view{}}
+// newReplica returns an empty replica, for a store that allows storeRPS requests a second. onRead is
+// called after each read with the jobs that it found newly cancelled and when it was sent.
+func newReplica(store *kvstore.Client, storeRPS float64, onRead func(cancelled []string, asOf time.Time)) *replica {
+	return &replica{
+		store:       store,
+		minInterval: time.Duration(float64(time.Second) / (readShare * storeRPS)),
+		wake:        make(chan struct{}, 1),
+		onRead:      onRead,
+		jobs:        map[string]*jobView{},
+	}
 }
 
-// confirm brings the copy to a state no older than the call.
-func (r *replica) confirm(ctx context.Context) error {
+// confirmFresh waits until the replica is no older than the call.
+func (r *replica) confirmFresh(ctx context.Context) error {
+	read := r.joinRead()
+	select {
+	case <-read.done:
+		return read.err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// joinRead returns the next read to be sent and asks run for it.
+func (r *replica) joinRead() *pendingRead {
 	r.mu.Lock()
-	if r.waiting == nil {
-		r.waiting = &round{done: make(chan struct{})}
+	defer r.mu.Unlock()
+	if r.pending == nil {
+		r.pending = &pendingRead{done: make(chan struct{})}
 		select {
 		case r.wake <- struct{}{}:
 		default:
 		}
 	}
-	w := r.waiting
-	r.mu.Unlock()
-	select {
-	case <-w.done:
-		return w.err
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return r.pending
+}
+
+// takePending returns the read that requests wait for, or nil. Later requests wait for the next.
+func (r *replica) takePending() *pendingRead {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	read := r.pending
+	r.pending = nil
+	return read
 }
 
-// run reads whenever somebody waits, until ctx ends.
+// run reads whenever a request waits, until ctx ends.
 func (r *replica) run(ctx context.Context) {
 	for {
 		select {
@@ -74,78 +105,85 @@
 			return
 		case <-r.wake:
 		}
-		r.mu.Lock()
-		w := r.waiting
-		r.waiting = nil
-		r.mu.Unlock()
-		if w == nil {
+		read := r.takePending()
+		if read == nil {
 			continue
 		}
 		began := time.Now()
-		if w.err = r.refresh(ctx); w.err != nil {
-			slog.Debug("copy of the records not refreshed", "err", w.err)
+		read.err = r.refresh(ctx)
+		if read.err != nil {
+			slog.Debug("replica of the job records not refreshed", "err", read.err)
 		}
-		close(w.done)
-		select {
-		case <-ctx.Done():
+		close(read.done)
+		if !clock.Sleep(ctx, r.minInterval-time.Since(began)) {
 			return
-		case <-time.After(r.gap - time.Since(began)):
 		}
 	}
 }
 
-// refresh reads the changes since the last time, or everything.
+// refresh reads the changes since the last read, or everything if there was none. Only run calls it.
 func (r *replica) refresh(ctx context.Context) error {
-	if r.rev == 0 {
+	if r.revision == 0 {
 		if err := r.load(ctx); err != nil {
 			return err
 		}
 	}
 	sent := time.Now()
-	rctx, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
-	events, rev, err := r.store.Changes(rctx, jobstore.JobPrefix, r.rev)
+	cancelled, err := r.applyChanges(ctx)
 	if errors.Is(err, kvstore.ErrCompacted) {
-		r.rev = 0
+		r.revision = 0 // the next read begins anew
 	}
 	if err != nil {
 		return fmt.Errorf("api: changes: %w", err)
 	}
+	r.onRead(cancelled, sent)
+	return nil
+}
+
+// applyChanges reads and applies the changes since revision. It returns the jobs that are newly
+// found cancelled, by these changes or by an earlier load.
+func (r *replica) applyChanges(ctx context.Context) (cancelled []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, changesTimeout)
+	defer cancel()
+	events, revision, err := r.store.Changes(ctx, jobstore.JobPrefix, r.revision)
+	if err != nil {
+		return nil, err
+	}
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	for i := range events {
-		apply(r.jobs, &events[i])
+		applyEvent(r.jobs, &events[i])
 	}
-	r.rev = max(r.rev, rev)
-	var cancelled []string
-	for id, v := range r.jobs {
-		if v.cancelled && !v.learnt {
-			v.learnt = true
+	r.revision = max(r.revision, revision)
+	for id, view := range r.jobs {
+		if view.cancelled && !view.reported {
+			view.reported = true
 			cancelled = append(cancelled, id)
 		}
 	}
-	r.mu.Unlock()
-	r.learn(cancelled, sent)
-	return nil
+	return cancelled, nil
 }
 
-// load reads all records. Its pages are of different revisions; the changes since
-// the first one put that right, as what is older than what was read is passed over.
-// Until all is read the old copy stands: whoever it was confirmed for may still look
-// at it, and must not find an accepted job missing.
+// load reads all records, in pages of different revisions. The changes since the first page, which
+// are read next, make them consistent: views ignore events that are older than what they hold.
+//
+// The old state stands until everything is read. A request for which it was confirmed may be about
+// to look at it, and would miss an accepted job in a state that is half loaded.
 func (r *replica) load(ctx context.Context) error {
-	jobs := map[string]*view{}
-	rev, after := uint64(0), ""
+	jobs := map[string]*jobView{}
+	var firstRevision uint64
+	lastKey := ""
 	for {
-		page, err := r.store.List(ctx, jobstore.JobPrefix, after, 1000, kvstore.PriorityUser)
+		page, err := r.store.List(ctx, jobstore.JobPrefix, lastKey, pageSize, kvstore.PriorityUser)
 		if err != nil {
 			return fmt.Errorf("api: records: %w", err)
 		}
-		if rev == 0 {
-			rev = page.Revision
+		if firstRevision == 0 {
+			firstRevision = page.Revision
 		}
-		for _, it := range page.Items {
-			apply(jobs, &kvstore.Event{Put: it.Key, Value: it.Value, Revision: it.Revision})
-			after = it.Key
+		for _, item := range page.Items {
+			applyEvent(jobs, &kvstore.Event{Put: item.Key, Value: item.Value, Revision: item.Revision})
+			lastKey = item.Key
 		}
 		if !page.More || len(page.Items) == 0 {
 			break
@@ -153,46 +191,39 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs, r.rev = jobs, rev
+	r.jobs = jobs
+	r.revision = firstRevision
 	return nil
 }
 
-var errBroken = errors.New("api: record unreadable")
+// Errors of state.
+var (
+	errNotUnfinished    = errors.New("api: no unfinished job")
+	errRecordUnreadable = errors.New("api: record unreadable")
+)
 
-// status returns what the copy says of an unfinished job.
-func (r *replica) status(id string) (st jobState, found bool, err error) {
+// state returns the state of an unfinished job: errNotUnfinished if the replica has no such job,
+// errRecordUnreadable if nothing is known of it.
+func (r *replica) state(id string) (jobState, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.jobs[id]
+	view := r.jobs[id]
 	switch {
-	case v == nil || !v.known:
-		return jobState{}, false, nil
-	case v.broken:
-		return jobState{}, true, errBroken
-	case v.cancelled:
-		return jobState{ID: id, Status: StatusCancelled}, true, nil
+	case view == nil || !view.hasRecord:
+		return jobState{}, errNotUnfinished
+	case view.unreadable:
+		return jobState{}, errRecordUnreadable
 	}
-	st = jobState{ID: id, Status: StatusPending}
-	for n, c := range v.chunks {
-		if n >= v.base {
-			st.Done += c.done
-			st.Running += len(c.live)
-		}
-	}
-	if st.Running > 0 {
-		st.Status = StatusRunning
-	}
-	return st, true, nil
+	return view.state(id), nil
 }
 
-// places returns where tasks of an unfinished job may be, by the copy.
-func (r *replica) places(id string) (out []jobstore.Location) {
+// locations returns where tasks of an unfinished job may run.
+func (r *replica) locations(id string) []jobstore.Location {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v := r.jobs[id]; v != nil {
-		for _, c := range v.chunks {
-			out = append(out, c.live...)
-		}
+	view := r.jobs[id]
+	if view == nil {
+		return nil
 	}
-	return out
+	return view.locations()
 }
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -13,22 +13,22 @@
 	"tulipshelf/internal/wire"
 )
 
-// While everything is read anew the copy that was confirmed before stands: a job that
-// it holds is not missed by whoever still looks at it.
-func TestCopyStandsUntilReadAnew(t *testing.T) {
+// While everything is read anew the state that was confirmed before stands: a job in it is not
+// missed by a request that still looks at it.
+func TestReplicaStandsUntilReloaded(t *testing.T) {
 	const id = "wk-000001"
-	store := kvstore.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }, "", 100, 100)
-	r := newReplica(store, 100, func([]string, time.Time) {})
+	dial := func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }
+	r := newReplica(kvstore.New(dial, "", 100, 100), 100, func([]string, time.Time) {})
 	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1})
-	apply(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 7})
+	applyEvent(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 7})
 	if err := r.load(context.Background()); err == nil {
-		t.Fatal("read from a service that is down")
+		t.Fatal("loaded from a store that is down")
 	}
-	if st, found, err := r.status(id); err != nil || !found || st.Status != StatusPending {
-		t.Errorf("%+v, found %v, %v", st, found, err)
+	if state, err := r.state(id); err != nil || state.Status != StatusPending {
+		t.Errorf("%+v, %v", state, err)
 	}
-	apply(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
-	if _, found, _ := r.status(id); found {
-		t.Error("found after its end")
+	applyEvent(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
+	if _, err := r.state(id); !errors.Is(err, errNotUnfinished) {
+		t.Errorf("%v after the job's end", err)
 	}
 }
