--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -74,24 +74,45 @@
 // replica as of its last read.
 func (h *Handler) Locations(id string) []jobstore.Location { return h.replica.locations(id) }
 
-// Serve answers a request for a path under /v1/jobs.
+// Paths under which jobs are served.
+const (
+	jobsPath     = "/v1/jobs"
+	cancelSuffix = "/abort" // of a job's path
+)
+
+// requestTimeout bounds the work for one request. What is undecided by then is answered 503, so
+// that the user can retry, perhaps at another node, instead of waiting for this one.
+const requestTimeout = 1500 * time.Millisecond
+
+// Serve answers a request whose path is jobsPath or begins with it and a slash. The request's
+// body is not kept.
 func (h *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
-	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	rest := strings.TrimPrefix(req.Path, "/v1/jobs")
-	if rest == "" {
-		if req.Method != "POST" {
-			return methodNotAllowed()
-		}
-		return h.submit(ctx, req.Body)
+	subpath := strings.TrimPrefix(req.Path, jobsPath)
+	if subpath == "" {
+		return h.serveJobs(ctx, req)
+	}
+	return h.serveJob(ctx, req.Method, strings.TrimPrefix(subpath, "/"))
+}
+
+// serveJobs answers a request for the collection of jobs.
+func (h *Handler) serveJobs(ctx context.Context, req *wire.Request) wire.Response {
+	if req.Method != "POST" {
+		return methodNotAllowed()
 	}
-	id, abort := strings.CutSuffix(strings.TrimPrefix(rest, "/"), "/abort")
+	return h.submit(ctx, req.Body)
+}
+
+// serveJob answers a request for one job: its ID, or its ID and cancelSuffix.
+func (h *Handler) serveJob(ctx context.Context, method, subpath string) wire.Response {
+	id, isCancel := strings.CutSuffix(subpath, cancelSuffix)
 	switch {
 	case !job.ValidID(id):
 		return noSuchJob()
-	case abort && req.Method == "POST":
-		return h.abort(ctx, id)
-	case !abort && req.Method == "GET":
+	case isCancel && method == "POST":
+		return h.cancel(ctx, id)
+	case !isCancel && method == "GET":
 		return h.poll(ctx, id)
 	}
 	return methodNotAllowed()
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -63,22 +63,3 @@
 	}
 	return state, nil
 }
-
-// errNotReplicated says that too few controllers hold a cancellation that is recorded.
-var errNotReplicated = errors.New("api: cancellation not held by a majority")
-
-// confirmReplicated returns nil if a user may be told that an unfinished job is cancelled. The
-// answer starts the time in which the job's tasks must be gone, so a majority of the controllers
-// must hold the cancellation in memory. Once the job's end is recorded no task is left, and this
-// is not needed.
-//
-// Without it the only controller that knows of a cancellation could crash in an outage of the
-// key-value store that outlasts that time, while the others extend the leases of the job's
-// workers (docs/leadership.md, "Who knows of cancellations").
-func (h *Handler) confirmReplicated(ctx context.Context, id string) error {
-	if !h.cfg.ReplicateCancellation(ctx, id) {
-		return errNotReplicated
-	}
-	h.finalStates.put(id, StatusCancelled)
-	return nil
-}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -12,49 +12,63 @@
 	"tulipshelf/internal/wire"
 )
 
+// submit accepts a job: 201 if it was recorded by this request, 200 if it is known already. Users
+// repeat submissions whose outcome they do not know, so a known job is never refused, whatever
+// this copy of the submission says.
 func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
 		return refuse(statusBadRequest, err.Error())
 	}
-	if s, ok := h.finalStates.get(id); ok {
-		return respondOK(jobSummary{id, s})
-	}
-	spec, refusal := h.check(body)
-	if refusal.Status != 0 {
-		// A job that is known is never refused, whatever this copy says.
-		st, err := h.lookup(ctx, id)
-		if err == nil {
-			return respondOK(jobSummary{id, st.Status})
-		}
-		if !errors.Is(err, kvstore.ErrNotFound) {
-			return unavailable()
-		}
-		return refusal
-	}
-	if spec.Shape == job.Gang && !h.cfg.GangsSupported() {
-		// A controller of an earlier version may lead yet, or next.
-		if st, err := h.lookup(ctx, id); err == nil {
-			return respondOK(jobSummary{id, st.Status})
-		}
-		return unavailable()
-	}
-	rec := jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: h.cfg.TasksPerChunk}
-	_, err = h.cfg.Store.Txn(ctx,
-		[]kvstore.Compare{{Key: jobstore.JobKey(id)}, {Key: jobstore.EndKey(id)}},
-		[]kvstore.Mutation{{Put: jobstore.JobKey(id), Value: wire.Marshal(rec)}}, kvstore.PriorityUser)
-	var conflict *kvstore.ConflictError
-	switch {
-	case err == nil:
+	if status, cached := h.finalStates.get(id); cached {
+		return respondOK(jobSummary{id, status})
+	}
+	spec, err := h.validate(body)
+	if err != nil {
+		return h.okIfKnown(ctx, id, err)
+	}
+	err = h.createRecord(ctx, spec)
+	if err == nil {
 		h.cfg.OnJobChanged(id)
 		return respondCreated(jobSummary{id, StatusPending})
-	case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
-		// Known already, or perhaps written just now: what stands decides.
-		if st, err := h.lookup(ctx, id); err == nil {
-			return respondOK(jobSummary{id, st.Status})
-		}
-	default:
-		slog.Debug("submission not written", "job", id, "err", err)
+	}
+	if needsReadBack(err) {
+		return h.okIfKnown(ctx, id, err)
+	}
+	slog.Debug("submission not written", "job", id, "err", err)
+	return unavailable()
+}
+
+// createRecord writes the record of a new job, unless the job is known.
+func (h *Handler) createRecord(ctx context.Context, spec *job.Spec) error {
+	record := jobstore.Record{
+		Spec:        spec,
+		SubmittedMS: time.Now().UnixMilli(),
+		ChunkSize:   h.cfg.TasksPerChunk,
+	}
+	isUnknown := []kvstore.Compare{{Key: jobstore.JobKey(spec.ID)}, {Key: jobstore.EndKey(spec.ID)}}
+	put := []kvstore.Mutation{{Put: jobstore.JobKey(spec.ID), Value: wire.Marshal(record)}}
+	_, err := h.cfg.Store.Txn(ctx, isUnknown, put, kvstore.PriorityUser)
+	return err
+}
+
+// okIfKnown answers a submission that could not be accepted because of cause: 200 if the job is
+// known, otherwise what follows from the cause.
+func (h *Handler) okIfKnown(ctx context.Context, id string, cause error) wire.Response {
+	state, err := h.lookup(ctx, id)
+	if err == nil {
+		return respondOK(jobSummary{id, state.Status})
+	}
+	var invalid *validationError
+	if errors.Is(err, kvstore.ErrNotFound) && errors.As(cause, &invalid) {
+		return refuse(invalid.status, invalid.reason)
 	}
 	return unavailable()
 }
+
+// needsReadBack reports whether the record has to be read to know what stands after a transaction
+// that ended with err: it met a change by another node, or it may have been applied itself.
+func needsReadBack(err error) bool {
+	var conflict *kvstore.ConflictError
+	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrUnknown)
+}
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -1,65 +1,100 @@
 package api
 
 import (
+	"errors"
+	"fmt"
+	"slices"
+
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/job"
-	"tulipshelf/internal/wire"
 )
 
-// check returns the checked submission or the answer that refuses it.
-func (h *Handler) check(body []byte) (*job.Spec, wire.Response) {
+// validationError says why a submission is refused for good, with the HTTP status of the answer.
+type validationError struct {
+	status int
+	reason string
+}
+
+func (e *validationError) Error() string {
+	return fmt.Sprintf("api: submission refused with status %d: %s", e.status, e.reason)
+}
+
+// Reasons for which a submission cannot be accepted now, but may be later.
+var (
+	errCatalogUnknown    = errors.New("api: machine types unknown")
+	errGangsNotSupported = errors.New("api: not all controllers support gangs")
+)
+
+// quotaTolerance is by how much a job may exceed its team's quota: products of fractional CPUs
+// are not exact.
+const quotaTolerance = 1e-6
+
+// validate decodes and checks a submission. The error is a *validationError, errCatalogUnknown or
+// errGangsNotSupported. If the submission names machine types, those that a task does not fit are
+// removed from the result.
+func (h *Handler) validate(body []byte) (*job.Spec, error) {
 	spec, err := job.Decode(body)
 	if err != nil {
-		return nil, refuse(statusBadRequest, err.Error())
-	}
-	var team *config.Team
-	for i := range h.cfg.Teams {
-		if h.cfg.Teams[i].Name == spec.Team {
-			team = &h.cfg.Teams[i]
-		}
-	}
-	if team == nil {
-		return nil, refuse(statusUnprocessableEntity, "unknown team")
+		return nil, &validationError{statusBadRequest, err.Error()}
 	}
-	tasks := 1.0
-	if spec.Shape != job.Array {
-		tasks = float64(spec.Tasks)
+	if err := h.validateQuota(spec); err != nil {
+		return nil, err
 	}
-	if spec.CPUs*tasks > team.MaxCPUs+1e-6 || spec.GPUs*tasks > team.MaxGPUs+1e-6 {
-		return nil, refuse(statusUnprocessableEntity, "more than the team's limit")
-	}
-	types := h.cfg.MachineTypes()
-	if types == nil {
-		return nil, unavailable()
-	}
-	var allowed []string
-	for i := range types {
-		if Allows(spec, &types[i]) {
-			allowed = append(allowed, types[i].Name)
-		}
+	machineTypes := h.cfg.MachineTypes()
+	if machineTypes == nil {
+		return nil, errCatalogUnknown
 	}
+	allowed := allowedTypes(spec, machineTypes)
 	if len(allowed) == 0 {
-		return nil, refuse(statusUnprocessableEntity, "fits no allowed machine type")
+		return nil, &validationError{statusUnprocessableEntity, "fits no allowed machine type"}
 	}
 	if spec.Types != nil {
 		spec.Types = allowed
 	}
-	return spec, wire.Response{}
+	if spec.Shape == job.Gang && !h.cfg.GangsSupported() {
+		return nil, errGangsNotSupported
+	}
+	return spec, nil
 }
 
-// Allows tells whether a task of the job can run on a machine type at all.
-func Allows(s *job.Spec, t *cloud.Type) bool {
-	if s.CPUs > t.CPUs || s.GPUs > t.GPUs || s.RAM > t.RAM {
-		return false
+// validateQuota checks that the team's quota can ever hold the job: one task of an array, all tasks
+// of any other job.
+func (h *Handler) validateQuota(spec *job.Spec) error {
+	isTeam := func(team config.Team) bool { return team.Name == spec.Team }
+	index := slices.IndexFunc(h.cfg.Teams, isTeam)
+	if index < 0 {
+		return &validationError{statusUnprocessableEntity, "unknown team"}
+	}
+	concurrentTasks := 1.0
+	if spec.Shape != job.Array {
+		concurrentTasks = float64(spec.Tasks)
 	}
-	in := func(list []string, name string) bool {
-		for _, n := range list {
-			if n == name {
-				return true
-			}
+	team := &h.cfg.Teams[index]
+	cpusExceeded := spec.CPUs*concurrentTasks > team.MaxCPUs+quotaTolerance
+	gpusExceeded := spec.GPUs*concurrentTasks > team.MaxGPUs+quotaTolerance
+	if cpusExceeded || gpusExceeded {
+		return &validationError{statusUnprocessableEntity, "more than the team's limit"}
+	}
+	return nil
+}
+
+// allowedTypes returns the names of the machine types that a task of the job can run on.
+func allowedTypes(spec *job.Spec, machineTypes []cloud.Type) []string {
+	var names []string
+	for i := range machineTypes {
+		if Allows(spec, &machineTypes[i]) {
+			names = append(names, machineTypes[i].Name)
 		}
-		return false
 	}
-	return (s.Types == nil || in(s.Types, t.Name)) && (s.Zone == "" || in(t.Zones, s.Zone))
+	return names
+}
+
+// Allows reports whether an empty machine of a type could run a task of the job, in a zone that the
+// job allows.
+func Allows(spec *job.Spec, machineType *cloud.Type) bool {
+	tooSmall := spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.RAM > machineType.RAM
+	typeAllowed := spec.Types == nil || slices.Contains(spec.Types, machineType.Name)
+	zoneAllowed := spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
+	return !tooSmall && typeAllowed && zoneAllowed
 }
