--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has the cancellation of a job, from the request to the answer.
+
 import (
 	"context"
 	"errors"
--- a/internal/api/final_cache.go
+++ b/internal/api/final_cache.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has the cache of final states.
+
 import "sync"
 
 // maxFinalStates bounds the memory of a finalStateCache. Any entry that was evicted can be read again
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has what a Handler is made of, its lifetime, and the routing of requests.
+
 import (
 	"context"
 	"strings"
--- a/internal/api/job_view.go
+++ b/internal/api/job_view.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has what the replica knows of one job, and how changes of its records are applied.
+
 import (
 	"log/slog"
 
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has polls, and how the state of a job is looked up for all requests.
+
 import (
 	"context"
 	"errors"
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has how the replica of the records is kept fresh: when it reads, what, and who waits for it.
+
 import (
 	"context"
 	"errors"
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -1,5 +1,7 @@
 package api
 
+// This file has the statuses and bodies of all answers.
+
 import (
 	"log/slog"
 
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -1,5 +1,8 @@
 package api
 
+// This file has the checks of a submission that need no read: its fields, its team's quota, and
+// whether any machine type fits.
+
 import (
 	"errors"
 	"fmt"
--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -1,5 +1,7 @@
 package cancellation
 
+// This file has the set of cancelled jobs itself and for how long they are kept.
+
 import (
 	"sync"
 	"time"
