--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -32,3 +32,43 @@
 		t.Errorf("%v after the job's end", err)
 	}
 }
+
+// A view takes the newest of what it is shown, in whatever order a load and the changes show it.
+func TestViewIgnoresOldEvents(t *testing.T) {
+	const id = "wk-000001"
+	const chunkKey = "job/wk-000001/000000"
+	record := func(cancelledMS int64) []byte {
+		return wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1, CancelledMS: cancelledMS})
+	}
+	chunk := func(done string) []byte {
+		return wire.Marshal(map[string]any{"done": done, "live": []any{}})
+	}
+	jobs := map[string]*jobView{}
+	applyEvent(jobs, &kvstore.Event{Put: chunkKey, Value: chunk("0-3"), Revision: 8})
+	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record(0), Revision: 5})
+	applyEvent(jobs, &kvstore.Event{Put: chunkKey, Value: chunk("0"), Revision: 6})
+	applyEvent(jobs, &kvstore.Event{Delete: chunkKey, Revision: 7})
+	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusPending, Done: 4}) {
+		t.Errorf("%+v", state)
+	}
+	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record(1), Revision: 9})
+	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record(0), Revision: 5})
+	if state := jobs[id].state(id); state.Status != StatusCancelled {
+		t.Errorf("%+v after a cancellation", state)
+	}
+	applyEvent(jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 10})
+	applyEvent(jobs, &kvstore.Event{Delete: chunkKey, Revision: 10})
+	if len(jobs) != 0 {
+		t.Error("a view is left of a job whose records are deleted")
+	}
+}
+
+// A record that this program cannot decode is no reason to say that there is no such job.
+func TestUnreadableRecordIsNotMissing(t *testing.T) {
+	const id = "wk-000001"
+	r := newReplica(nil, 100, nil)
+	applyEvent(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: []byte{0xff}, Revision: 5})
+	if _, err := r.state(id); !errors.Is(err, errRecordUnreadable) {
+		t.Errorf("%v", err)
+	}
+}
