--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -72,3 +72,23 @@
 		t.Errorf("%v", err)
 	}
 }
+
+// Chunks of an earlier layout of a job no longer count, but tasks in them may still run.
+func TestViewOfJobLaidOutAnew(t *testing.T) {
+	const id = "wk-000001"
+	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1, FirstChunk: 2})
+	chunk := wire.Marshal(map[string]any{"done": "0-3", "live": [][]any{{9, 1, "m-1", 1}}})
+	jobs := map[string]*jobView{}
+	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 5})
+	applyEvent(jobs, &kvstore.Event{Put: "job/wk-000001/000001", Value: chunk, Revision: 6})
+	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusPending}) {
+		t.Errorf("%+v with a chunk of the earlier layout", state)
+	}
+	applyEvent(jobs, &kvstore.Event{Put: "job/wk-000001/000002", Value: chunk, Revision: 7})
+	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusRunning, Done: 4, Running: 1}) {
+		t.Errorf("%+v", state)
+	}
+	if locations := jobs[id].locations(); len(locations) != 2 {
+		t.Errorf("locations %+v", locations)
+	}
+}
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -1,6 +1,7 @@
 package cancellation
 
 import (
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -144,6 +145,33 @@
 	})
 }
 
+// A register that had to forget jobs too early is like that of a new incarnation: it is complete
+// until no known time, and a read that was sent before does not make it complete.
+func TestOverflow(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		a, _, _ := newStaleCluster()
+		for i := range maxJobs {
+			a.Add(fmt.Sprintf("wk-%06d", i))
+		}
+		if _, known := a.Staleness(); !known {
+			t.Error("staleness unknown though nothing was forgotten")
+		}
+		readSent := time.Now()
+		time.Sleep(time.Millisecond)
+		a.Add("wk-999999")
+		if _, known := a.Staleness(); known || a.Contains("wk-000000") || !a.Contains("wk-999999") {
+			t.Error("not begun anew with the job that was one too many")
+		}
+		a.MergeRead(nil, readSent)
+		if _, known := a.Staleness(); known {
+			t.Error("complete by a read of which jobs may have been forgotten")
+		}
+		time.Sleep(time.Millisecond)
+		a.MergeRead(nil, time.Now())
+		expectFresh(t, a, true)
+	})
+}
+
 // A cancellation is kept for longer than its tasks may run, and then dropped.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
