--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -93,19 +93,18 @@
 
 // newAPI returns the handler of users' requests.
 func (n *Node) newAPI() *api.Handler {
-	handler := &api.Handler{
+	return api.New(api.Config{
 		Store:                 n.store,
+		StoreRPS:              n.settings.Store.RPS,
 		Teams:                 n.settings.Teams,
-		ChunkSize:             jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
-		Types:                 n.MachineTypes,
-		OnChanged:             n.notifyChanged,
-		OnCancelled:           func(id string) { n.onCancelled(n.cancelled.Add(id)) },
+		TasksPerChunk:         jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
+		MachineTypes:          n.MachineTypes,
+		OnJobChanged:          n.notifyChanged,
+		OnJobCancelled:        func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		GangsSupported:        n.gangsSupported.Load,
 		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.ReplicateCancellation(ctx, id) },
 		OnCancellationsRead:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
-	}
-	handler.Init(n.settings.Store.RPS)
-	return handler
+	})
 }
 
 // newPeers returns what exchanges heartbeats with the other controllers.
