--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -123,12 +123,7 @@
 		},
 	}
 	n.intake.Init(s.Store.RPS)
-	n.peers = &peer.Group{Dial: net.Dial, Node: s.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm, OnChanged: n.onChanged,
-		Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
-		ConfirmedGone: n.guard.known, OnConfirmedGone: n.guard.learn, StoreReachable: func() bool { return n.store.ServedWithin(readyServed) }}
-	for _, p := range s.Peers {
-		n.peers.Members = append(n.peers.Members, peer.Member{Node: p.Node, Addr: p.Addr})
-	}
+	n.peers = newPeerGroup(n, s)
 	return n
 }
 
--- /dev/null
+++ b/internal/peer/handler.go
@@ -0,0 +1,71 @@
+// Requests between members other than heartbeats, and the handler of all of them.
+
+package peer
+
+import (
+	"context"
+
+	"google.golang.org/protobuf/proto"
+
+	"tulipshelf/internal/wire"
+)
+
+// Paths served to other controllers. Controllers of older versions use them too.
+const (
+	heartbeatPath = "/beat"
+	changedPath   = "/changed"
+)
+
+// Statuses of the responses to other controllers.
+const (
+	statusOK               = 200
+	statusBadRequest       = 400
+	statusNotFound         = 404
+	statusMethodNotAllowed = 405
+)
+
+// NotifyLeader tells the leader, if one is known, that a job has changed. A message that is lost
+// costs time only: the leader watches the jobs' keys as well.
+func (g *Group) NotifyLeader(ctx context.Context, job string) {
+	leader, _ := g.node.Leadership()
+	if leader == g.config.Node {
+		g.node.JobsChanged([]string{job})
+		return
+	}
+	for _, m := range g.config.Members {
+		if m.Node == leader {
+			g.post(ctx, m, changedPath, marshal(&Changed{Jobs: []string{job}}))
+		}
+	}
+}
+
+// Serve handles a request of another controller: a wire.Handler.
+func (g *Group) Serve(_ context.Context, req *wire.Request) wire.Response {
+	if req.Method != "POST" {
+		return wire.Response{Status: statusMethodNotAllowed}
+	}
+	switch req.Path {
+	case heartbeatPath:
+		return g.serveHeartbeat(req.Body)
+	case changedPath:
+		return g.serveChanged(req.Body)
+	}
+	return wire.Response{Status: statusNotFound}
+}
+
+func (g *Group) serveHeartbeat(body []byte) wire.Response {
+	if _, ok := g.take(body); !ok {
+		return wire.Response{Status: statusBadRequest}
+	}
+	own, _ := g.own()
+	return wire.Response{Status: statusOK, Body: own}
+}
+
+func (g *Group) serveChanged(body []byte) wire.Response {
+	var changed Changed
+	if err := proto.Unmarshal(body, &changed); err != nil {
+		return wire.Response{Status: statusBadRequest}
+	}
+	g.node.JobsChanged(changed.Jobs)
+	return wire.Response{Status: statusOK}
+}
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -24,12 +24,12 @@
 	g.mu.Lock()
 	g.began = time.Now()
 	g.rounds, g.wake = map[string]*round{}, map[string]chan struct{}{}
-	for _, o := range g.Members {
+	for _, o := range g.config.Members {
 		g.wake[o.Node] = make(chan struct{}, 1)
 	}
 	g.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, o := range g.Members {
+	for _, o := range g.config.Members {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -64,7 +64,7 @@
 	if !ok {
 		return
 	}
-	g.Register.MergeAnswer(o.Node, seq, sent, statement(b))
+	g.config.Register.MergeAnswer(o.Node, seq, sent, statement(b))
 	// Only the answer to one's own heartbeat is a sign of life. One that comes in may be a
 	// late copy: taken for a sign, it kept workers waiting for a leader that could not
 	// be reached until their leases ran out (TestRepeats).
@@ -88,11 +88,11 @@
 	if err := proto.Unmarshal(body, &b); err != nil || b.Node == "" {
 		return nil, false
 	}
-	g.OnLeadership(b.Leader, b.Term)
-	if news := g.Register.Add(b.Cancelled...); len(news) > 0 {
-		g.OnCancelled(news)
+	g.node.ObserveLeadership(b.Leader, b.Term)
+	if news := g.config.Register.Add(b.Cancelled...); len(news) > 0 {
+		g.node.JobsCancelled(news)
 	}
-	g.OnConfirmedGone(decodeAttempts(b.Gone))
+	g.node.ObserveConfirmedGone(decodeAttempts(b.Gone))
 	return &b, true
 }
 
@@ -104,7 +104,7 @@
 	}
 	c := g.clients[o.Node]
 	if c == nil {
-		c = &wire.Client{Dial: g.Dial, Addr: o.Addr}
+		c = &wire.Client{Dial: g.config.Dial, Addr: o.Addr}
 		g.clients[o.Node] = c
 	}
 	return c
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -15,14 +15,14 @@
 
 // own returns this node's heartbeat, and the number of the last cancellation in it.
 func (g *Group) own() ([]byte, uint64) {
-	leader, term := g.Leadership()
-	s := g.Register.State()
-	b := &Heartbeat{Node: g.Node, Term: term, Leader: leader, Redirected: uint32(g.Redirected()), Served: g.StoreReachable(),
+	leader, term := g.node.Leadership()
+	s := g.config.Register.State()
+	b := &Heartbeat{Node: g.config.Node, Term: term, Leader: leader, Redirected: uint32(g.node.Redirected()), Served: g.node.StoreReachable(),
 		Cancelled: s.Jobs, Gangs: true, MemoryMs: uint64(s.Memory.Milliseconds())}
 	if s.Knows {
 		b.KnownMs = uint64(s.Age.Milliseconds()) + 2 // rounded up, and one more
 	}
-	b.Gone = within(encodeAttempts(g.ConfirmedGone()), maxHeartbeat-proto.Size(b))
+	b.Gone = within(encodeAttempts(g.node.ConfirmedGone()), maxHeartbeat-proto.Size(b))
 	return marshal(b), s.Sequence
 }
 
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -43,7 +43,7 @@
 func (g *Group) AllRunGangs() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, o := range g.Members {
+	for _, o := range g.config.Members {
 		if !g.gangs[o.Node] {
 			return false
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,51 +1,79 @@
-// Package peer is what the controllers of one service tell each other, in
-// protobuf over HTTP: who leads, and which jobs have changed or are cancelled. It makes
-// learning faster, it tells a leader that is cut off from the state service alone that
-// another one has been elected or that jobs are cancelled, and it keeps what is known of
-// cancellations beyond the end of any one of them (package cancellation).
+// Package peer is how the controllers of one service talk to each other, in protobuf over HTTP:
+// who leads, which jobs have changed and which are cancelled. It speeds up what the key-value
+// store would tell a controller anyway. A leader that is cut off from the store alone learns
+// here that another one was elected, or that jobs are cancelled. And it replicates
+// cancellations, so that they outlive any one controller (package cancellation).
+//
+// This file holds the group of controllers and how it is put together. Heartbeats are in
+// heartbeats.go, what the other members said last in observations.go, replication of
+// cancellations in replication.go, requests of other members in handler.go, the encoding in
+// messages.go.
 package peer
 
 //go:generate sh -c "protoc --plugin=protoc-gen-go=$(go tool -n protoc-gen-go) --go_out=. --go_opt=paths=source_relative peer.proto"
 
 import (
-	"context"
 	"sync"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"tulipshelf/internal/cancellation"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
-// Paths served to other controllers.
-const (
-	heartbeatPath = "/beat"
-	changedPath   = "/changed"
-)
+// Node is the controller on whose behalf a Group speaks. Its methods are called from several
+// goroutines at once and must return soon: heartbeats and their answers wait for them.
+type Node interface {
+	// Leadership returns the highest term that this controller knows, and who leads in it; ""
+	// if nobody is known to.
+	Leadership() (leader string, term uint64)
+
+	// ObserveLeadership takes the leader and term that another controller knows. They may be
+	// late: a term that is not above the one known changes nothing.
+	ObserveLeadership(leader string, term uint64)
+
+	// JobsChanged takes jobs that were submitted or cancelled through another controller, or
+	// through this one while it leads.
+	JobsChanged(jobs []string)
+
+	// Redirected returns how many agents have lately sent heartbeats to this controller though
+	// it does not lead.
+	Redirected() int
+
+	// StoreReachable reports whether the key-value store has lately served this controller.
+	StoreReachable() bool
+
+	// JobsCancelled takes jobs that a heartbeat of another controller has newly added to the
+	// register of cancelled jobs.
+	JobsCancelled(jobs []string)
+
+	// ConfirmedGone returns attempts of cancelled jobs that are known to be gone though their
+	// records, as this controller read them last, still have them as live.
+	ConfirmedGone() []job.AttemptID
 
-// Member is another controller.
+	// ObserveConfirmedGone takes what ConfirmedGone returned on another controller.
+	ObserveConfirmedGone(attempts []job.AttemptID)
+}
+
+// Member is another controller of the group.
 type Member struct {
-	Node string
-	Addr string
+	Node string // its name
+	Addr string // host and port at which it serves the others
+}
+
+// Config is what a Group is made of. None of it changes afterwards.
+type Config struct {
+	Dial     wire.DialFunc          // how to connect to the others; nil: TCP
+	Node     string                 // name of this controller
+	Members  []Member               // the other controllers
+	Register *cancellation.Register // of cancelled jobs; shared with the rest of the controller
 }
 
-// Group speaks with the other controllers.
+// Group is the controllers of one service as one of them sees them. All methods are safe for
+// concurrent use.
 type Group struct {
-	Dial         wire.DialFunc // nil: TCP
-	Node         string
-	Members      []Member
-	Leadership   func() (leader string, term uint64) // what this node knows
-	OnLeadership func(leader string, term uint64)    // what another node knows
-	OnChanged    func(jobs []string)                 // jobs changed elsewhere
-	Redirected   func() int                          // machines that came to this node, which does not lead
-
-	StoreReachable  func() bool            // whether the state service serves this node
-	Register        *cancellation.Register // of cancelled jobs
-	OnCancelled     func(jobs []string)    // jobs are news there
-	ConfirmedGone   func() []job.AttemptID // of cancelled jobs, though recorded as live
-	OnConfirmedGone func([]job.AttemptID)  // the same of another node
+	config Config
+	node   Node
 
 	mu         sync.Mutex
 	rounds     map[string]*round        // heartbeats to come for which somebody waits
@@ -59,39 +87,5 @@
 	gangs      map[string]bool      // whether a node's version ran gangs when last heard
 }
 
-// NotifyLeader passes on that a job has changed: to the leader, if one is known.
-func (g *Group) NotifyLeader(ctx context.Context, job string) {
-	leader, _ := g.Leadership()
-	if leader == g.Node {
-		g.OnChanged([]string{job})
-		return
-	}
-	for _, o := range g.Members {
-		if o.Node == leader {
-			g.post(ctx, o, changedPath, marshal(&Changed{Jobs: []string{job}}))
-		}
-	}
-}
-
-// Serve answers another controller.
-func (g *Group) Serve(_ context.Context, req *wire.Request) wire.Response {
-	if req.Method != "POST" {
-		return wire.Response{Status: 405}
-	}
-	switch req.Path {
-	case heartbeatPath:
-		if _, ok := g.take(req.Body); !ok {
-			return wire.Response{Status: 400}
-		}
-		own, _ := g.own()
-		return wire.Response{Status: 200, Body: own}
-	case changedPath:
-		var c Changed
-		if err := proto.Unmarshal(req.Body, &c); err != nil {
-			return wire.Response{Status: 400}
-		}
-		g.OnChanged(c.Jobs)
-		return wire.Response{Status: 200}
-	}
-	return wire.Response{Status: 404}
-}
+// New returns a group that answers the others at once and sends heartbeats once Run is called.
+func New(config Config, node Node) *Group { return &Group{config: config, node: node} }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,8 +23,7 @@
 	for i := range 5000 {
 		gone = append(gone, job.AttemptID{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Number: 1<<40 + uint64(i)})
 	}
-	sender := &Group{Node: "shelf-0", Leadership: func() (string, uint64) { return "shelf-1", 1 << 30 }, Redirected: func() int { return 6000 },
-		StoreReachable: func() bool { return true }, Register: register, ConfirmedGone: func() []job.AttemptID { return gone }}
+	sender := New(Config{Node: "shelf-0", Register: register}, &fakeNode{leader: "shelf-1", term: 1 << 30, redirected: 6000, storeReachable: true, gone: gone})
 	beat, _ := sender.own()
 	if len(beat) > wire.MaxBody {
 		t.Fatalf("a beat of %d bytes, %d may be sent", len(beat), wire.MaxBody)
@@ -32,10 +31,8 @@
 	if len(beat) < wire.MaxBody*9/10 {
 		t.Errorf("a beat of %d bytes leaves attempts out that would fit", len(beat))
 	}
-	taken, told := 0, 0
-	receiver := &Group{Node: "shelf-1", Leadership: sender.Leadership, OnLeadership: func(string, uint64) {}, Redirected: func() int { return 0 },
-		StoreReachable: sender.StoreReachable, Register: cancellation.New(3, 51*time.Second), OnCancelled: func(jobs []string) { taken += len(jobs) },
-		ConfirmedGone: func() []job.AttemptID { return nil }, OnConfirmedGone: func(a []job.AttemptID) { told += len(a) }}
+	node := &fakeNode{leader: "shelf-1", term: 1 << 30, storeReachable: true}
+	receiver := New(Config{Node: "shelf-1", Register: cancellation.New(3, 51*time.Second)}, node)
 	message := wire.AppendRequest(nil, "POST", heartbeatPath, "10.0.0.2:8081", beat)
 	req, _, err := wire.ParseRequest(message)
 	if err != nil {
@@ -44,7 +41,7 @@
 	if resp := receiver.Serve(context.Background(), &req); resp.Status != 200 {
 		t.Errorf("answered %d", resp.Status)
 	}
-	if taken != 4096 || told < 100 {
-		t.Errorf("%d cancelled jobs and %d attempts taken", taken, told)
+	if len(node.cancelled) != 4096 || len(node.observedGone) < 100 {
+		t.Errorf("%d cancelled jobs and %d attempts taken", len(node.cancelled), len(node.observedGone))
 	}
 }
--- a/internal/peer/replication.go
+++ b/internal/peer/replication.go
@@ -14,13 +14,13 @@
 // ReplicateCancellation sees to it that a majority of the controllers holds a job's cancellation, and
 // tells whether it does. Those that wait at once share a heartbeat.
 func (g *Group) ReplicateCancellation(ctx context.Context, id string) bool {
-	if g.Register.HeldByMajority(id) {
+	if g.config.Register.HeldByMajority(id) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	over := make(chan struct{}, len(g.Members))
-	for _, o := range g.Members {
+	over := make(chan struct{}, len(g.config.Members))
+	for _, o := range g.config.Members {
 		done := g.join(o)
 		go func() {
 			select {
@@ -30,9 +30,9 @@
 			over <- struct{}{}
 		}()
 	}
-	for range g.Members {
+	for range g.config.Members {
 		<-over
-		if g.Register.HeldByMajority(id) {
+		if g.config.Register.HeldByMajority(id) {
 			return true
 		}
 	}
