--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -32,9 +32,12 @@
 		g.node.JobsChanged([]string{job})
 		return
 	}
-	for _, m := range g.config.Members {
-		if m.Node == leader {
-			g.post(ctx, m, changedPath, marshal(&Changed{Jobs: []string{job}}))
+	for _, m := range g.members {
+		if m.Node != leader {
+			continue
+		}
+		if _, err := m.post(ctx, changedPath, marshal(&Changed{Jobs: []string{job}})); err != nil {
+			logRequestError(m, err)
 		}
 	}
 }
@@ -54,7 +57,7 @@
 }
 
 func (g *Group) serveHeartbeat(body []byte) wire.Response {
-	if _, ok := g.take(body); !ok {
+	if _, err := g.receiveHeartbeat(body); err != nil {
 		return wire.Response{Status: statusBadRequest}
 	}
 	own, _ := g.own()
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -4,6 +4,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
@@ -15,110 +17,117 @@
 )
 
 const (
-	heartbeatEvery = time.Second
-	timeout        = 800 * time.Millisecond
+	// heartbeatInterval is the mean time between two heartbeats to a member: a few of them must
+	// fit into the time after which a leader counts as lost.
+	heartbeatInterval = time.Second
+
+	// requestTimeout bounds one request to a member, and so for how long a caller waits for a
+	// majority: below heartbeatInterval, so that a member that hangs does not delay the next.
+	requestTimeout = 800 * time.Millisecond
+)
+
+// Errors of a request to a member.
+var (
+	errUnexpectedStatus   = errors.New("peer: unexpected status")
+	errMalformedHeartbeat = errors.New("peer: malformed heartbeat")
 )
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats to all other members until ctx ends. It is called once.
 func (g *Group) Run(ctx context.Context) {
-	g.mu.Lock()
-	g.began = time.Now()
-	g.rounds, g.wake = map[string]*round{}, map[string]chan struct{}{}
-	for _, o := range g.config.Members {
-		g.wake[o.Node] = make(chan struct{}, 1)
+	g.observations.start()
+	for _, m := range g.members {
+		m.schedule.start()
 	}
-	g.mu.Unlock()
-	var wg sync.WaitGroup
-	for _, o := range g.config.Members {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for ctx.Err() == nil {
-				g.mu.Lock()
-				r := g.rounds[o.Node]
-				delete(g.rounds, o.Node)
-				g.mu.Unlock()
-				g.sendHeartbeat(ctx, o)
-				if r != nil {
-					close(r.done)
-				}
-				select {
-				case <-ctx.Done():
-				case <-g.wake[o.Node]:
-				case <-time.After(heartbeatEvery*3/4 + rand.N(heartbeatEvery/2)):
-				}
-			}
-		}()
+	var loops sync.WaitGroup
+	for _, m := range g.members {
+		loops.Go(func() { g.sendHeartbeats(ctx, m) })
 	}
-	wg.Wait()
+	loops.Wait()
 }
 
-func (g *Group) sendHeartbeat(ctx context.Context, o Member) {
-	sent := time.Now()
-	own, seq := g.own()
-	body, ok := g.post(ctx, o, heartbeatPath, own)
-	if !ok {
-		return
-	}
-	b, ok := g.take(body)
-	if !ok {
-		return
+// sendHeartbeats sends heartbeats to one member until ctx ends, the first at once.
+func (g *Group) sendHeartbeats(ctx context.Context, m *member) {
+	for ctx.Err() == nil {
+		pending := m.schedule.takePending()
+		if err := g.exchangeHeartbeat(ctx, m); err != nil {
+			logRequestError(m, err)
+		}
+		pending.finish()
+		select {
+		case <-ctx.Done():
+		case <-m.schedule.wake:
+		case <-time.After(untilNextHeartbeat()):
+		}
 	}
-	g.config.Register.MergeAnswer(o.Node, seq, sent, statement(b))
-	// Only the answer to one's own heartbeat is a sign of life. One that comes in may be a
-	// late copy: taken for a sign, it kept workers waiting for a leader that could not
-	// be reached until their leases ran out (TestRepeats).
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.heard == nil {
-		g.heard, g.leading, g.redirected, g.served = map[string]time.Time{}, map[string]time.Time{}, map[string]int{}, map[string]bool{}
-		g.gangs = map[string]bool{}
+}
+
+// untilNextHeartbeat returns the time to the next heartbeat: random, so that controllers that
+// started at the same time do not all send at the same time.
+func untilNextHeartbeat() time.Duration {
+	return heartbeatInterval*3/4 + rand.N(heartbeatInterval/2)
+}
+
+// exchangeHeartbeat sends a heartbeat to a member and takes the answer.
+func (g *Group) exchangeHeartbeat(ctx context.Context, m *member) error {
+	sent := time.Now()
+	own, lastCancellation := g.own()
+	body, err := m.post(ctx, heartbeatPath, own)
+	if err != nil {
+		return err
 	}
-	g.heard[b.Node] = time.Now()
-	g.redirected[b.Node], g.served[b.Node], g.gangs[b.Node] = int(b.Redirected), b.Served, b.Gangs
-	if b.Leader == b.Node {
-		g.leading[b.Node] = time.Now()
+	answer, err := g.receiveHeartbeat(body)
+	if err != nil {
+		return err
 	}
+	g.config.Register.MergeAnswer(m.Node, lastCancellation, sent, statement(answer))
+	g.observations.record(answer)
+	return nil
 }
 
-// take learns who leads and what is cancelled; a late copy names a lower term, and what
-// is cancelled stays so.
-func (g *Group) take(body []byte) (*Heartbeat, bool) {
-	var b Heartbeat
-	if err := proto.Unmarshal(body, &b); err != nil || b.Node == "" {
-		return nil, false
+// receiveHeartbeat learns from a heartbeat, a request or an answer, who leads, what is cancelled and
+// which attempts are gone. A late copy does no harm: the term that it names is not above the
+// one known, and what is cancelled or gone stays so.
+func (g *Group) receiveHeartbeat(body []byte) (*Heartbeat, error) {
+	heartbeat := &Heartbeat{}
+	if err := proto.Unmarshal(body, heartbeat); err != nil || heartbeat.Node == "" {
+		return nil, errMalformedHeartbeat
 	}
-	g.node.ObserveLeadership(b.Leader, b.Term)
-	if news := g.config.Register.Add(b.Cancelled...); len(news) > 0 {
+	g.node.ObserveLeadership(heartbeat.Leader, heartbeat.Term)
+	if news := g.config.Register.Add(heartbeat.Cancelled...); len(news) > 0 {
 		g.node.JobsCancelled(news)
 	}
-	g.node.ObserveConfirmedGone(decodeAttempts(b.Gone))
-	return &b, true
+	g.node.ObserveConfirmedGone(decodeAttempts(heartbeat.Gone))
+	return heartbeat, nil
 }
 
-func (g *Group) client(o Member) *wire.Client {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.clients == nil {
-		g.clients = map[string]*wire.Client{}
-	}
-	c := g.clients[o.Node]
-	if c == nil {
-		c = &wire.Client{Dial: g.config.Dial, Addr: o.Addr}
-		g.clients[o.Node] = c
-	}
-	return c
+// member is another controller, with the connections to it.
+type member struct {
+	Member
+	client   *wire.Client
+	schedule *schedule
+}
+
+func newMember(dial wire.DialFunc, m Member) *member {
+	return &member{Member: m, client: &wire.Client{Dial: dial, Addr: m.Addr}, schedule: newSchedule()}
 }
 
-func (g *Group) post(ctx context.Context, o Member, path string, body []byte) ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// post sends a request and returns the body of the response. After an error the connections are
+// closed, since those that are left may be as dead as the one that failed.
+func (m *member) post(ctx context.Context, path string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	c := g.client(o)
-	resp, err := c.Do(ctx, "POST", path, body)
-	if err != nil || resp.Status != 200 {
-		c.CloseIdle()
-		slog.Debug("peer not reached", "peer", o.Node, "status", resp.Status, "err", err)
-		return nil, false
+	response, err := m.client.Do(ctx, "POST", path, body)
+	if err == nil && response.Status != statusOK {
+		err = fmt.Errorf("%w %d", errUnexpectedStatus, response.Status)
+	}
+	if err != nil {
+		m.client.CloseIdle()
+		return nil, err
 	}
-	return resp.Body, true
+	return response.Body, nil
+}
+
+// logRequestError says that a member did not do what it was asked, at debug: members come and go.
+func logRequestError(m *member, err error) {
+	slog.Debug("request to peer failed", "peer", m.Node, "err", err)
 }
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -1,69 +1,121 @@
-// What the other members have said last.
+// What the other members said last, and what a controller concludes from it.
 
 package peer
 
 import (
+	"sync"
 	"time"
 )
 
-// ReachableWithin tells whether a node has been heard within d, or might have been had
-// this node run for so long.
-func (g *Group) ReachableWithin(node string, d time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	t, ok := g.heard[node]
-	if !ok {
-		t = g.began
+// observation is what a member said in its last answer to a heartbeat.
+type observation struct {
+	answered       time.Time // when the answer came
+	lastLed        time.Time // when an answer last said that the member itself leads; zero: none did
+	redirected     int       // agents that have lately come to it though it does not lead
+	storeReachable bool      // whether the key-value store serves it
+	runsGangs      bool      // whether its version runs gangs
+}
+
+// observations is the last observation of each member. All methods are safe for concurrent use;
+// those that are exported are methods of Group.
+type observations struct {
+	members []Member // never changed
+
+	mu       sync.Mutex             // guards the fields below
+	started  time.Time              // when this controller began to send heartbeats; zero: not yet
+	byMember map[string]observation // by the name that the member gives itself; none before its first answer
+}
+
+func newObservations(members []Member) *observations {
+	return &observations{members: members, byMember: map[string]observation{}}
+}
+
+// start notes that heartbeats are sent from now on.
+func (o *observations) start() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.started = time.Now()
+}
+
+// record takes a member's answer to a heartbeat of this controller.
+//
+// It must see nothing else. A heartbeat that another member sends may be a late copy: taken for a
+// sign of life, it kept agents waiting for a leader that could not be reached until their
+// leases expired.
+func (o *observations) record(answer *Heartbeat) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := time.Now()
+	member := o.byMember[answer.Node]
+	member.answered = now
+	member.redirected = int(answer.Redirected)
+	member.storeReachable = answer.Served
+	member.runsGangs = answer.Gangs
+	if answer.Leader == answer.Node {
+		member.lastLed = now
 	}
-	return time.Since(t) < d
+	o.byMember[answer.Node] = member
 }
 
-// LeadingWithin tells whether a node has said within d that it leads.
-func (g *Group) LeadingWithin(node string, d time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return time.Since(g.leading[node]) < d
+// ReachableWithin reports whether a member has answered a heartbeat within d. One that has never
+// answered counts as having done so when this controller began to send heartbeats.
+func (o *observations) ReachableWithin(node string, d time.Duration) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	last := o.started
+	if member, ok := o.byMember[node]; ok {
+		last = member.answered
+	}
+	return time.Since(last) < d
 }
 
-// MostRedirected returns how many machines another node, heard within d, has seen
-// come by though it does not lead: the most of any.
-func (g *Group) MostRedirected(d time.Duration) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// LeadingWithin reports whether a member has said within d that it leads.
+func (o *observations) LeadingWithin(node string, d time.Duration) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return time.Since(o.byMember[node].lastLed) < d
+}
+
+// MostRedirected returns the largest number of agents that have come to one of the members though
+// it does not lead, of those members that have answered within d.
+func (o *observations) MostRedirected(d time.Duration) int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	most := 0
-	for node, count := range g.redirected {
-		if time.Since(g.heard[node]) < d {
-			most = max(most, count)
+	for _, member := range o.byMember {
+		if time.Since(member.answered) < d {
+			most = max(most, member.redirected)
 		}
 	}
 	return most
 }
 
-// AllRunGangs tells whether every other node has said that its version runs gangs.
-func (g *Group) AllRunGangs() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, o := range g.config.Members {
-		if !g.gangs[o.Node] {
+// AllRunGangs reports whether every other member has said that its version runs gangs.
+func (o *observations) AllRunGangs() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, m := range o.members {
+		if !o.byMember[m.Node].runsGangs {
 			return false
 		}
 	}
 	return true
 }
 
-// StoreServesNobody tells whether others were heard within d and none of them is served by
-// the state service.
-func (g *Group) StoreServesNobody(d time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	nobody := false
-	for node, at := range g.heard {
-		if time.Since(at) < d {
-			if g.served[node] {
-				return false
-			}
-			nobody = true
+// StoreServesNobody reports whether members have answered within d and the key-value store serves
+// none of them.
+func (o *observations) StoreServesNobody(d time.Duration) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	anyAnswered := false
+	for _, member := range o.byMember {
+		if time.Since(member.answered) >= d {
+			continue
+		}
+		if member.storeReachable {
+			return false
 		}
+		anyAnswered = true
 	}
-	return nobody
+	return anyAnswered
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,9 +13,6 @@
 //go:generate sh -c "protoc --plugin=protoc-gen-go=$(go tool -n protoc-gen-go) --go_out=. --go_opt=paths=source_relative peer.proto"
 
 import (
-	"sync"
-	"time"
-
 	"tulipshelf/internal/cancellation"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
@@ -70,22 +67,20 @@
 }
 
 // Group is the controllers of one service as one of them sees them. All methods are safe for
-// concurrent use.
+// concurrent use: what changes is guarded by the locks of observations and of each member's
+// schedule.
 type Group struct {
-	config Config
-	node   Node
-
-	mu         sync.Mutex
-	rounds     map[string]*round        // heartbeats to come for which somebody waits
-	wake       map[string]chan struct{} // sends one at once
-	began      time.Time
-	clients    map[string]*wire.Client
-	heard      map[string]time.Time
-	leading    map[string]time.Time // when a node last said that it leads itself
-	redirected map[string]int       // machines that came to a node which does not lead
-	served     map[string]bool      // whether the state service served a node when last heard
-	gangs      map[string]bool      // whether a node's version ran gangs when last heard
+	config  Config
+	node    Node
+	members []*member
+	*observations
 }
 
 // New returns a group that answers the others at once and sends heartbeats once Run is called.
-func New(config Config, node Node) *Group { return &Group{config: config, node: node} }
+func New(config Config, node Node) *Group {
+	g := &Group{config: config, node: node, observations: newObservations(config.Members)}
+	for _, m := range config.Members {
+		g.members = append(g.members, newMember(config.Dial, m))
+	}
+	return g
+}
