--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -60,8 +60,7 @@
 	if _, err := g.receiveHeartbeat(body); err != nil {
 		return wire.Response{Status: statusBadRequest}
 	}
-	own, _ := g.own()
-	return wire.Response{Status: statusOK, Body: own}
+	return wire.Response{Status: statusOK, Body: g.newHeartbeat().message}
 }
 
 func (g *Group) serveChanged(body []byte) wire.Response {
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -11,8 +11,6 @@
 	"sync"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"tulipshelf/internal/wire"
 )
 
@@ -70,8 +68,8 @@
 // exchangeHeartbeat sends a heartbeat to a member and takes the answer.
 func (g *Group) exchangeHeartbeat(ctx context.Context, m *member) error {
 	sent := time.Now()
-	own, lastCancellation := g.own()
-	body, err := m.post(ctx, heartbeatPath, own)
+	own := g.newHeartbeat()
+	body, err := m.post(ctx, heartbeatPath, own.message)
 	if err != nil {
 		return err
 	}
@@ -79,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	g.config.Register.MergeAnswer(m.Node, lastCancellation, sent, statement(answer))
+	g.config.Register.MergeAnswer(m.Node, own.lastCancellation, sent, cancellationStatement(answer))
 	g.observations.record(answer)
 	return nil
 }
@@ -88,9 +86,9 @@
 // which attempts are gone. A late copy does no harm: the term that it names is not above the
 // one known, and what is cancelled or gone stays so.
 func (g *Group) receiveHeartbeat(body []byte) (*Heartbeat, error) {
-	heartbeat := &Heartbeat{}
-	if err := proto.Unmarshal(body, heartbeat); err != nil || heartbeat.Node == "" {
-		return nil, errMalformedHeartbeat
+	heartbeat, err := unmarshalHeartbeat(body)
+	if err != nil {
+		return nil, err
 	}
 	g.node.ObserveLeadership(heartbeat.Leader, heartbeat.Term)
 	if news := g.config.Register.Add(heartbeat.Cancelled...); len(news) > 0 {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,8 +1,9 @@
-// The encoding of the messages.
+// The encoding of the messages, and the size of a heartbeat.
 
 package peer
 
 import (
+	"fmt"
 	"time"
 
 	"google.golang.org/protobuf/encoding/protowire"
@@ -13,36 +14,63 @@
 	"tulipshelf/internal/wire"
 )
 
-// own returns this node's heartbeat, and the number of the last cancellation in it.
-func (g *Group) own() ([]byte, uint64) {
+const (
+	// maxHeartbeat is the size in bytes that a heartbeat may have: that of a request body, less
+	// what the tags and lengths of its fields take. The register of cancelled jobs is bounded
+	// to what leaves room for the rest.
+	maxHeartbeat = wire.MaxBody - 1<<10
+
+	// goneField is the number of the field of the heartbeat that holds the attempts that are gone.
+	goneField = 9
+
+	// knownOffset, in milliseconds, is added to how long ago a register was complete: one since
+	// the fraction was cut off, and one so that 0 is free to mean that it never was. What is
+	// overstated by it errs on the safe side.
+	knownOffset = 2
+)
+
+// ownHeartbeat is a heartbeat of this controller.
+type ownHeartbeat struct {
+	message          []byte // encoded
+	lastCancellation uint64 // number in the register of the last cancellation that it carries
+}
+
+// newHeartbeat returns a heartbeat that says what this controller knows now.
+func (g *Group) newHeartbeat() ownHeartbeat {
 	leader, term := g.node.Leadership()
-	s := g.config.Register.State()
-	b := &Heartbeat{Node: g.config.Node, Term: term, Leader: leader, Redirected: uint32(g.node.Redirected()), Served: g.node.StoreReachable(),
-		Cancelled: s.Jobs, Gangs: true, MemoryMs: uint64(s.Memory.Milliseconds())}
-	if s.Knows {
-		b.KnownMs = uint64(s.Age.Milliseconds()) + 2 // rounded up, and one more
+	register := g.config.Register.State()
+	heartbeat := &Heartbeat{
+		Node:       g.config.Node,
+		Term:       term,
+		Leader:     leader,
+		Redirected: uint32(g.node.Redirected()),
+		Served:     g.node.StoreReachable(),
+		Cancelled:  register.Jobs,
+		Gangs:      true,
+		MemoryMs:   uint64(register.Memory.Milliseconds()),
+	}
+	if register.Knows {
+		heartbeat.KnownMs = uint64(register.Age.Milliseconds()) + knownOffset
 	}
-	b.Gone = within(encodeAttempts(g.node.ConfirmedGone()), maxHeartbeat-proto.Size(b))
-	return marshal(b), s.Sequence
+	gone := encodeAttempts(g.node.ConfirmedGone())
+	heartbeat.Gone = attemptsThatFit(gone, maxHeartbeat-proto.Size(heartbeat))
+	return ownHeartbeat{message: marshal(heartbeat), lastCancellation: register.Sequence}
 }
 
-// maxHeartbeat is the size that a heartbeat may have: that of a request body, less its fields' tags. The
-// register of cancelled jobs is bounded to what leaves room for the rest.
-const maxHeartbeat = wire.MaxBody - 1<<10
-
-// within returns as many of the attempts as fit into so many bytes of a heartbeat. The others can
-// wait: they spare work, and no rule rests on them.
+// attemptsThatFit returns as many of the attempts as take at most so many bytes of a heartbeat. The
+// others can wait for a later one: they only save work.
 //
-// It guards against heartbeats that are refused as too large, after which every node takes every
-// other for dead: 4,096 cancelled jobs and 1,000 attempts come to 74 KiB (TestLargestBeat).
-func within(gone []*Attempt, bytes int) []*Attempt {
-	for i, a := range gone {
-		bytes -= proto.Size(a) + protowire.SizeTag(1) + protowire.SizeVarint(maxHeartbeat)
+// Without it a heartbeat could grow larger than a request body, be refused by all, and every
+// controller would take every other for dead. docs/size.md has what bounds each.
+func attemptsThatFit(attempts []*Attempt, bytes int) []*Attempt {
+	overhead := protowire.SizeTag(goneField) + protowire.SizeVarint(maxHeartbeat) // of each
+	for i, attempt := range attempts {
+		bytes -= proto.Size(attempt) + overhead
 		if bytes < 0 {
-			return gone[:i]
+			return attempts[:i]
 		}
 	}
-	return gone
+	return attempts
 }
 
 func encodeAttempts(ids []job.AttemptID) []*Attempt {
@@ -61,16 +89,33 @@
 	return ids
 }
 
-// statement returns what a heartbeat says of cancellations.
-func statement(b *Heartbeat) cancellation.Statement {
-	return cancellation.Statement{Jobs: b.Cancelled, Memory: time.Duration(b.MemoryMs) * time.Millisecond,
-		Age: time.Duration(b.KnownMs) * time.Millisecond, Knows: b.KnownMs != 0}
+// cancellationStatement returns what a heartbeat says of its sender's register of cancelled jobs.
+func cancellationStatement(heartbeat *Heartbeat) cancellation.Statement {
+	return cancellation.Statement{
+		Jobs:   heartbeat.Cancelled,
+		Memory: time.Duration(heartbeat.MemoryMs) * time.Millisecond,
+		Age:    time.Duration(heartbeat.KnownMs) * time.Millisecond,
+		Knows:  heartbeat.KnownMs != 0,
+	}
+}
+
+// unmarshalHeartbeat decodes a heartbeat; its error is errMalformedHeartbeat.
+func unmarshalHeartbeat(body []byte) (*Heartbeat, error) {
+	var heartbeat Heartbeat
+	if err := proto.Unmarshal(body, &heartbeat); err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedHeartbeat, err)
+	}
+	if heartbeat.Node == "" {
+		return nil, fmt.Errorf("%w: no sender", errMalformedHeartbeat)
+	}
+	return &heartbeat, nil
 }
 
-func marshal(m proto.Message) []byte {
-	b, err := proto.Marshal(m)
+// marshal encodes a message made here, which cannot fail.
+func marshal(message proto.Message) []byte {
+	body, err := proto.Marshal(message)
 	if err != nil {
-		panic(err) // our own messages always encode
+		panic(err)
 	}
-	return b
+	return body
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,7 +24,7 @@
 		gone = append(gone, job.AttemptID{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Number: 1<<40 + uint64(i)})
 	}
 	sender := New(Config{Node: "shelf-0", Register: register}, &fakeNode{leader: "shelf-1", term: 1 << 30, redirected: 6000, storeReachable: true, gone: gone})
-	beat, _ := sender.own()
+	beat := sender.newHeartbeat().message
 	if len(beat) > wire.MaxBody {
 		t.Fatalf("a beat of %d bytes, %d may be sent", len(beat), wire.MaxBody)
 	}
