--- a/internal/peer/fake_node_test.go
+++ b/internal/peer/fake_node_test.go
@@ -9,11 +9,11 @@
 // fakeNode is a controller that says what a test has set, and keeps what others have said.
 type fakeNode struct {
 	// Set before the group is used.
-	redirected     int
 	storeReachable bool
 	gone           []job.AttemptID
 
 	mu           sync.Mutex // guards the fields below
+	redirected   int
 	leader       string
 	term         uint64
 	changed      []string // jobs
@@ -42,7 +42,17 @@
 	n.changed = append(n.changed, jobs...)
 }
 
-func (n *fakeNode) Redirected() int { return n.redirected }
+func (n *fakeNode) setRedirected(agents int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.redirected = agents
+}
+
+func (n *fakeNode) Redirected() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.redirected
+}
 
 func (n *fakeNode) StoreReachable() bool { return n.storeReachable }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -3,18 +3,69 @@
 import (
 	"context"
 	"fmt"
+	"slices"
+	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"tulipshelf/internal/cancellation"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/leadership"
 	"tulipshelf/internal/wire"
 )
 
+// cancelDeadline is the time within which tasks of cancelled jobs must be gone, in these tests.
+const cancelDeadline = 51 * time.Second
+
+// testGroup is three controllers, a, b and c, on a network in memory.
+type testGroup struct {
+	network   *fake.Network
+	nodes     map[string]*fakeNode
+	registers map[string]*cancellation.Register
+	groups    map[string]*Group
+}
+
+// startGroup returns a group whose members have just begun to send heartbeats, in a synctest bubble.
+func startGroup(t *testing.T) *testGroup {
+	t.Helper()
+	t.Cleanup(func() { time.Sleep(time.Minute) }) // until what is in flight has ended, as a bubble must be left empty
+	names := []string{"a", "b", "c"}
+	g := &testGroup{
+		network:   fake.NewNetwork(t.Context()),
+		nodes:     map[string]*fakeNode{},
+		registers: map[string]*cancellation.Register{},
+		groups:    map[string]*Group{},
+	}
+	for _, name := range names {
+		var others []Member
+		for _, other := range names {
+			if other != name {
+				others = append(others, Member{Node: other, Addr: other})
+			}
+		}
+		g.nodes[name] = &fakeNode{}
+		g.registers[name] = cancellation.New(len(names), cancelDeadline)
+		g.groups[name] = New(Config{Dial: g.network.Dial(name), Node: name, Members: others, Register: g.registers[name]}, g.nodes[name])
+		go g.network.Serve(t.Context(), name, g.groups[name].Serve)
+	}
+	synctest.Wait() // until all serve
+	for _, group := range g.groups {
+		go group.Run(t.Context())
+	}
+	return g
+}
+
+// deliver has a group serve a request, and returns the status of the response.
+func deliver(g *Group, method, path string, body []byte) int {
+	return g.Serve(context.Background(), &wire.Request{Method: method, Path: path, Body: body}).Status
+}
+
 // The largest heartbeat, with as many cancelled jobs as are kept and far more attempts that are
 // gone, is one that another controller takes, old or new.
-func TestLargestBeat(t *testing.T) {
-	register := cancellation.New(3, 51*time.Second)
+func TestHeartbeatLargerThanRequestBody(t *testing.T) {
+	register := cancellation.New(3, cancelDeadline)
 	register.MergeRead(nil, time.Now())
 	for i := range 4096 {
 		register.Add(fmt.Sprintf("wk-%06d", i))
@@ -24,16 +75,16 @@
 		gone = append(gone, job.AttemptID{Task: fmt.Sprintf("wk-%06d/%d", i, 10_000+i), Number: 1<<40 + uint64(i)})
 	}
 	sender := New(Config{Node: "shelf-0", Register: register}, &fakeNode{leader: "shelf-1", term: 1 << 30, redirected: 6000, storeReachable: true, gone: gone})
-	beat := sender.newHeartbeat().message
-	if len(beat) > wire.MaxBody {
-		t.Fatalf("a beat of %d bytes, %d may be sent", len(beat), wire.MaxBody)
+	heartbeat := sender.newHeartbeat().message
+	if len(heartbeat) > wire.MaxBody {
+		t.Fatalf("a heartbeat of %d bytes, %d may be sent", len(heartbeat), wire.MaxBody)
 	}
-	if len(beat) < wire.MaxBody*9/10 {
-		t.Errorf("a beat of %d bytes leaves attempts out that would fit", len(beat))
+	if len(heartbeat) < wire.MaxBody*9/10 {
+		t.Errorf("a heartbeat of %d bytes leaves attempts out that would fit", len(heartbeat))
 	}
 	node := &fakeNode{leader: "shelf-1", term: 1 << 30, storeReachable: true}
-	receiver := New(Config{Node: "shelf-1", Register: cancellation.New(3, 51*time.Second)}, node)
-	message := wire.AppendRequest(nil, "POST", heartbeatPath, "10.0.0.2:8081", beat)
+	receiver := New(Config{Node: "shelf-1", Register: cancellation.New(3, cancelDeadline)}, node)
+	message := wire.AppendRequest(nil, "POST", heartbeatPath, "10.0.0.2:8081", heartbeat)
 	req, _, err := wire.ParseRequest(message)
 	if err != nil {
 		t.Fatal(err)
@@ -45,3 +96,257 @@
 		t.Errorf("%d cancelled jobs and %d attempts taken", len(node.cancelled), len(node.observedGone))
 	}
 }
+
+// Only the answer to one's own heartbeat is a sign of life. If a heartbeat that comes in were one,
+// a late copy would make agents wait for a leader that cannot be reached.
+func TestIncomingHeartbeatTakenForSignOfLife(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := startGroup(t)
+		g.nodes["b"].ObserveLeadership("b", 1)
+		g.network.Partition(func(from, to string) bool { return from == "a" && to == "b" })
+		time.Sleep(10 * time.Second)
+		if leader, term := g.nodes["a"].Leadership(); leader != "b" || term != 1 {
+			t.Errorf("a knows leader %q of term %d: no heartbeat of b has come in", leader, term)
+		}
+		if a := g.groups["a"]; a.ReachableWithin("b", 5*time.Second) || a.LeadingWithin("b", 5*time.Second) {
+			t.Error("b counts as reachable from a, which has had no answer of it")
+		}
+		if b := g.groups["b"]; !b.ReachableWithin("a", 5*time.Second) || !b.ReachableWithin("c", 5*time.Second) {
+			t.Error("members that answer b do not count as reachable")
+		}
+		if c := g.groups["c"]; !c.LeadingWithin("b", 5*time.Second) {
+			t.Error("b, which answers c that it leads, does not count as leading")
+		}
+	})
+}
+
+// A controller that has just started cannot know yet who is there: nobody counts as unreachable
+// until each has had time to answer, and nobody as reachable before heartbeats are sent.
+func TestMembersUnreachableRightAfterStart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		group := New(Config{Node: "a", Members: []Member{{Node: "b", Addr: "b"}}, Dial: fake.NewNetwork(t.Context()).Dial("a"),
+			Register: cancellation.New(2, cancelDeadline)}, &fakeNode{})
+		if group.ReachableWithin("b", time.Hour) {
+			t.Error("reachable though no heartbeat was ever sent")
+		}
+		if group.AllRunGangs() {
+			t.Error("all run gangs though none has said so")
+		}
+		go group.Run(t.Context())
+		time.Sleep(2 * time.Second)
+		if !group.ReachableWithin("b", 5*time.Second) {
+			t.Error("unreachable 2 s after the start")
+		}
+		time.Sleep(4 * time.Second)
+		if group.ReachableWithin("b", 5*time.Second) {
+			t.Error("reachable without an answer in 6 s")
+		}
+	})
+}
+
+// electedNode takes leadership from a candidate as a controller does.
+type electedNode struct {
+	*fakeNode
+	candidate *leadership.Candidate
+}
+
+func (n electedNode) Leadership() (leader string, term uint64) { return n.candidate.Leader() }
+
+func (n electedNode) ObserveLeadership(leader string, term uint64) {
+	n.candidate.ObserveTerm(leader, term)
+}
+
+// A late copy of a heartbeat of a lower term neither brings a deposed leader back nor announces
+// cancellations once more.
+func TestLateHeartbeatBringsBackDeposedLeader(t *testing.T) {
+	registerOfB := cancellation.New(3, cancelDeadline)
+	registerOfB.Add("wk-000001")
+	nodeB := &fakeNode{leader: "c", term: 5}
+	b := New(Config{Node: "b", Register: registerOfB}, nodeB)
+	late := b.newHeartbeat().message
+	nodeB.ObserveLeadership("b", 7)
+
+	nodeA := electedNode{&fakeNode{}, &leadership.Candidate{Node: "a"}}
+	a := New(Config{Node: "a", Register: cancellation.New(3, cancelDeadline)}, nodeA)
+	for _, heartbeat := range [][]byte{b.newHeartbeat().message, late, late} {
+		if status := deliver(a, "POST", heartbeatPath, heartbeat); status != 200 {
+			t.Fatalf("answered %d", status)
+		}
+	}
+	if leader, term := nodeA.Leadership(); leader != "b" || term != 7 {
+		t.Errorf("leader %q of term %d after a late copy, want b of term 7", leader, term)
+	}
+	if !slices.Equal(nodeA.cancelled, []string{"wk-000001"}) {
+		t.Errorf("announced as cancelled: %v, want wk-000001 once", nodeA.cancelled)
+	}
+}
+
+// Users are told of a cancellation only if a majority holds it: with both others cut off this
+// controller may be the only one that knows, and it may end at any moment.
+func TestCancellationConfirmedWithoutMajority(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		unreachable []string
+		want        bool
+	}{
+		{"all reachable", nil, true},
+		{"one unreachable", []string{"b"}, true},
+		{"both unreachable", []string{"b", "c"}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				g := startGroup(t)
+				time.Sleep(5 * time.Second)
+				g.network.Partition(func(_, to string) bool { return slices.Contains(test.unreachable, to) })
+				g.registers["a"].Add("wk-000001")
+				asked := time.Now()
+				if got := g.groups["a"].ReplicateCancellation(t.Context(), "wk-000001"); got != test.want {
+					t.Errorf("replicated: %v, want %v", got, test.want)
+				}
+				if waited := time.Since(asked); waited > requestTimeout {
+					t.Errorf("waited %v for it", waited)
+				}
+				held := g.registers["b"].Contains("wk-000001") || g.registers["c"].Contains("wk-000001")
+				if held != test.want {
+					t.Errorf("held by another member: %v, want %v", held, test.want)
+				}
+			})
+		})
+	}
+}
+
+// Each cancellation waits for a heartbeat that was sent after it: one that is over says nothing of it.
+func TestCancellationWaitsForHeartbeatThatIsOver(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := startGroup(t)
+		for i := range 5 {
+			time.Sleep(3 * time.Second)
+			id := fmt.Sprintf("wk-%06d", i)
+			g.registers["a"].Add(id)
+			if !g.groups["a"].ReplicateCancellation(t.Context(), id) {
+				t.Errorf("%s not replicated", id)
+			}
+		}
+	})
+}
+
+// Before heartbeats are sent nobody else can hold a cancellation.
+func TestCancellationConfirmedBeforeRun(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		register := cancellation.New(3, cancelDeadline)
+		register.Add("wk-000001")
+		group := New(Config{Node: "a", Members: []Member{{Node: "b", Addr: "b"}, {Node: "c", Addr: "c"}}, Register: register}, &fakeNode{})
+		if group.ReplicateCancellation(t.Context(), "wk-000001") {
+			t.Error("replicated, though nothing was sent")
+		}
+	})
+}
+
+// Callers that wait at the same time share a heartbeat: with one each, many cancellations at once
+// would leave no connections to anything else. One that is in flight already carries
+// only what was registered before, so a second may follow it.
+func TestHeartbeatForEachWaitingCaller(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const callers = 50
+		g := startGroup(t)
+		time.Sleep(100 * time.Millisecond) // the first heartbeats are over, the next not due
+		g.network.DelayRequests(func(_, _ string) time.Duration { return 20 * time.Millisecond })
+		before := g.network.Requests()
+		var calls sync.WaitGroup
+		for i := range callers {
+			calls.Go(func() {
+				id := fmt.Sprintf("wk-%06d", i)
+				g.registers["a"].Add(id)
+				if !g.groups["a"].ReplicateCancellation(t.Context(), id) {
+					t.Errorf("%s not replicated", id)
+				}
+			})
+		}
+		calls.Wait()
+		after := g.network.Requests()
+		for _, member := range []string{"b", "c"} {
+			if sent := after[member] - before[member]; sent < 1 || sent > 2 {
+				t.Errorf("%d heartbeats to %s for %d callers, want 1 or 2", sent, member, callers)
+			}
+		}
+	})
+}
+
+// What the members say of themselves is lost with their answers: an old statement counts for
+// nothing, except that a version that runs gangs goes on to.
+func TestStatementsOfMembersOutdated(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const recent = 5 * time.Second
+		g := startGroup(t)
+		a := g.groups["a"]
+		g.nodes["b"].setRedirected(3)
+		g.nodes["c"].setRedirected(8)
+		time.Sleep(3 * time.Second)
+		if got := a.MostRedirected(recent); got != 8 {
+			t.Errorf("most redirected %d, want 8", got)
+		}
+		if !a.AllRunGangs() || !a.StoreServesNobody(recent) {
+			t.Error("members that run gangs, without the store, do not count as such")
+		}
+		g.network.Partition(func(from, to string) bool { return from == "a" && to == "c" })
+		time.Sleep(10 * time.Second)
+		if got := a.MostRedirected(recent); got != 3 {
+			t.Errorf("most redirected %d, want 3 of the member that answers", got)
+		}
+		g.network.Partition(func(from, _ string) bool { return from == "a" })
+		time.Sleep(10 * time.Second)
+		if got := a.MostRedirected(recent); got != 0 || a.StoreServesNobody(recent) {
+			t.Errorf("most redirected %d, store serves nobody %v: nobody has answered", got, a.StoreServesNobody(recent))
+		}
+		if !a.AllRunGangs() {
+			t.Error("not all run gangs, since members do not answer")
+		}
+	})
+}
+
+// A change is told to the leader alone, without the network if that is this controller.
+func TestChangeToldToWrongMember(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		for _, test := range []struct {
+			leader string
+			term   uint64
+		}{{"b", 1}, {"a", 2}, {"", 3}} {
+			g := startGroup(t)
+			for _, node := range g.nodes {
+				node.ObserveLeadership(test.leader, test.term)
+			}
+			g.groups["a"].NotifyLeader(t.Context(), "wk-000001")
+			for name, node := range g.nodes {
+				if got, want := len(node.changed) == 1, name == test.leader; got != want {
+					t.Errorf("leader %q: %s told: %v, want %v", test.leader, name, got, want)
+				}
+			}
+		}
+	})
+}
+
+// Requests that cannot be understood are refused, and nothing is learnt from them.
+func TestMalformedRequestTaken(t *testing.T) {
+	node := &fakeNode{}
+	group := New(Config{Node: "a", Register: cancellation.New(3, cancelDeadline)}, node)
+	withoutSender := marshal(&Heartbeat{Term: 9, Leader: "b", Cancelled: []string{"wk-000001"}})
+	broken := []byte{0xff}
+	for _, test := range []struct {
+		name, method, path string
+		body               []byte
+		want               int
+	}{
+		{"method", "GET", heartbeatPath, nil, 405},
+		{"path", "POST", "/other", nil, 404},
+		{"heartbeat", "POST", heartbeatPath, broken, 400},
+		{"heartbeat without sender", "POST", heartbeatPath, withoutSender, 400},
+		{"change", "POST", changedPath, broken, 400},
+	} {
+		if got := deliver(group, test.method, test.path, test.body); got != test.want {
+			t.Errorf("%s: answered %d, want %d", test.name, got, test.want)
+		}
+	}
+	if node.term != 0 || len(node.cancelled)+len(node.changed) > 0 {
+		t.Errorf("learnt term %d, cancelled %v, changed %v", node.term, node.cancelled, node.changed)
+	}
+}
