--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -20,7 +20,8 @@
 	heartbeatInterval = time.Second
 
 	// requestTimeout bounds one request to a member, and so for how long a caller waits for a
-	// majority: below heartbeatInterval, so that a member that hangs does not delay the next.
+	// majority. Heartbeats to a member follow one another, so one that hangs is still sent a
+	// heartbeat every two seconds or so.
 	requestTimeout = 800 * time.Millisecond
 )
 
@@ -44,16 +45,16 @@
 }
 
 // sendHeartbeats sends heartbeats to one member until ctx ends, the first at once.
-func (g *Group) sendHeartbeats(ctx context.Context, m *member) {
+func (g *Group) sendHeartbeats(ctx context.Context, other *member) {
 	for ctx.Err() == nil {
-		pending := m.schedule.takePending()
-		if err := g.exchangeHeartbeat(ctx, m); err != nil {
-			logRequestError(m, err)
+		pending := other.schedule.takePending()
+		if err := g.exchangeHeartbeat(ctx, other); err != nil {
+			logRequestError(other, err)
 		}
 		pending.finish()
 		select {
 		case <-ctx.Done():
-		case <-m.schedule.wake:
+		case <-other.schedule.wake:
 		case <-time.After(untilNextHeartbeat()):
 		}
 	}
@@ -66,10 +67,10 @@
 }
 
 // exchangeHeartbeat sends a heartbeat to a member and takes the answer.
-func (g *Group) exchangeHeartbeat(ctx context.Context, m *member) error {
+func (g *Group) exchangeHeartbeat(ctx context.Context, other *member) error {
 	sent := time.Now()
 	own := g.newHeartbeat()
-	body, err := m.post(ctx, heartbeatPath, own.message)
+	body, err := other.post(ctx, heartbeatPath, own.message)
 	if err != nil {
 		return err
 	}
@@ -77,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	g.config.Register.MergeAnswer(m.Node, own.lastCancellation, sent, cancellationStatement(answer))
+	g.config.Register.MergeAnswer(other.Node, own.lastCancellation, sent, cancellationStatement(answer))
 	g.observations.record(answer)
 	return nil
 }
