--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -272,8 +272,8 @@
 	})
 }
 
-// What the members say of themselves is lost with their answers: an old statement counts for
-// nothing, except that a version that runs gangs goes on to.
+// What a member said of itself counts as long as it answers, and is outdated then: only that its
+// version runs gangs goes on to count.
 func TestStatementsOfMembersOutdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const recent = 5 * time.Second
@@ -304,8 +304,8 @@
 	})
 }
 
-// A change is told to the leader alone, without the network if that is this controller.
-func TestChangeToldToWrongMember(t *testing.T) {
+// A change goes to the leader alone, without the network if that is this controller.
+func TestChangeSentToWrongMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, test := range []struct {
 			leader string
@@ -318,7 +318,7 @@
 			g.groups["a"].NotifyLeader(t.Context(), "wk-000001")
 			for name, node := range g.nodes {
 				if got, want := len(node.changed) == 1, name == test.leader; got != want {
-					t.Errorf("leader %q: %s told: %v, want %v", test.leader, name, got, want)
+					t.Errorf("leader %q: received by %s: %v, want %v", test.leader, name, got, want)
 				}
 			}
 		}
