--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -40,16 +40,16 @@
 		Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken, TerminationNoticeS: w.TerminationNoticeS, Tasks: appendTasks(nil, w.Tasks)}
 }
 
-func whole(r *agent.Heartbeat) FullHeartbeat {
+func newFullHeartbeat(r *agent.Heartbeat) FullHeartbeat {
 	w := FullHeartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
 		Incarnation: r.Incarnation, Sequence: r.Sequence, FencingToken: r.FencingToken, TerminationNoticeS: r.TerminationNoticeS}
 	for _, t := range r.Tasks {
-		w.Tasks = append(w.Tasks, brief(t))
+		w.Tasks = append(w.Tasks, compactTask(t))
 	}
 	return w
 }
 
-func brief(t agent.ReportedTask) ReportedTask {
+func compactTask(t agent.ReportedTask) ReportedTask {
 	return ReportedTask{Task: t.Task, Attempt: t.Attempt, Status: t.Status, Cause: t.Cause}
 }
 
@@ -102,8 +102,8 @@
 	return r
 }
 
-// difference returns what makes b of a, reports of one session.
-func difference(a, b *agent.Heartbeat) HeartbeatDelta {
+// newDelta returns what makes b of a, reports of one session.
+func newDelta(a, b *agent.Heartbeat) HeartbeatDelta {
 	c := HeartbeatDelta{Machine: b.Machine, Incarnation: b.Incarnation, BaseSequence: a.Sequence, Sequence: b.Sequence, FencingToken: b.FencingToken}
 	had := make(map[job.AttemptID]agent.ReportedTask, len(a.Tasks))
 	for _, t := range a.Tasks {
@@ -112,7 +112,7 @@
 	for _, t := range b.Tasks {
 		k := t.ID()
 		if old, ok := had[k]; !ok || old != t {
-			c.Tasks = append(c.Tasks, brief(t))
+			c.Tasks = append(c.Tasks, compactTask(t))
 		}
 		delete(had, k)
 	}
@@ -155,11 +155,11 @@
 	return out
 }
 
-func (c Command) same(other Command) bool {
+func (c Command) equal(other Command) bool {
 	return c.Verb == other.Verb && c.Task == other.Task && c.Attempt == other.Attempt
 }
 
-func (o *MachineCommands) orders() (out []agent.Command) {
+func (o *MachineCommands) agentCommands() (out []agent.Command) {
 	for _, c := range o.Commands {
 		out = append(out, agent.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.GracePeriodS})
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,115 +34,115 @@
 	ValueBytes int
 	TxnOps     int
 
-	mu      sync.Mutex
-	reports map[string]agent.Heartbeat // newest not yet written, by machine
-	passed  map[string]passed          // last passed on, by machine
-	addrs   map[string]string          // of machines
-	leader  string                     // to which they were passed on
-	term    uint64
-	last    time.Time // when a worker was last answered
-	batches map[string]CommandBatch
+	mu           sync.Mutex
+	pending      map[string]agent.Heartbeat    // newest not yet written, by machine
+	forwarded    map[string]forwardedHeartbeat // last passed on, by machine
+	addrs        map[string]string             // of machines
+	leader       string                        // to which they were passed on
+	term         uint64
+	lastAnswered time.Time // when a worker was last answered
+	batches      map[string]CommandBatch
 }
 
-// passed is a report that was passed on, whole or by its changes.
-type passed struct {
-	report agent.Heartbeat
-	at     time.Time
-	whole  time.Time // when one of the machine was last passed on whole
+// forwardedHeartbeat is a report that was passed on, whole or by its changes.
+type forwardedHeartbeat struct {
+	heartbeat agent.Heartbeat
+	at        time.Time
+	fullAt    time.Time // when one of the machine was last passed on whole
 }
 
 const (
-	writeEvery = 500 * time.Millisecond
-	active     = 8 * time.Second // it is over when no worker has come for so long
+	writeInterval = 500 * time.Millisecond
+	idleAfter     = 8 * time.Second // it is over when no worker has come for so long
 )
 
 // AnswerHeartbeat takes the report of a worker that cannot reach the leader and returns
 // the answer to it under the leader's term.
-func (l *Proxy) AnswerHeartbeat(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.leader != leader {
-		l.leader, l.passed = leader, map[string]passed{} // another leader knows none of it
+func (p *Proxy) AnswerHeartbeat(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.leader != leader {
+		p.leader, p.forwarded = leader, map[string]forwardedHeartbeat{} // another leader knows none of it
 	}
-	l.term = term
-	l.take(r)
-	l.last = time.Now()
+	p.term = term
+	p.accept(r)
+	p.lastAnswered = time.Now()
 	a := agent.HeartbeatResponse{FencingToken: term}
-	if o := l.order(r.Machine); o.Incarnation == r.Incarnation {
-		a.Commands = o.orders()
+	if o := p.commandsFor(r.Machine); o.Incarnation == r.Incarnation {
+		a.Commands = o.agentCommands()
 	}
 	return a
 }
 
-// take keeps a report to be passed on, if it is the newest.
-func (l *Proxy) take(r *agent.Heartbeat) {
-	if l.reports == nil {
-		l.reports, l.addrs = map[string]agent.Heartbeat{}, map[string]string{}
+// accept keeps a report to be passed on, if it is the newest.
+func (p *Proxy) accept(r *agent.Heartbeat) {
+	if p.pending == nil {
+		p.pending, p.addrs = map[string]agent.Heartbeat{}, map[string]string{}
 	}
-	for _, old := range []agent.Heartbeat{l.reports[r.Machine], l.passed[r.Machine].report} {
+	for _, old := range []agent.Heartbeat{p.pending[r.Machine], p.forwarded[r.Machine].heartbeat} {
 		if old.Incarnation > r.Incarnation || old.Incarnation == r.Incarnation && old.Sequence >= r.Sequence {
 			return
 		}
 	}
-	l.reports[r.Machine], l.addrs[r.Machine] = *r, r.Addr
+	p.pending[r.Machine], p.addrs[r.Machine] = *r, r.Addr
 }
 
-// order returns what the leader wants of a machine under the present term.
-func (l *Proxy) order(machine string) MachineCommands {
-	for _, b := range l.batches {
-		if o, ok := b.Machines[machine]; ok && b.Term == l.term {
+// commandsFor returns what the leader wants of a machine under the present term.
+func (p *Proxy) commandsFor(machine string) MachineCommands {
+	for _, b := range p.batches {
+		if o, ok := b.Machines[machine]; ok && b.Term == p.term {
 			return o
 		}
 	}
 	return MachineCommands{}
 }
 
-func (l *Proxy) active() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return time.Since(l.last) < active
+func (p *Proxy) active() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Since(p.lastAnswered) < idleAfter
 }
 
 // Run writes reports and reads commands while workers come to it, until ctx
 // ends.
-func (l *Proxy) Run(ctx context.Context) {
+func (p *Proxy) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		l.receive(ctx)
+		p.followCommands(ctx)
 	}()
-	for clock.Sleep(ctx, writeEvery) {
-		if !l.active() {
-			l.forget()
+	for clock.Sleep(ctx, writeInterval) {
+		if !p.active() {
+			p.forget()
 			continue
 		}
 		var ops []kvstore.Mutation
-		batches, sent := l.nextBatches(time.Now())
+		batches, sent := p.nextBatches(time.Now())
 		for i, m := range batches {
-			ops = append(ops, kvstore.Mutation{Put: UpPrefix + l.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
+			ops = append(ops, kvstore.Mutation{Put: UpPrefix + p.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
 		}
 		if len(ops) == 0 {
 			continue
 		}
-		if _, err := l.Store.Txn(ctx, nil, ops, kvstore.PriorityUser); err != nil {
+		if _, err := p.Store.Txn(ctx, nil, ops, kvstore.PriorityUser); err != nil {
 			slog.Debug("reports not relayed", "err", err)
 			continue
 		}
-		l.passedOn(sent)
+		p.markForwarded(sent)
 	}
 	wg.Wait()
 }
 
 // forget drops what was kept for workers that have gone.
-func (l *Proxy) forget() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.leader, l.reports, l.passed, l.addrs, l.batches = "", nil, nil, nil, nil
+func (p *Proxy) forget() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.leader, p.pending, p.forwarded, p.addrs, p.batches = "", nil, nil, nil, nil
 }
 
-// wholeAgain is how long a whole report that was passed on may take to arrive.
-const wholeAgain = 3 * time.Second
+// resendAfter is how long a whole report that was passed on may take to arrive.
+const resendAfter = 3 * time.Second
 
 // nextBatches returns what has come and was not yet passed on, as values for the up keys, and
 // the reports that it stands for: first that machines are heard, then what is new.
@@ -152,17 +152,17 @@
 // kapana-orders-grown: 68 counted as silent), and through one of 600 machines so little
 // went that a quarter of the fleet stood idle while 97 jobs waited (loss of
 // kapana-orders-fleet).
-func (l *Proxy) nextBatches(now time.Time) (out []HeartbeatBatch, sent []passed) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	value := UsableBytes(l.ValueBytes) - 200
+func (p *Proxy) nextBatches(now time.Time) (out []HeartbeatBatch, sent []forwardedHeartbeat) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	value := UsableBytes(p.ValueBytes) - 200
 	left, room := 0, UsableBytes(MaxWrite)
 	add := func(size int) *HeartbeatBatch {
 		if size > left {
-			if len(out) == l.TxnOps || size > min(room, value) {
+			if len(out) == p.TxnOps || size > min(room, value) {
 				return nil
 			}
-			out = append(out, HeartbeatBatch{Node: l.Node})
+			out = append(out, HeartbeatBatch{Node: p.Node})
 			left = min(room, value)
 		}
 		left -= size
@@ -173,27 +173,27 @@
 		m := add(len(wire.Marshal(c)))
 		if m != nil {
 			m.Deltas = append(m.Deltas, c)
-			sent = append(sent, passed{r, now, l.passed[r.Machine].whole})
+			sent = append(sent, forwardedHeartbeat{r, now, p.forwarded[r.Machine].fullAt})
 		}
 		return m != nil
 	}
 	full := func(r agent.Heartbeat) bool {
-		w := whole(&r)
+		w := newFullHeartbeat(&r)
 		m := add(len(wire.Marshal(w)))
 		if m != nil {
 			m.Full = append(m.Full, w)
-			sent = append(sent, passed{r, now, now})
+			sent = append(sent, forwardedHeartbeat{r, now, now})
 		}
 		return m != nil
 	}
 	var news []string
 	changes := map[string]HeartbeatDelta{}
-	for name, r := range l.reports {
-		p, ok := l.passed[name]
-		if ok && p.report.Incarnation == r.Incarnation && r.TerminationNoticeS == nil && p.report.TerminationNoticeS == nil &&
-			(now.Sub(p.whole) < wholeAgain || !l.order(name).ResendFull) {
-			c := difference(&p.report, &r)
-			if len(c.Tasks)+len(c.Removed) == 0 && c.FencingToken == p.report.FencingToken {
+	for name, r := range p.pending {
+		last, ok := p.forwarded[name]
+		if ok && last.heartbeat.Incarnation == r.Incarnation && r.TerminationNoticeS == nil && last.heartbeat.TerminationNoticeS == nil &&
+			(now.Sub(last.fullAt) < resendAfter || !p.commandsFor(name).ResendFull) {
+			c := newDelta(&last.heartbeat, &r)
+			if len(c.Tasks)+len(c.Removed) == 0 && c.FencingToken == last.heartbeat.FencingToken {
 				change(r, c)
 				continue
 			}
@@ -202,54 +202,54 @@
 		news = append(news, name)
 	}
 	slices.SortFunc(news, func(a, b string) int {
-		return cmp.Or(l.passed[a].at.Compare(l.passed[b].at), strings.Compare(a, b))
+		return cmp.Or(p.forwarded[a].at.Compare(p.forwarded[b].at), strings.Compare(a, b))
 	})
 	for _, name := range news {
 		// What finds no room has its turn with the next batches.
 		if c, ok := changes[name]; ok {
-			change(l.reports[name], c)
+			change(p.pending[name], c)
 		} else {
-			full(l.reports[name])
+			full(p.pending[name])
 		}
 	}
 	return out, sent
 }
 
-func (l *Proxy) passedOn(sent []passed) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.passed == nil {
+func (p *Proxy) markForwarded(sent []forwardedHeartbeat) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.forwarded == nil {
 		return // forgotten meanwhile
 	}
-	for _, p := range sent {
-		name := p.report.Machine
-		l.passed[name] = p
-		if r := l.reports[name]; r.Incarnation == p.report.Incarnation && r.Sequence == p.report.Sequence {
-			delete(l.reports, name)
+	for _, one := range sent {
+		name := one.heartbeat.Machine
+		p.forwarded[name] = one
+		if r := p.pending[name]; r.Incarnation == one.heartbeat.Incarnation && r.Sequence == one.heartbeat.Sequence {
+			delete(p.pending, name)
 		}
 	}
 }
 
-// receive follows the commands for this node's workers.
-func (l *Proxy) receive(ctx context.Context) {
+// followCommands follows the commands for this node's workers.
+func (p *Proxy) followCommands(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	slots := make(chan struct{}, maxPushes)
+	slots := make(chan struct{}, maxDispatches)
 	var rev uint64
 	for ctx.Err() == nil {
-		if !l.active() {
+		if !p.active() {
 			rev = 0
 			if !clock.Sleep(ctx, 500*time.Millisecond) {
 				return
 			}
 			continue
 		}
-		fresh, err := l.read(ctx, &rev)
+		fresh, err := p.readCommands(ctx, &rev)
 		if err != nil {
 			slog.Debug("commands not relayed", "err", err)
 			rev = 0
 		}
-		for _, p := range fresh {
+		for _, one := range fresh {
 			select {
 			case slots <- struct{}{}:
 			default:
@@ -258,7 +258,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l.push(ctx, p)
+				p.dispatch(ctx, one)
 				<-slots
 			}()
 		}
@@ -266,31 +266,31 @@
 	}
 }
 
-// read waits for commands and returns those that have changed.
-func (l *Proxy) read(ctx context.Context, rev *uint64) ([]push, error) {
-	prefix := downPrefix + l.Node + "/"
-	var fresh []push
+// readCommands waits for commands and returns those that have changed.
+func (p *Proxy) readCommands(ctx context.Context, rev *uint64) ([]directCommands, error) {
+	prefix := downPrefix + p.Node + "/"
+	var fresh []directCommands
 	if *rev == 0 {
-		page, err := l.Store.List(ctx, prefix, "", 100, kvstore.PriorityBackground)
+		page, err := p.Store.List(ctx, prefix, "", 100, kvstore.PriorityBackground)
 		if err != nil {
 			return nil, err
 		}
 		for _, it := range page.Items {
-			if fresh, err = l.open(it.Key, it.Value, fresh); err != nil {
+			if fresh, err = p.decodeCommands(it.Key, it.Value, fresh); err != nil {
 				return nil, err
 			}
 		}
 		*rev = page.Revision
 		return fresh, nil
 	}
-	events, at, err := l.Store.Watch(ctx, prefix, *rev, 5*time.Second)
+	events, at, err := p.Store.Watch(ctx, prefix, *rev, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	*rev = max(*rev, at)
 	for _, e := range events {
 		if e.Put != "" {
-			if fresh, err = l.open(e.Put, e.Value, fresh); err != nil {
+			if fresh, err = p.decodeCommands(e.Put, e.Value, fresh); err != nil {
 				return nil, err
 			}
 		}
@@ -298,57 +298,57 @@
 	return fresh, nil
 }
 
-// open takes a part of the commands and adds what has changed to fresh.
-func (l *Proxy) open(key string, value []byte, fresh []push) ([]push, error) {
+// decodeCommands takes a part of the commands and adds what has changed to fresh.
+func (p *Proxy) decodeCommands(key string, value []byte, fresh []directCommands) ([]directCommands, error) {
 	var b CommandBatch
 	if err := wire.Unmarshal(value, &b); err != nil {
 		return nil, fmt.Errorf("relay: commands: %w", err)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.batches == nil {
-		l.batches = map[string]CommandBatch{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.batches == nil {
+		p.batches = map[string]CommandBatch{}
 	}
-	old := l.batches[key]
-	l.batches[key] = b
-	if b.Term != l.term {
+	old := p.batches[key]
+	p.batches[key] = b
+	if b.Term != p.term {
 		return fresh, nil
 	}
 	for name, o := range b.Machines {
-		addr := l.addrs[name]
-		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.same) {
+		addr := p.addrs[name]
+		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.equal) {
 			continue
 		}
-		fresh = append(fresh, push{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Incarnation, Commands: o.orders()}})
+		fresh = append(fresh, directCommands{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Incarnation, Commands: o.agentCommands()}})
 	}
 	return fresh, nil
 }
 
-// push is commands for one machine, on their way.
-type push struct {
+// directCommands is commands for one machine, on their way.
+type directCommands struct {
 	machine, addr string
 	commands      agent.CommandRequest
 }
 
 // Bounds of pushing to workers.
 const (
-	maxPushes   = 40
-	pushTimeout = 1500 * time.Millisecond
+	maxDispatches   = 40
+	dispatchTimeout = 1500 * time.Millisecond
 )
 
-// push sends commands directly, which saves a worker's next report: of a task of 25 s
+// dispatch sends commands directly, which saves a worker's next report: of a task of 25 s
 // the way through the state service and back otherwise takes 7.
-func (l *Proxy) push(ctx context.Context, p push) {
-	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
+func (p *Proxy) dispatch(ctx context.Context, one directCommands) {
+	ctx, cancel := context.WithTimeout(ctx, dispatchTimeout)
 	defer cancel()
-	c := wire.Client{Dial: l.Dial, Addr: p.addr}
+	c := wire.Client{Dial: p.Dial, Addr: one.addr}
 	defer c.CloseIdle()
-	r, err := agent.Call(ctx, &c, "POST", "/commands", wire.Marshal(p.commands))
-	if err != nil || r.Machine != p.machine {
-		slog.Debug("commands not answered", "machine", p.machine, "err", err)
+	r, err := agent.Call(ctx, &c, "POST", "/commands", wire.Marshal(one.commands))
+	if err != nil || r.Machine != one.machine {
+		slog.Debug("commands not answered", "machine", one.machine, "err", err)
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.take(&r)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.accept(&r)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,7 +18,7 @@
 // what the machines have reported. A report that the leader asks for comes whole.
 func TestMailsOfALargeZone(t *testing.T) {
 	const machines, limit, ops = 1000, 8 << 10, 8
-	l := &Proxy{Node: "shelf-1", ValueBytes: limit, TxnOps: ops}
+	p := &Proxy{Node: "shelf-1", ValueBytes: limit, TxnOps: ops}
 	now := time.Unix(0, 0)
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	type known struct {
@@ -28,7 +28,7 @@
 	leader := map[string]known{}
 	reported := map[string]agent.Heartbeat{}
 	for tick := range 80 { // a write each 0.5 s
-		now = now.Add(writeEvery)
+		now = now.Add(writeInterval)
 		for i := range machines {
 			if (i+tick)%10 > 0 {
 				continue // each machine reports every 5 s
@@ -42,10 +42,10 @@
 				r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-%06d/%d", i, k), Attempt: 3<<24 + uint64(k), Status: agent.StatusExited, Cause: agent.CauseDone})
 			}
 			r.Tasks = append(r.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-9%05d/0", tick), Attempt: 3 << 24, Status: agent.StatusRunning})
-			l.AnswerHeartbeat(&r, "shelf-0", 3)
+			p.AnswerHeartbeat(&r, "shelf-0", 3)
 			reported[r.Machine] = r
 		}
-		mails, sent := l.nextBatches(now)
+		mails, sent := p.nextBatches(now)
 		total := 0
 		for _, m := range mails {
 			n := jsonSize(t, m)
@@ -69,7 +69,7 @@
 		if len(mails) > ops || total > 64<<10 {
 			t.Fatalf("%d changes of %d bytes", len(mails), total)
 		}
-		l.passedOn(sent)
+		p.markForwarded(sent)
 		if now.Sub(time.Unix(0, 0)) < 15*time.Second {
 			continue // at first all of it is news
 		}
@@ -91,16 +91,16 @@
 
 	// What the leader asks for is passed on whole, once.
 	box := wire.Marshal(CommandBatch{Term: 3, Machines: map[string]MachineCommands{name(7): {ResendFull: true}}})
-	if _, err := l.open(DownKey("shelf-1", 0), box, nil); err != nil {
+	if _, err := p.decodeCommands(DownKey("shelf-1", 0), box, nil); err != nil {
 		t.Fatal(err)
 	}
 	whole := 0
 	for tick := range 2 {
-		now = now.Add(writeEvery)
+		now = now.Add(writeInterval)
 		r := reported[name(7)]
 		r.Sequence += uint64(tick) + 1
-		l.AnswerHeartbeat(&r, "shelf-0", 3)
-		mails, sent := l.nextBatches(now)
+		p.AnswerHeartbeat(&r, "shelf-0", 3)
+		mails, sent := p.nextBatches(now)
 		for _, m := range mails {
 			for _, w := range m.Full {
 				if w.Machine == name(7) {
@@ -108,7 +108,7 @@
 				}
 			}
 		}
-		l.passedOn(sent)
+		p.markForwarded(sent)
 	}
 	if whole != 1 {
 		t.Errorf("passed on whole %d times", whole)
