--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -1,79 +1,96 @@
+// The messages under the keys of the relay, and their limits of size. Older versions read and write
+// them too: keys, codec tags and the order of fields in structs encoded as arrays never change.
+
 package relay
 
 import (
-	"slices"
 	"strconv"
 
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/job"
 )
 
-// UpPrefix is where reports are written; the leader watches it.
+// UpPrefix is the prefix of the keys under which proxies write heartbeats; the leader watches it.
+const UpPrefix = "relay/up/"
+
+// downPrefix is the prefix of the keys under which the leader writes commands.
+const downPrefix = "relay/down/"
+
+// upKey returns the key of one part of the heartbeats that a node forwards.
+func upKey(node string, part int) string { return UpPrefix + node + "/" + strconv.Itoa(part) }
+
+// downNodePrefix returns the prefix of the keys of all commands for a node's agents.
+func downNodePrefix(node string) string { return downPrefix + node + "/" }
+
+// DownKey returns the key of one part of the commands for a node's agents.
+func DownKey(node string, part int) string { return downNodePrefix(node) + strconv.Itoa(part) }
+
 const (
-	UpPrefix   = "relay/up/"
-	downPrefix = "relay/down/"
+	// MaxWrite is how many bytes of values one transaction may carry: the store's limit for the
+	// whole request is 64 KiB.
+	MaxWrite = 48 << 10
+
+	// BatchOverhead is how many bytes of a batch what is not a heartbeat or commands takes at most:
+	// the names of its fields, the node's name and the term.
+	BatchOverhead = 200
 )
 
-// DownKey returns the key of one part of the commands for a node's workers.
-func DownKey(node string, part int) string { return downPrefix + node + "/" + strconv.Itoa(part) }
+// UsableBytes returns how many bytes of a limit of the store to use: it counts a value in its JSON
+// form, which is longer than the form written here.
+func UsableBytes(limit int) int { return limit * 6 / 10 }
 
 // HeartbeatBatch is the value under an up key.
 type HeartbeatBatch struct {
-	Node   string           `cbor:"node"`
+	Node   string           `cbor:"node"` // of the proxy
 	Full   []FullHeartbeat  `cbor:"reports"`
 	Deltas []HeartbeatDelta `cbor:"changes"`
 }
 
-// FullHeartbeat is a report in short.
+// FullHeartbeat is a compact agent.Heartbeat.
 type FullHeartbeat struct {
 	_                                   struct{} `cbor:",toarray"`
 	Machine, Addr, Type, Zone           string
 	Spot                                bool
 	Incarnation, Sequence, FencingToken uint64
-	TerminationNoticeS                  *float64
+	TerminationNoticeS                  *float64 // seconds; nil: none was given
 	Tasks                               []ReportedTask
 }
 
-// Heartbeat returns the report that w stands for.
-func (w *FullHeartbeat) Heartbeat() agent.Heartbeat {
-	return agent.Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken, TerminationNoticeS: w.TerminationNoticeS, Tasks: appendTasks(nil, w.Tasks)}
-}
-
-func newFullHeartbeat(r *agent.Heartbeat) FullHeartbeat {
-	w := FullHeartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Incarnation: r.Incarnation, Sequence: r.Sequence, FencingToken: r.FencingToken, TerminationNoticeS: r.TerminationNoticeS}
-	for _, t := range r.Tasks {
-		w.Tasks = append(w.Tasks, compactTask(t))
+func newFullHeartbeat(heartbeat *agent.Heartbeat) FullHeartbeat {
+	full := FullHeartbeat{
+		Machine:            heartbeat.Machine,
+		Addr:               heartbeat.Addr,
+		Type:               heartbeat.Type,
+		Zone:               heartbeat.Zone,
+		Spot:               heartbeat.Spot,
+		Incarnation:        heartbeat.Incarnation,
+		Sequence:           heartbeat.Sequence,
+		FencingToken:       heartbeat.FencingToken,
+		TerminationNoticeS: heartbeat.TerminationNoticeS,
 	}
-	return w
-}
-
-func compactTask(t agent.ReportedTask) ReportedTask {
-	return ReportedTask{Task: t.Task, Attempt: t.Attempt, Status: t.Status, Cause: t.Cause}
-}
-
-func appendTasks(out []agent.ReportedTask, tasks []ReportedTask) []agent.ReportedTask {
-	for _, t := range tasks {
-		out = append(out, agent.ReportedTask{Task: t.Task, Attempt: t.Attempt, Status: t.Status, Cause: t.Cause})
+	for _, task := range heartbeat.Tasks {
+		full.Tasks = append(full.Tasks, compactTask(task))
+	}
+	return full
+}
+
+// Heartbeat returns the heartbeat that f was made of.
+func (f *FullHeartbeat) Heartbeat() agent.Heartbeat {
+	return agent.Heartbeat{
+		Machine:            f.Machine,
+		Addr:               f.Addr,
+		Type:               f.Type,
+		Zone:               f.Zone,
+		Spot:               f.Spot,
+		Incarnation:        f.Incarnation,
+		Sequence:           f.Sequence,
+		FencingToken:       f.FencingToken,
+		TerminationNoticeS: f.TerminationNoticeS,
+		Tasks:              appendTasks(nil, f.Tasks),
 	}
-	return out
-}
-
-// HeartbeatDelta stands for a report by what differs from the one of the machine that was
-// passed on before.
-type HeartbeatDelta struct {
-	_            struct{} `cbor:",toarray"`
-	Machine      string
-	Incarnation  uint64
-	BaseSequence uint64 // tick of the report passed on before
-	Sequence     uint64
-	FencingToken uint64
-	Tasks        []ReportedTask // new or changed
-	Removed      []ReportedTask // no longer listed
 }
 
-// ReportedTask is a task of a report, in short.
+// ReportedTask is a compact agent.ReportedTask.
 type ReportedTask struct {
 	_       struct{} `cbor:",toarray"`
 	Task    string
@@ -85,90 +102,59 @@
 // ID returns which attempt it is.
 func (t *ReportedTask) ID() job.AttemptID { return job.AttemptID{Task: t.Task, Number: t.Attempt} }
 
-// Apply returns the report that a change stands for, given the one before it.
-func (c *HeartbeatDelta) Apply(before agent.Heartbeat) agent.Heartbeat {
-	r := before
-	r.Sequence, r.FencingToken, r.Tasks = c.Sequence, c.FencingToken, nil
-	out := map[job.AttemptID]bool{}
-	for _, t := range slices.Concat(c.Tasks, c.Removed) {
-		out[t.ID()] = true
-	}
-	for _, t := range before.Tasks {
-		if !out[t.ID()] {
-			r.Tasks = append(r.Tasks, t)
-		}
-	}
-	r.Tasks = appendTasks(r.Tasks, c.Tasks)
-	return r
+func compactTask(task agent.ReportedTask) ReportedTask {
+	return ReportedTask{Task: task.Task, Attempt: task.Attempt, Status: task.Status, Cause: task.Cause}
 }
 
-// newDelta returns what makes b of a, reports of one session.
-func newDelta(a, b *agent.Heartbeat) HeartbeatDelta {
-	c := HeartbeatDelta{Machine: b.Machine, Incarnation: b.Incarnation, BaseSequence: a.Sequence, Sequence: b.Sequence, FencingToken: b.FencingToken}
-	had := make(map[job.AttemptID]agent.ReportedTask, len(a.Tasks))
-	for _, t := range a.Tasks {
-		had[t.ID()] = t
+// appendTasks appends compact tasks to tasks of a heartbeat.
+func appendTasks(tasks []agent.ReportedTask, compact []ReportedTask) []agent.ReportedTask {
+	for _, task := range compact {
+		tasks = append(tasks, agent.ReportedTask{Task: task.Task, Attempt: task.Attempt, Status: task.Status, Cause: task.Cause})
 	}
-	for _, t := range b.Tasks {
-		k := t.ID()
-		if old, ok := had[k]; !ok || old != t {
-			c.Tasks = append(c.Tasks, compactTask(t))
-		}
-		delete(had, k)
-	}
-	for _, t := range a.Tasks {
-		if _, ok := had[t.ID()]; ok {
-			c.Removed = append(c.Removed, ReportedTask{Task: t.Task, Attempt: t.Attempt})
-		}
-	}
-	return c
+	return tasks
 }
 
 // CommandBatch is the value under a down key.
 type CommandBatch struct {
-	Term     uint64                     `cbor:"term"`
+	Term     uint64                     `cbor:"term"` // of the leader that wrote it
 	Machines map[string]MachineCommands `cbor:"machines"`
 }
 
-// MachineCommands is what one machine is to do in one of its sessions.
+// MachineCommands is what one machine is to do in one of its incarnations.
 type MachineCommands struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
 	Commands    []Command
-	ResendFull  bool // its report is wanted whole
+	ResendFull  bool // its next heartbeat is to be forwarded in full, as the leader lacks a delta's base
 }
 
-// Command is a command in short.
+// Command is a compact agent.Command.
 type Command struct {
 	_            struct{} `cbor:",toarray"`
 	Verb         agent.Verb
 	Task         string
 	Attempt      uint64
-	GracePeriodS *float64
+	GracePeriodS *float64 // seconds; nil: none is given
 }
 
-// CompactCommands returns commands in short.
-func CompactCommands(orders []agent.Command) (out []Command) {
-	for _, o := range orders {
-		out = append(out, Command{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GracePeriodS: o.GracePeriodS})
+// CompactCommands returns the compact form of commands.
+func CompactCommands(commands []agent.Command) (compact []Command) {
+	for _, command := range commands {
+		compact = append(compact, Command{Verb: command.Verb, Task: command.Task, Attempt: command.Attempt, GracePeriodS: command.GracePeriodS})
 	}
-	return out
+	return compact
 }
 
-func (c Command) equal(other Command) bool {
-	return c.Verb == other.Verb && c.Task == other.Task && c.Attempt == other.Attempt
-}
-
-func (o *MachineCommands) agentCommands() (out []agent.Command) {
-	for _, c := range o.Commands {
-		out = append(out, agent.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.GracePeriodS})
+// agentCommands returns the commands in the form in which agents take them.
+func (m *MachineCommands) agentCommands() (commands []agent.Command) {
+	for _, command := range m.Commands {
+		commands = append(commands, agent.Command{Verb: command.Verb, Task: command.Task, Attempt: command.Attempt, GracePeriodS: command.GracePeriodS})
 	}
-	return out
+	return commands
 }
 
-// UsableBytes returns how much of a limit to fill: the state service counts by the JSON form,
-// which is longer than what is written here.
-func UsableBytes(limit int) int { return limit * 6 / 10 }
-
-// MaxWrite is how much one transaction may carry: the state service's limit is 64 KiB.
-const MaxWrite = 48 << 10
+// equal reports whether two commands ask for the same of the same attempt. The grace period does
+// not count: one that has become shorter reaches the agent in the response to its next heartbeat.
+func (c Command) equal(other Command) bool {
+	return c.Verb == other.Verb && c.Task == other.Task && c.Attempt == other.Attempt
+}
