--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,354 +1,123 @@
-// Package relay carries reports of workers that cannot reach the leader, and
-// the leader's commands to them, through the state service, which reaches every
-// zone. A node on the workers' side is the proxy: it writes their newest
-// reports under up/NODE and hands out what the leader writes under down/NODE.
+// Package relay carries heartbeats of agents that cannot reach the leader, and the leader's
+// commands to them, through the key-value store, which can be reached from every zone. A
+// controller on the agents' side is the proxy: it writes their newest heartbeats under
+// relay/up/NODE and hands out what the leader writes under relay/down/NODE.
 //
-// Nothing new is needed for safety. Reports are told apart by session and tick
-// however late they come. Commands are only handed out under the token they were
-// written for, in the session they were written for, in answers to reports,
-// which act within seconds or never; repeats of them have no effect.
+// Safety needs nothing new. Heartbeats are told apart by incarnation and sequence number, however
+// late they come. Commands are handed out only under the fencing token and in the incarnation
+// that they were written for, and repeating one has no effect.
+//
+// This file holds the proxy and its answers to agents. Heartbeats are forwarded in forward.go,
+// commands followed in commands.go and sent to agents in dispatch.go; messages.go and delta.go
+// have what is stored. The leader's side is in package controller.
 package relay
 
 import (
-	"cmp"
 	"context"
-	"fmt"
-	"log/slog"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"tulipshelf/internal/agent"
-	"tulipshelf/internal/clock"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
-// Proxy is the side of the controller that stands in for the leader.
+// Proxy answers agents in the leader's place. The exported fields are set before Run and
+// AnswerHeartbeat are called and never change; its methods may be called from any goroutine.
 type Proxy struct {
-	Node       string
-	Store      *kvstore.Client
-	Dial       wire.DialFunc // to workers
-	ValueBytes int
-	TxnOps     int
+	Node       string          // name of this controller
+	Store      *kvstore.Client // that the heartbeats and commands go through
+	Dial       wire.DialFunc   // how to connect to agents; nil: TCP
+	ValueBytes int             // size in bytes that the store allows for a value
+	TxnOps     int             // mutations that it allows in a transaction
 
+	// mu guards the fields below. The maps are made by the first heartbeat and dropped by forget.
 	mu           sync.Mutex
-	pending      map[string]agent.Heartbeat    // newest not yet written, by machine
-	forwarded    map[string]forwardedHeartbeat // last passed on, by machine
-	addrs        map[string]string             // of machines
-	leader       string                        // to which they were passed on
-	term         uint64
-	lastAnswered time.Time // when a worker was last answered
-	batches      map[string]CommandBatch
+	leader       string                        // to which heartbeats are forwarded
+	term         uint64                        // its term
+	lastAnswered time.Time                     // when an agent was last answered
+	pending      map[string]agent.Heartbeat    // newest heartbeat not yet forwarded, by machine
+	forwarded    map[string]forwardedHeartbeat // last one forwarded to the leader, by machine
+	addrs        map[string]string             // address of the agent, by machine
+	batches      map[string]CommandBatch       // commands as last read, by key
 }
 
-// forwardedHeartbeat is a report that was passed on, whole or by its changes.
-type forwardedHeartbeat struct {
-	heartbeat agent.Heartbeat
-	at        time.Time
-	fullAt    time.Time // when one of the machine was last passed on whole
-}
+// idleAfter is for how long a proxy without agents goes on: longer than an agent waits between two
+// heartbeats.
+const idleAfter = 8 * time.Second
 
-const (
-	writeInterval = 500 * time.Millisecond
-	idleAfter     = 8 * time.Second // it is over when no worker has come for so long
-)
-
-// AnswerHeartbeat takes the report of a worker that cannot reach the leader and returns
-// the answer to it under the leader's term.
-func (p *Proxy) AnswerHeartbeat(r *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
+// AnswerHeartbeat takes the heartbeat of an agent that cannot reach the leader, and returns the
+// response under the leader's term. The heartbeat is forwarded later, by Run; the commands are
+// those that the leader has written for the agent's incarnation in this term.
+func (p *Proxy) AnswerHeartbeat(heartbeat *agent.Heartbeat, leader string, term uint64) agent.HeartbeatResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.leader != leader {
-		p.leader, p.forwarded = leader, map[string]forwardedHeartbeat{} // another leader knows none of it
+		// What a delta would be based on is not known to another leader.
+		p.leader, p.forwarded = leader, map[string]forwardedHeartbeat{}
 	}
 	p.term = term
-	p.accept(r)
+	p.accept(heartbeat)
 	p.lastAnswered = time.Now()
-	a := agent.HeartbeatResponse{FencingToken: term}
-	if o := p.commandsFor(r.Machine); o.Incarnation == r.Incarnation {
-		a.Commands = o.agentCommands()
+	response := agent.HeartbeatResponse{FencingToken: term}
+	if commands := p.commandsFor(heartbeat.Machine); commands.Incarnation == heartbeat.Incarnation {
+		response.Commands = commands.agentCommands()
 	}
-	return a
+	return response
 }
 
-// accept keeps a report to be passed on, if it is the newest.
-func (p *Proxy) accept(r *agent.Heartbeat) {
+// accept keeps a heartbeat to be forwarded, if it is the newest of its machine. It is called with
+// mu held.
+func (p *Proxy) accept(heartbeat *agent.Heartbeat) {
+	machine := heartbeat.Machine
 	if p.pending == nil {
 		p.pending, p.addrs = map[string]agent.Heartbeat{}, map[string]string{}
 	}
-	for _, old := range []agent.Heartbeat{p.pending[r.Machine], p.forwarded[r.Machine].heartbeat} {
-		if old.Incarnation > r.Incarnation || old.Incarnation == r.Incarnation && old.Sequence >= r.Sequence {
-			return
-		}
+	pending, forwarded := p.pending[machine], p.forwarded[machine].heartbeat
+	if !newer(heartbeat, &pending) || !newer(heartbeat, &forwarded) {
+		return
+	}
+	p.pending[machine], p.addrs[machine] = *heartbeat, heartbeat.Addr
+}
+
+// newer reports whether the first of two heartbeats of a machine was made after the second.
+func newer(heartbeat, other *agent.Heartbeat) bool {
+	if heartbeat.Incarnation != other.Incarnation {
+		return heartbeat.Incarnation > other.Incarnation
 	}
-	p.pending[r.Machine], p.addrs[r.Machine] = *r, r.Addr
+	return heartbeat.Sequence > other.Sequence
 }
 
-// commandsFor returns what the leader wants of a machine under the present term.
+// commandsFor returns the commands that the leader has written for a machine in the present term,
+// the zero value if none. It is called with mu held.
 func (p *Proxy) commandsFor(machine string) MachineCommands {
-	for _, b := range p.batches {
-		if o, ok := b.Machines[machine]; ok && b.Term == p.term {
-			return o
+	for _, batch := range p.batches {
+		if commands, ok := batch.Machines[machine]; ok && batch.Term == p.term {
+			return commands
 		}
 	}
 	return MachineCommands{}
 }
 
+// active reports whether agents come to this controller.
 func (p *Proxy) active() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Since(p.lastAnswered) < idleAfter
 }
 
-// Run writes reports and reads commands while workers come to it, until ctx
-// ends.
-func (p *Proxy) Run(ctx context.Context) {
-	var wg sync.WaitGroup
-	wg.Add(1)
-	go func() {
-		defer wg.Done()
-		p.followCommands(ctx)
-	}()
-	for clock.Sleep(ctx, writeInterval) {
-		if !p.active() {
-			p.forget()
-			continue
-		}
-		var ops []kvstore.Mutation
-		batches, sent := p.nextBatches(time.Now())
-		for i, m := range batches {
-			ops = append(ops, kvstore.Mutation{Put: UpPrefix + p.Node + "/" + strconv.Itoa(i), Value: wire.Marshal(m)})
-		}
-		if len(ops) == 0 {
-			continue
-		}
-		if _, err := p.Store.Txn(ctx, nil, ops, kvstore.PriorityUser); err != nil {
-			slog.Debug("reports not relayed", "err", err)
-			continue
-		}
-		p.markForwarded(sent)
-	}
-	wg.Wait()
-}
-
-// forget drops what was kept for workers that have gone.
+// forget drops what was kept for agents that have gone.
 func (p *Proxy) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leader, p.pending, p.forwarded, p.addrs, p.batches = "", nil, nil, nil, nil
 }
 
-// resendAfter is how long a whole report that was passed on may take to arrive.
-const resendAfter = 3 * time.Second
-
-// nextBatches returns what has come and was not yet passed on, as values for the up keys, and
-// the reports that it stands for: first that machines are heard, then what is new.
-//
-// Of a machine passed on before only the changes go: with whole reports, which list all
-// tasks that the worker may not yet forget, a zone of 130 machines did not fit (apart of
-// kapana-orders-grown: 68 counted as silent), and through one of 600 machines so little
-// went that a quarter of the fleet stood idle while 97 jobs waited (loss of
-// kapana-orders-fleet).
-func (p *Proxy) nextBatches(now time.Time) (out []HeartbeatBatch, sent []forwardedHeartbeat) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	value := UsableBytes(p.ValueBytes) - 200
-	left, room := 0, UsableBytes(MaxWrite)
-	add := func(size int) *HeartbeatBatch {
-		if size > left {
-			if len(out) == p.TxnOps || size > min(room, value) {
-				return nil
-			}
-			out = append(out, HeartbeatBatch{Node: p.Node})
-			left = min(room, value)
-		}
-		left -= size
-		room -= size
-		return &out[len(out)-1]
-	}
-	change := func(r agent.Heartbeat, c HeartbeatDelta) bool {
-		m := add(len(wire.Marshal(c)))
-		if m != nil {
-			m.Deltas = append(m.Deltas, c)
-			sent = append(sent, forwardedHeartbeat{r, now, p.forwarded[r.Machine].fullAt})
-		}
-		return m != nil
-	}
-	full := func(r agent.Heartbeat) bool {
-		w := newFullHeartbeat(&r)
-		m := add(len(wire.Marshal(w)))
-		if m != nil {
-			m.Full = append(m.Full, w)
-			sent = append(sent, forwardedHeartbeat{r, now, now})
-		}
-		return m != nil
-	}
-	var news []string
-	changes := map[string]HeartbeatDelta{}
-	for name, r := range p.pending {
-		last, ok := p.forwarded[name]
-		if ok && last.heartbeat.Incarnation == r.Incarnation && r.TerminationNoticeS == nil && last.heartbeat.TerminationNoticeS == nil &&
-			(now.Sub(last.fullAt) < resendAfter || !p.commandsFor(name).ResendFull) {
-			c := newDelta(&last.heartbeat, &r)
-			if len(c.Tasks)+len(c.Removed) == 0 && c.FencingToken == last.heartbeat.FencingToken {
-				change(r, c)
-				continue
-			}
-			changes[name] = c
-		}
-		news = append(news, name)
-	}
-	slices.SortFunc(news, func(a, b string) int {
-		return cmp.Or(p.forwarded[a].at.Compare(p.forwarded[b].at), strings.Compare(a, b))
-	})
-	for _, name := range news {
-		// What finds no room has its turn with the next batches.
-		if c, ok := changes[name]; ok {
-			change(p.pending[name], c)
-		} else {
-			full(p.pending[name])
-		}
-	}
-	return out, sent
-}
-
-func (p *Proxy) markForwarded(sent []forwardedHeartbeat) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.forwarded == nil {
-		return // forgotten meanwhile
-	}
-	for _, one := range sent {
-		name := one.heartbeat.Machine
-		p.forwarded[name] = one
-		if r := p.pending[name]; r.Incarnation == one.heartbeat.Incarnation && r.Sequence == one.heartbeat.Sequence {
-			delete(p.pending, name)
-		}
-	}
-}
-
-// followCommands follows the commands for this node's workers.
-func (p *Proxy) followCommands(ctx context.Context) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	slots := make(chan struct{}, maxDispatches)
-	var rev uint64
-	for ctx.Err() == nil {
-		if !p.active() {
-			rev = 0
-			if !clock.Sleep(ctx, 500*time.Millisecond) {
-				return
-			}
-			continue
-		}
-		fresh, err := p.readCommands(ctx, &rev)
-		if err != nil {
-			slog.Debug("commands not relayed", "err", err)
-			rev = 0
-		}
-		for _, one := range fresh {
-			select {
-			case slots <- struct{}{}:
-			default:
-				continue // it gets them in the answer to its next report
-			}
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				p.dispatch(ctx, one)
-				<-slots
-			}()
-		}
-		clock.Sleep(ctx, 200*time.Millisecond)
-	}
-}
-
-// readCommands waits for commands and returns those that have changed.
-func (p *Proxy) readCommands(ctx context.Context, rev *uint64) ([]directCommands, error) {
-	prefix := downPrefix + p.Node + "/"
-	var fresh []directCommands
-	if *rev == 0 {
-		page, err := p.Store.List(ctx, prefix, "", 100, kvstore.PriorityBackground)
-		if err != nil {
-			return nil, err
-		}
-		for _, it := range page.Items {
-			if fresh, err = p.decodeCommands(it.Key, it.Value, fresh); err != nil {
-				return nil, err
-			}
-		}
-		*rev = page.Revision
-		return fresh, nil
-	}
-	events, at, err := p.Store.Watch(ctx, prefix, *rev, 5*time.Second)
-	if err != nil {
-		return nil, err
-	}
-	*rev = max(*rev, at)
-	for _, e := range events {
-		if e.Put != "" {
-			if fresh, err = p.decodeCommands(e.Put, e.Value, fresh); err != nil {
-				return nil, err
-			}
-		}
-	}
-	return fresh, nil
-}
-
-// decodeCommands takes a part of the commands and adds what has changed to fresh.
-func (p *Proxy) decodeCommands(key string, value []byte, fresh []directCommands) ([]directCommands, error) {
-	var b CommandBatch
-	if err := wire.Unmarshal(value, &b); err != nil {
-		return nil, fmt.Errorf("relay: commands: %w", err)
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.batches == nil {
-		p.batches = map[string]CommandBatch{}
-	}
-	old := p.batches[key]
-	p.batches[key] = b
-	if b.Term != p.term {
-		return fresh, nil
-	}
-	for name, o := range b.Machines {
-		addr := p.addrs[name]
-		if len(o.Commands) == 0 || addr == "" || old.Term == b.Term && slices.EqualFunc(o.Commands, old.Machines[name].Commands, Command.equal) {
-			continue
-		}
-		fresh = append(fresh, directCommands{name, addr, agent.CommandRequest{FencingToken: b.Term, Incarnation: o.Incarnation, Commands: o.agentCommands()}})
-	}
-	return fresh, nil
-}
-
-// directCommands is commands for one machine, on their way.
-type directCommands struct {
-	machine, addr string
-	commands      agent.CommandRequest
-}
-
-// Bounds of pushing to workers.
-const (
-	maxDispatches   = 40
-	dispatchTimeout = 1500 * time.Millisecond
-)
-
-// dispatch sends commands directly, which saves a worker's next report: of a task of 25 s
-// the way through the state service and back otherwise takes 7.
-func (p *Proxy) dispatch(ctx context.Context, one directCommands) {
-	ctx, cancel := context.WithTimeout(ctx, dispatchTimeout)
-	defer cancel()
-	c := wire.Client{Dial: p.Dial, Addr: one.addr}
-	defer c.CloseIdle()
-	r, err := agent.Call(ctx, &c, "POST", "/commands", wire.Marshal(one.commands))
-	if err != nil || r.Machine != one.machine {
-		slog.Debug("commands not answered", "machine", one.machine, "err", err)
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.accept(&r)
+// Run forwards heartbeats and follows commands while agents come to this controller, until ctx
+// ends. It is called once.
+func (p *Proxy) Run(ctx context.Context) {
+	var following sync.WaitGroup
+	following.Go(func() { p.followCommands(ctx) })
+	p.forwardHeartbeats(ctx)
+	following.Wait()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -91,7 +91,7 @@
 
 	// What the leader asks for is passed on whole, once.
 	box := wire.Marshal(CommandBatch{Term: 3, Machines: map[string]MachineCommands{name(7): {ResendFull: true}}})
-	if _, err := p.decodeCommands(DownKey("shelf-1", 0), box, nil); err != nil {
+	if _, err := p.decodeCommands(DownKey("shelf-1", 0), box); err != nil {
 		t.Fatal(err)
 	}
 	whole := 0
