--- /dev/null
+++ b/internal/relay/proxy_test.go
@@ -0,0 +1,350 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/wire"
+)
+
+const (
+	testMachine = "vm-000001"
+	agentAddr   = "10.1.0.1:9000"
+	storeAddr   = "10.9.0.1:2379"
+)
+
+// newTestProxy returns a proxy without a store, for tests of what it keeps.
+func newTestProxy() *Proxy { return &Proxy{Node: "shelf-1", ValueBytes: 64 << 10, TxnOps: 8} }
+
+// testHeartbeat is a heartbeat of testMachine with one task, running.
+func testHeartbeat(incarnation, sequence uint64) agent.Heartbeat {
+	return agent.Heartbeat{Machine: testMachine, Addr: agentAddr, Incarnation: incarnation, Sequence: sequence, FencingToken: 3,
+		Tasks: []agent.ReportedTask{{Task: "wk-000001/0", Attempt: 1, Status: agent.StatusRunning}}}
+}
+
+// haltCommands is a batch of commands of a term for one incarnation of testMachine.
+func haltCommands(term, incarnation uint64) CommandBatch {
+	return CommandBatch{Term: term, Machines: map[string]MachineCommands{
+		testMachine: {Incarnation: incarnation, Commands: []Command{{Verb: agent.VerbHalt, Task: "wk-000001/0", Attempt: 1}}},
+	}}
+}
+
+// A delta says nothing to a leader that does not have its base, so a heartbeat goes in full to each
+// new leader, for each new incarnation, with a termination notice, and when the leader asks.
+func TestDeltaWithoutBase(t *testing.T) {
+	notice := 30.0
+	for _, test := range []struct {
+		name     string
+		second   func(p *Proxy) (heartbeat agent.Heartbeat, leader string)
+		wantFull bool
+	}{
+		{"same leader and incarnation", func(*Proxy) (agent.Heartbeat, string) { return testHeartbeat(1, 2), "shelf-0" }, false},
+		{"another leader", func(*Proxy) (agent.Heartbeat, string) { return testHeartbeat(1, 2), "shelf-2" }, true},
+		{"another incarnation", func(*Proxy) (agent.Heartbeat, string) { return testHeartbeat(2, 1), "shelf-0" }, true},
+		{"termination notice", func(*Proxy) (agent.Heartbeat, string) {
+			heartbeat := testHeartbeat(1, 2)
+			heartbeat.TerminationNoticeS = &notice
+			return heartbeat, "shelf-0"
+		}, true},
+		{"leader asks", func(p *Proxy) (agent.Heartbeat, string) {
+			resend := CommandBatch{Term: 3, Machines: map[string]MachineCommands{testMachine: {ResendFull: true}}}
+			if _, err := p.decodeCommands(DownKey("shelf-1", 0), wire.Marshal(resend)); err != nil {
+				t.Error(err)
+			}
+			return testHeartbeat(1, 2), "shelf-0"
+		}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p, now := newTestProxy(), time.Unix(0, 0)
+			first := testHeartbeat(1, 1)
+			p.AnswerHeartbeat(&first, "shelf-0", 3)
+			_, forwarded := p.nextBatches(now)
+			p.markForwarded(forwarded)
+
+			second, leader := test.second(p)
+			p.AnswerHeartbeat(&second, leader, 3)
+			batches, _ := p.nextBatches(now.Add(resendAfter))
+			if len(batches) != 1 || len(batches[0].Full)+len(batches[0].Deltas) != 1 {
+				t.Fatalf("forwarded %+v, want one heartbeat", batches)
+			}
+			if full := len(batches[0].Full) == 1; full != test.wantFull {
+				t.Errorf("in full: %v, want %v", full, test.wantFull)
+			}
+		})
+	}
+}
+
+// A heartbeat whose transaction failed is forwarded again to the base that the leader has.
+func TestDeltaToHeartbeatThatWasNotWritten(t *testing.T) {
+	p, now := newTestProxy(), time.Unix(0, 0)
+	for sequence := range uint64(3) {
+		heartbeat := testHeartbeat(1, sequence+1)
+		p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+		batches, forwarded := p.nextBatches(now)
+		if sequence == 0 {
+			p.markForwarded(forwarded)
+			continue
+		}
+		if len(batches) != 1 || len(batches[0].Deltas) != 1 || batches[0].Deltas[0].BaseSequence != 1 {
+			t.Errorf("forwarded %+v, want a delta to sequence 1", batches)
+		}
+	}
+}
+
+// An old heartbeat, as a late copy is, does not take the place of a newer one.
+func TestLateHeartbeatForwarded(t *testing.T) {
+	p := newTestProxy()
+	newest := testHeartbeat(2, 5)
+	p.AnswerHeartbeat(&newest, "shelf-0", 3)
+	for _, late := range []agent.Heartbeat{testHeartbeat(2, 4), testHeartbeat(1, 9), newest} {
+		p.AnswerHeartbeat(&late, "shelf-0", 3)
+		if pending := p.pending[testMachine]; pending.Incarnation != 2 || pending.Sequence != 5 {
+			t.Errorf("incarnation %d, sequence %d pending after a late heartbeat, want 2, 5", pending.Incarnation, pending.Sequence)
+		}
+	}
+	_, forwarded := p.nextBatches(time.Unix(0, 0))
+	p.markForwarded(forwarded)
+	late := testHeartbeat(2, 4)
+	p.AnswerHeartbeat(&late, "shelf-0", 3)
+	if batches, _ := p.nextBatches(time.Unix(1, 0)); len(batches) > 0 {
+		t.Errorf("forwarded %+v, want nothing", batches)
+	}
+}
+
+// answerMachines has the proxy answer a heartbeat, with one running task, of each of so many machines.
+func answerMachines(p *Proxy, prefix string, machines int, sequence, attempt uint64) {
+	for i := range machines {
+		heartbeat := agent.Heartbeat{Machine: fmt.Sprintf("%s-%06d", prefix, i), Incarnation: 1, Sequence: sequence, FencingToken: 3,
+			Tasks: []agent.ReportedTask{{Task: "wk-000001/0", Attempt: attempt, Status: agent.StatusRunning}}}
+		p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+	}
+}
+
+// Heartbeats without news have room before those with news, however many those are: their machines
+// would count as silent.
+func TestMachineWithoutNewsCrowdedOut(t *testing.T) {
+	const quiet = 10
+	p, now := newTestProxy(), time.Unix(0, 0)
+	answerMachines(p, "quiet", quiet, 1, 1)
+	_, forwarded := p.nextBatches(now)
+	p.markForwarded(forwarded)
+	p.ValueBytes, p.TxnOps = 2<<10, 1
+	answerMachines(p, "quiet", quiet, 2, 1)
+	answerMachines(p, "new", 100, 1, 1)
+	batches, _ := p.nextBatches(now.Add(writeInterval))
+	if len(batches) != 1 || len(batches[0].Full) == 0 || len(batches[0].Full) == 100 {
+		t.Fatalf("forwarded %+v, want some of the machines with news", batches)
+	}
+	if got := len(batches[0].Deltas); got != quiet {
+		t.Errorf("%d machines without news forwarded, want all %d", got, quiet)
+	}
+}
+
+// Where only some machines with news fit into a transaction they take turns, also if all have news
+// again each time.
+func TestMachineWithNewsStarved(t *testing.T) {
+	const machines, writes = 100, 8 // each carries a seventh of the machines at least
+	p, now := newTestProxy(), time.Unix(0, 0)
+	p.ValueBytes, p.TxnOps = 2<<10, 1
+	forwardedOnce := map[string]bool{}
+	for write := range uint64(writes) {
+		answerMachines(p, "vm", machines, write+1, write+1)
+		now = now.Add(writeInterval)
+		_, forwarded := p.nextBatches(now)
+		if len(forwarded) > machines/4 {
+			t.Fatalf("%d machines in one write: they need not take turns", len(forwarded))
+		}
+		p.markForwarded(forwarded)
+		for _, written := range forwarded {
+			forwardedOnce[written.heartbeat.Machine] = true
+		}
+	}
+	if len(forwardedOnce) != machines {
+		t.Errorf("%d of %d machines forwarded in %d writes", len(forwardedOnce), machines, writes)
+	}
+}
+
+// Commands are handed out only under the term and in the incarnation that they were written for: a
+// deposed leader's could start a task that runs elsewhere by now, and an agent that has
+// started anew has none of the tasks that they name.
+func TestCommandsOfAnotherTermOrIncarnation(t *testing.T) {
+	for _, test := range []struct {
+		name              string
+		term, incarnation uint64 // that they were written for
+		want              int
+	}{
+		{"this term and incarnation", 3, 2, 1},
+		{"an earlier term", 2, 2, 0},
+		{"a later term", 4, 2, 0},
+		{"an earlier incarnation", 3, 1, 0},
+		{"a later incarnation", 3, 3, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newTestProxy()
+			if _, err := p.decodeCommands(DownKey("shelf-1", 0), wire.Marshal(haltCommands(test.term, test.incarnation))); err != nil {
+				t.Fatal(err)
+			}
+			heartbeat := testHeartbeat(2, 1)
+			response := p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+			if response.FencingToken != 3 || len(response.Commands) != test.want {
+				t.Errorf("answered %+v, want %d commands under token 3", response, test.want)
+			}
+		})
+	}
+}
+
+// Commands of another term are not sent directly either, and those that were sent are not sent again
+// while they stay the same.
+func TestCommandsSentDirectlyTwiceOrInAnotherTerm(t *testing.T) {
+	p := newTestProxy()
+	heartbeat := testHeartbeat(2, 1)
+	p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+	for _, test := range []struct {
+		name string
+		term uint64
+		want int
+	}{
+		{"first", 3, 1},
+		{"unchanged", 3, 0},
+		{"another term", 4, 0},
+	} {
+		changed, err := p.decodeCommands(DownKey("shelf-1", 0), wire.Marshal(haltCommands(test.term, 2)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if len(changed) != test.want {
+			t.Errorf("%s: %d sent, want %d", test.name, len(changed), test.want)
+		}
+	}
+}
+
+// testAgent is an agent that answers direct commands with its next heartbeat.
+type testAgent struct {
+	mu       sync.Mutex // guards the fields below
+	sequence uint64
+	requests []agent.CommandRequest
+}
+
+func (a *testAgent) handle(_ context.Context, req *wire.Request) wire.Response {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var request agent.CommandRequest
+	if err := wire.Unmarshal(req.Body, &request); err != nil {
+		return wire.Response{Status: 400}
+	}
+	a.requests = append(a.requests, request)
+	a.sequence++
+	return wire.Response{Status: 200, Body: wire.Marshal(testHeartbeat(2, a.sequence))}
+}
+
+// The whole way, through a store in memory: the leader finds the heartbeat under an up key, the agent
+// gets at once the commands that the leader writes, and the heartbeat with which it answers them
+// is forwarded in turn.
+func TestHeartbeatsAndCommandsLostInTheStore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		t.Cleanup(func() { time.Sleep(time.Minute) }) // until what is in flight has ended, as a bubble must be left empty
+		network, store, worker := fake.NewNetwork(t.Context()), fake.NewStore(), &testAgent{sequence: 1}
+		go network.Serve(t.Context(), storeAddr, store.Handle)
+		go network.Serve(t.Context(), agentAddr, worker.handle)
+		synctest.Wait() // until both serve
+		leaderStore := kvstore.New(network.Dial("shelf-0"), storeAddr, 100, 100)
+		p := newTestProxy()
+		p.Store, p.Dial = kvstore.New(network.Dial("shelf-1"), storeAddr, 100, 100), network.Dial("shelf-1")
+		go p.Run(t.Context())
+
+		heartbeat := testHeartbeat(2, 1)
+		p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+		time.Sleep(2 * time.Second)
+		if batch := readHeartbeats(t, leaderStore); len(batch.Full) != 1 || batch.Full[0].Sequence != 1 {
+			t.Errorf("the store has %+v, want the first heartbeat in full", batch)
+		}
+		commands := kvstore.Mutation{Put: DownKey("shelf-1", 0), Value: wire.Marshal(haltCommands(3, 2))}
+		if _, err := leaderStore.Txn(t.Context(), nil, []kvstore.Mutation{commands}, kvstore.PriorityUser); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(2 * time.Second)
+		worker.mu.Lock()
+		requests := slices.Clone(worker.requests)
+		worker.mu.Unlock()
+		if len(requests) != 1 || requests[0].FencingToken != 3 || requests[0].Incarnation != 2 || len(requests[0].Commands) != 1 {
+			t.Errorf("the agent got %+v, want one command under token 3", requests)
+		}
+		if batch := readHeartbeats(t, leaderStore); len(batch.Deltas) != 1 || batch.Deltas[0].Sequence != 2 {
+			t.Errorf("the store has %+v, want a delta to the second heartbeat", batch)
+		}
+	})
+}
+
+// readHeartbeats returns what the proxy has written last.
+func readHeartbeats(t *testing.T, store *kvstore.Client) HeartbeatBatch {
+	t.Helper()
+	item, err := store.Get(t.Context(), upKey("shelf-1", 0), kvstore.PriorityUser)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var batch HeartbeatBatch
+	if err := wire.Unmarshal(item.Value, &batch); err != nil {
+		t.Fatal(err)
+	}
+	return batch
+}
+
+// Agents that hang keep at most maxDispatches connections: with one for each agent of a large zone
+// the controller would run out of sockets.
+func TestConnectionForEachAgentThatHangs(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var dialed atomic.Int64
+		p := newTestProxy()
+		p.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
+			dialed.Add(1)
+			<-ctx.Done()
+			return nil, ctx.Err()
+		}
+		dispatcher := newDispatcher(p)
+		for range 2 * maxDispatches {
+			dispatcher.tryDispatch(t.Context(), directCommands{machine: testMachine, addr: agentAddr})
+		}
+		synctest.Wait()
+		if got := dialed.Load(); got != maxDispatches {
+			t.Errorf("%d connections at the same time, want %d", got, maxDispatches)
+		}
+		dispatcher.wait()
+		dispatcher.tryDispatch(t.Context(), directCommands{machine: testMachine, addr: agentAddr})
+		dispatcher.wait()
+		if got := dialed.Load(); got != maxDispatches+1 {
+			t.Errorf("%d connections in all, want one more once slots are free", got)
+		}
+	})
+}
+
+// What was kept for agents is dropped when they have gone: a leader elected meanwhile, or the same
+// one that has forgotten the machine, has no base for their deltas.
+func TestBaseKeptAfterAgentsHaveGone(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		t.Cleanup(func() { time.Sleep(time.Minute) })
+		network, store := fake.NewNetwork(t.Context()), fake.NewStore()
+		go network.Serve(t.Context(), storeAddr, store.Handle)
+		synctest.Wait()
+		p := newTestProxy()
+		p.Store = kvstore.New(network.Dial("shelf-1"), storeAddr, 100, 100)
+		go p.Run(t.Context())
+		for sequence := range uint64(2) {
+			heartbeat := testHeartbeat(2, sequence+1)
+			p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
+			time.Sleep(idleAfter + 2*writeInterval)
+			if batch := readHeartbeats(t, p.Store); len(batch.Full) != 1 || batch.Full[0].Sequence != sequence+1 {
+				t.Errorf("the store has %+v, want heartbeat %d in full", batch, sequence+1)
+			}
+		}
+	})
+}
