--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -17,8 +17,8 @@
 	// controller has sockets.
 	maxDispatches = 40
 
-	// dispatchTimeout bounds the time in which an agent that hangs keeps others waiting for its
-	// connection.
+	// dispatchTimeout bounds for how long an agent that hangs takes one of the connections: the
+	// others' commands are left to the responses to their next heartbeats meanwhile.
 	dispatchTimeout = 1500 * time.Millisecond
 )
 
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -30,8 +30,8 @@
 	// whole request is 64 KiB.
 	MaxWrite = 48 << 10
 
-	// BatchOverhead is how many bytes of a batch what is not a heartbeat or commands takes at most:
-	// the names of its fields, the node's name and the term.
+	// BatchOverhead is how many bytes of a batch are left for what is neither a heartbeat nor
+	// commands: the names of its fields, the node's name and the term.
 	BatchOverhead = 200
 )
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -42,8 +42,8 @@
 	batches      map[string]CommandBatch       // commands as last read, by key
 }
 
-// idleAfter is for how long a proxy without agents goes on: longer than an agent waits between two
-// heartbeats.
+// idleAfter is for how long after the last heartbeat of an agent a proxy goes on. It outlasts the
+// usual interval between two, so that the base of deltas is not lost from one to the next.
 const idleAfter = 8 * time.Second
 
 // AnswerHeartbeat takes the heartbeat of an agent that cannot reach the leader, and returns the
