--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// MayExtendLeases reports whether this controller may answer heartbeats so that leases go on. It
+// mayExtendLeases reports whether this controller may answer heartbeats so that leases go on. It
 // must know every cancellation that was confirmed to a user before a lease's time ago and more:
 // whatever it does not know of was confirmed so lately that a lease prolonged now ends in time.
 //
 // It guards against a controller, leading or not, that can learn of cancellations from nobody and
 // keeps their tasks alive for longer than users were promised. Its agents try the other
 // controllers, and where none may answer them their tasks end.
-func (n *Node) MayExtendLeases() bool {
+func (n *Node) mayExtendLeases() bool {
 	staleness, known := n.cancelled.Staleness()
 	workers := &n.settings.Workers
 	// Where a lease leaves no time at all the promise cannot be kept by leases.
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -22,6 +22,14 @@
 	Types []cloud.Type `cbor:"types"`
 }
 
+// machineTypes returns the cloud's catalog, or nil as long as it is not known.
+func (n *Node) machineTypes() []cloud.Type {
+	if types := n.types.Load(); types != nil {
+		return *types
+	}
+	return nil
+}
+
 const (
 	catalogRetryInterval   = time.Second
 	catalogRefreshInterval = time.Minute // prices change
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -68,7 +68,7 @@
 // leader is heard again the agent is sent back to it. It returns false where it may not answer.
 func (n *Node) relayHeartbeat(heartbeat *agent.Heartbeat) (response wire.Response, ok bool) {
 	name, term, confirmed := n.candidate.Confirmed(leaderConfirmedWithin)
-	if !confirmed || !n.MayExtendLeases() || name == n.settings.Node {
+	if !confirmed || !n.mayExtendLeases() || name == n.settings.Node {
 		return wire.Response{}, false
 	}
 	if heartbeat.FencingToken > term || n.peers.ReachableWithin(name, leader.RelayAfterSilence) {
@@ -99,7 +99,7 @@
 // key-value store that outlasts the leases, or where a zone with a controller is cut off from
 // everything (docs/incidents/inc-008f.md). No rule depends on a lease's end.
 func (n *Node) mayExtendIsolated(heartbeat *agent.Heartbeat) bool {
-	if heartbeat.FencingToken == 0 || !n.isolated() || !n.MayExtendLeases() {
+	if heartbeat.FencingToken == 0 || !n.isolated() || !n.mayExtendLeases() {
 		return false
 	}
 	return n.extended.addIfAbsent(heartbeat.Machine, time.Now())
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -87,7 +87,7 @@
 		ValueBytes: settings.Store.ValueBytes, TxnOps: settings.Store.TxnOps}
 	n.candidate = &leadership.Candidate{Node: settings.Node, TTL: operator.LeaderLease, Store: n.store, PreferOther: n.prefersOther}
 	n.api = n.newAPI()
-	n.peers = n.newPeers()
+	n.peers = newPeerGroup(n)
 	return n
 }
 
@@ -98,7 +98,7 @@
 		StoreRPS:              n.settings.Store.RPS,
 		Teams:                 n.settings.Teams,
 		TasksPerChunk:         jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
-		MachineTypes:          n.MachineTypes,
+		MachineTypes:          n.machineTypes,
 		OnJobChanged:          n.notifyChanged,
 		OnJobCancelled:        func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		GangsSupported:        n.gangsSupported.Load,
@@ -107,17 +107,6 @@
 	})
 }
 
-// newPeers returns what exchanges heartbeats with the other controllers.
-func (n *Node) newPeers() *peer.Group {
-	group := &peer.Group{Dial: n.dial, Node: n.settings.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm,
-		OnChanged: n.onChanged, Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
-		ConfirmedGone: n.gone.all, OnConfirmedGone: n.gone.merge, StoreReachable: n.storeReachable}
-	for _, other := range n.settings.Peers {
-		group.Members = append(group.Members, peer.Member{Node: other.Node, Addr: other.Addr})
-	}
-	return group
-}
-
 // Shares of the sockets that servers may hold, and their timeouts.
 const (
 	idleTimeout     = 60 * time.Second
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -20,7 +20,7 @@
 const storeAddr = "10.2.0.1:2379"
 
 // A leader whose term was succeeded learns it from the compare on the term's key, ends with
-// ErrDeposed and has written nothing since.
+// leadership.ErrDeposed and has written nothing since.
 func TestDeposedByTheCompareOnTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -39,7 +39,7 @@
 		})
 		time.Sleep(2 * time.Second)
 		beginNextTerm(t, client)
-		if err := <-ended; !errors.Is(err, ErrDeposed) {
+		if err := <-ended; !errors.Is(err, leadership.ErrDeposed) {
 			t.Errorf("ended by %v", err)
 		}
 		if keys := store.Keys(jobstore.EndKey("")); len(keys) != 0 {
