--- /dev/null
+++ b/internal/placement/assignment.go
@@ -0,0 +1,46 @@
+package placement
+
+import "slices"
+
+// fill places up to most tasks of a job, as far as the team and the machines have
+// room, and returns how many. The index does not change within a pass, so the machine
+// that is best for one task is best for the next until it is full: the machines
+// are looked through once for a job, not once for a task.
+func (p *planner) fill(i int, j *Job, most int, on choice) (n int) {
+	k, plain := j.kind()
+	if plain && p.full[k] || !p.teams[j.Team].room(j.Need) {
+		return 0
+	}
+	fit := make([]int, 0, len(p.machines))
+	for m := range p.machines {
+		if p.fits(j, m, on.zone) && (!on.warm || p.rank(j, m) == 0) {
+			fit = append(fit, m)
+		}
+	}
+	slices.SortFunc(fit, func(a, b int) int { return p.compare(j, a, b) })
+	for _, m := range fit {
+		// Where the job's tasks are tied to each other by zone, some no longer fit.
+		for p.fits(j, m, on.zone) {
+			if n == most || !p.teams[j.Team].room(j.Need) {
+				return n
+			}
+			p.assign(i, j, m)
+			n++
+		}
+	}
+	if plain && on == anywhere {
+		p.full[k] = n < most // room only shrinks within a pass
+	}
+	return n
+}
+
+func (p *planner) assign(i int, j *Job, m int) {
+	p.touch(j, m)
+	p.machines[m].Free = p.machines[m].Free.Add(j.Need, -1)
+	p.teams[j.Team].use(j.Need, 1)
+	j.TasksInZone[p.machines[m].Zone]++
+	if j.Image != nil && j.Image[m] == Cold {
+		j.Image[m], p.machines[m].Fetch = Coming, true
+	}
+	p.out.Assignments = append(p.out.Assignments, Assignment{i, m})
+}
--- a/internal/placement/index.go
+++ b/internal/placement/load_index.go
@@ -1,6 +1,3 @@
-// Package placement decides which machine a waiting task goes to. It is pure
-// and deterministic: it is given machines, jobs and the time, and returns
-// decisions.
 package placement
 
 import (
@@ -8,49 +5,6 @@
 	"time"
 )
 
-// Resources counted by the load index, and the amounts booked and free.
-const (
-	CPU = iota
-	Memory
-	GPU
-	NumResources
-)
-
-// Amounts holds one amount for each resource.
-type Amounts [NumResources]float64
-
-// eps absorbs the rounding of sums of decimal amounts.
-const eps = 1e-6
-
-// Fits tells whether need fits into a.
-func (a Amounts) Fits(need Amounts) bool {
-	for r := range a {
-		if need[r] > a[r]+eps {
-			return false
-		}
-	}
-	return true
-}
-
-// Add returns a + k*b.
-func (a Amounts) Add(b Amounts, k float64) Amounts {
-	for r := range a {
-		a[r] += k * b[r]
-	}
-	return a
-}
-
-// Times returns how many times need fits into a.
-func (a Amounts) Times(need Amounts) int {
-	n := math.MaxInt32
-	for r := range a {
-		if need[r] > 0 {
-			n = min(n, int(math.Max(0, a[r]+eps)/need[r]))
-		}
-	}
-	return n
-}
-
 // Index is the load index of Ferrari and Zhou for one machine: for each
 // resource the exponentially smoothed number of tasks that book it, summed
 // with unit weights.
--- /dev/null
+++ b/internal/placement/placement.go
@@ -0,0 +1,42 @@
+// Package placement decides which machine a waiting task goes to. It is pure
+// and deterministic: it is given machines, jobs and the time, and returns
+// decisions.
+package placement
+
+import "time"
+
+// Place makes one pass: waiting tasks by priority, then arrival, each to the
+// fitting machine with the lowest index, within their teams' limits. It
+// changes machines, jobs and teams as it goes.
+func Place(now time.Time, machines []Machine, jobs []Job, teams []Team) Plan {
+	p := newPlanner(now, machines, teams, len(jobs))
+	sorted := order(jobs)
+	p.overdue(jobs, sorted)
+	for _, i := range sorted {
+		j := &jobs[i]
+		if j.Gang {
+			p.gang(i, j)
+			continue
+		}
+		left := j.Waiting
+		if j.Urgent && j.FetchTooSlow {
+			left -= p.fill(i, j, left, warmOnly)
+			made, _ := p.preempt(i, j, left, warmOnly)
+			left -= made
+		}
+		left -= p.fill(i, j, left, anywhere)
+		if left == 0 {
+			continue
+		}
+		if p.teams[j.Team].room(j.Need) {
+			p.out.Unplaced[i] = left
+			if !j.Urgent {
+				p.starved = append(p.starved, j)
+			}
+		}
+		if j.Urgent || j.MayDisplace {
+			p.preempt(i, j, left, anywhere)
+		}
+	}
+	return p.out
+}
--- a/internal/placement/gaps.go
+++ b/internal/placement/reservation.go
@@ -133,3 +133,15 @@
 	}
 	return p.ends[machine]
 }
+
+// left is for how long a task stays, about. One that has run for longer than was expected
+// is expected to run for a quarter longer.
+func (t *Task) left(now time.Time) time.Duration {
+	switch {
+	case t.Stopping:
+		return 0
+	case t.EndsAt.IsZero():
+		return math.MaxInt64
+	}
+	return max(t.EndsAt.Sub(now), now.Sub(t.StartedAt)/4)
+}
