--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -1,18 +1,18 @@
 package placement
 
-// choice limits the machines that are looked at for a job.
-type choice struct {
-	zone int  // -1: any
-	warm bool // only those that have the job's image
+// machineFilter limits the machines that are looked at for a job.
+type machineFilter struct {
+	zone       int  // -1: any
+	imageReady bool // only those that have the job's image
 }
 
 var (
-	anywhere = choice{zone: -1}
-	warmOnly = choice{zone: -1, warm: true}
+	anywhere  = machineFilter{zone: -1}
+	withImage = machineFilter{zone: -1, imageReady: true}
 )
 
-// fits tells whether a task of j may be placed on a machine.
-func (p *planner) fits(j *Job, i, only int) bool {
+// feasible tells whether a task of j may be placed on a machine.
+func (p *pass) feasible(j *Job, i, only int) bool {
 	m := &p.machines[i]
 	return m.Open && !j.avoids(i) && m.Free.Fits(j.Need) && j.Allows(m) && (only < 0 || m.Zone == only)
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// order returns the positions of the jobs in the order in which they are placed.
-func order(jobs []Job) []int {
+// placementOrder returns the positions of the jobs in the order in which they are placed.
+func placementOrder(jobs []Job) []int {
 	order := make([]int, len(jobs))
 	for i := range order {
 		order[i] = i
@@ -31,7 +31,7 @@
 	return order
 }
 
-// overdue lets each job that has waited too long with none of its tasks begun
+// startOverdueJobs lets each job that has waited too long with none of its tasks begun
 // begin with one, before all others and in order of arrival.
 //
 // Exception to the design (priority, then arrival): by priority and response ratio
@@ -39,7 +39,7 @@
 // while bursts of others go on (menu-sync waited up to 283 s on rough of
 // kapana-orders-grown), and users count a job that has not begun within four
 // minutes as failed.
-func (p *planner) overdue(jobs []Job, sorted []int) {
+func (p *pass) startOverdueJobs(jobs []Job, sorted []int) {
 	var late []int
 	for _, i := range sorted {
 		if jobs[i].Overdue && !jobs[i].Gang {
@@ -48,6 +48,6 @@
 	}
 	sort.Slice(late, func(x, y int) bool { return jobs[late[x]].Arrival < jobs[late[y]].Arrival })
 	for _, i := range late {
-		jobs[i].Waiting -= p.fill(i, &jobs[i], 1, anywhere)
+		jobs[i].Waiting -= p.placeTasks(i, &jobs[i], 1, anywhere)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -9,34 +9,34 @@
 // fitting machine with the lowest index, within their teams' limits. It
 // changes machines, jobs and teams as it goes.
 func Place(now time.Time, machines []Machine, jobs []Job, teams []Team) Plan {
-	p := newPlanner(now, machines, teams, len(jobs))
-	sorted := order(jobs)
-	p.overdue(jobs, sorted)
+	p := newPass(now, machines, teams, len(jobs))
+	sorted := placementOrder(jobs)
+	p.startOverdueJobs(jobs, sorted)
 	for _, i := range sorted {
 		j := &jobs[i]
 		if j.Gang {
-			p.gang(i, j)
+			p.placeGang(i, j)
 			continue
 		}
 		left := j.Waiting
 		if j.Urgent && j.FetchTooSlow {
-			left -= p.fill(i, j, left, warmOnly)
-			made, _ := p.preempt(i, j, left, warmOnly)
+			left -= p.placeTasks(i, j, left, withImage)
+			made, _ := p.preempt(i, j, left, withImage)
 			left -= made
 		}
-		left -= p.fill(i, j, left, anywhere)
+		left -= p.placeTasks(i, j, left, anywhere)
 		if left == 0 {
 			continue
 		}
 		if p.teams[j.Team].room(j.Need) {
-			p.out.Unplaced[i] = left
+			p.plan.Unplaced[i] = left
 			if !j.Urgent {
-				p.starved = append(p.starved, j)
+				p.starvedJobs = append(p.starvedJobs, j)
 			}
 		}
 		if j.Urgent || j.MayDisplace {
 			p.preempt(i, j, left, anywhere)
 		}
 	}
-	return p.out
+	return p.plan
 }
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -11,40 +11,40 @@
 // plain is Place as the design states it, one task after the other with a look at
 // every machine for each, without anything remembered from task to task.
 func plain(now time.Time, machines []Machine, jobs []Job, teams []Team) Plan {
-	p := newPlanner(now, machines, teams, len(jobs))
-	for _, i := range order(jobs) {
+	p := newPass(now, machines, teams, len(jobs))
+	for _, i := range placementOrder(jobs) {
 		j := &jobs[i]
 		n := 0
 		if j.Urgent && j.FetchTooSlow {
 			for ; n < j.Waiting && p.teams[j.Team].room(j.Need); n++ {
-				m := p.best(j, -1)
-				if m < 0 || p.rank(j, m) > 0 {
+				m := p.bestMachine(j, -1)
+				if m < 0 || p.imageRank(j, m) > 0 {
 					break
 				}
 				p.assign(i, j, m)
 			}
 			for made := 1; made > 0 && n < j.Waiting; n += made {
-				clear(p.victims)
-				made, _ = p.preempt(i, j, 1, warmOnly)
+				clear(p.preemptionOptions)
+				made, _ = p.preempt(i, j, 1, withImage)
 			}
 		}
 		for ; n < j.Waiting && p.teams[j.Team].room(j.Need); n++ {
-			m := p.best(j, -1)
+			m := p.bestMachine(j, -1)
 			if m < 0 {
-				p.out.Unplaced[i] = j.Waiting - n
+				p.plan.Unplaced[i] = j.Waiting - n
 				if !j.Urgent {
-					p.starved = append(p.starved, j)
+					p.starvedJobs = append(p.starvedJobs, j)
 				}
 				break
 			}
 			p.assign(i, j, m)
 		}
 		for ; (j.Urgent || j.MayDisplace) && n < j.Waiting; n++ {
-			clear(p.victims)
+			clear(p.preemptionOptions)
 			p.preempt(i, j, 1, anywhere)
 		}
 	}
-	return p.out
+	return p.plan
 }
 
 // The plan is the same whether the machines are looked through once for a job or
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -11,19 +11,19 @@
 // aim, and more than the tasks lose. Where the
 // team is at its limit the tasks stopped are its own. It returns for how many tasks
 // room is made, and the run time that this loses.
-func (p *planner) preempt(i int, j *Job, n int, on choice) (made int, lost float64) {
+func (p *pass) preempt(i int, j *Job, n int, on machineFilter) (made int, lost float64) {
 	team := &p.teams[j.Team]
 	var open []int // machines on which tasks may be stopped
 	for k := range p.machines {
-		if p.machines[k].Open && !j.avoids(k) && (on.zone < 0 || p.machines[k].Zone == on.zone) && !(on.warm && p.rank(j, k) > 0) && !(j.Urgent && p.promised(k)) {
+		if p.machines[k].Open && !j.avoids(k) && (on.zone < 0 || p.machines[k].Zone == on.zone) && !(on.imageReady && p.imageRank(j, k) > 0) && !(j.Urgent && p.contested(k)) {
 			open = append(open, k)
 		}
 	}
 	for ; made < n; made++ {
-		over := team.over(j.Need)
-		costs := p.costs(j, over)
+		over := team.excess(j.Need)
+		costs := p.preemptionOptionsFor(j, over)
 		cheaper := func(a, b int) int {
-			rank, cost := cmp.Compare(p.rank(j, a), p.rank(j, b)), cmp.Compare(costs[a].cost, costs[b].cost)
+			rank, cost := cmp.Compare(p.imageRank(j, a), p.imageRank(j, b)), cmp.Compare(costs[a].lostSeconds, costs[b].lostSeconds)
 			if j.Gang && !j.FetchTooSlow {
 				return cmp.Or(cost, rank) // its last task decides, and room is free in part
 			}
@@ -37,7 +37,7 @@
 			}
 			v := &costs[k]
 			if !v.known {
-				*v = p.victimsOn(m, j, over)
+				*v = p.chooseVictims(m, j, over)
 			}
 			if !v.ok {
 				continue
@@ -49,42 +49,42 @@
 		if best < 0 {
 			return made, lost
 		}
-		lost += costs[best].cost
-		p.touch(j, best)
+		lost += costs[best].lostSeconds
+		p.beforeChange(j, best)
 		m := &p.machines[best]
-		if !p.own[best] {
-			m.Tasks, p.own[best] = slices.Clone(m.Tasks), true
+		if !p.ownsTasks[best] {
+			m.Tasks, p.ownsTasks[best] = slices.Clone(m.Tasks), true
 		}
 		var freed Amounts
-		for _, v := range costs[best].stops {
+		for _, v := range costs[best].victims {
 			t := &m.Tasks[v]
 			if !t.Stopping {
 				t.Stopping = true
-				p.out.Preemptions = append(p.out.Preemptions, Preemption{best, t.ID, i})
+				p.plan.Preemptions = append(p.plan.Preemptions, Preemption{best, t.ID, i})
 			}
 			freed = freed.Add(t.Need, 1)
 			p.teams[t.Team].stopped = p.teams[t.Team].stopped.Add(t.Need, 1)
 			t.Need = Amounts{} // promised to j
 		}
-		p.forget(best)
+		p.forgetTasksOn(best)
 		// What stops is still there and counts until it is gone: nobody gets any of
 		// it in this pass, not even what is more than j needs.
 		for r := range m.Free {
 			m.Free[r] = min(m.Free[r], m.Free[r]+freed[r]-j.Need[r])
 		}
-		team.use(j.Need, 1)
+		team.book(j.Need, 1)
 		j.TasksInZone[m.Zone]++
 	}
 	return made, lost
 }
 
-// promised tells whether others that come before would take what becomes free on a machine.
+// contested tells whether others that come before would take what becomes free on a machine.
 //
 // It guards against tasks stopped in vain, again and again: a gang that was beyond its team's
 // guarantee stopped 52 tasks in a second, and arrays of its priority, within their teams',
 // took all of the room before the last of them was gone (inc-f015).
-func (p *planner) promised(machine int) bool {
-	for _, j := range p.starved {
+func (p *pass) contested(machine int) bool {
+	for _, j := range p.starvedJobs {
 		if j.Allows(&p.machines[machine]) && !j.avoids(machine) {
 			return true
 		}
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// compare tells which of two machines comes first for j: the lowest index, the first
+// compareMachines tells which of two machines comes first for j: the lowest index, the first
 // of equals.
 //
 // Exception to the design: where j.Image is given, a machine that has the job's
@@ -11,12 +11,12 @@
 // is given for images that take longer to fetch than the index remembers; on
 // omaruru-fares a fetch of 20 s kept machines paid and idle and services from their
 // start aim.
-func (p *planner) compare(j *Job, a, b int) int {
-	return cmp.Or(cmp.Compare(p.rank(j, a), p.rank(j, b)), cmp.Compare(p.machines[a].Load, p.machines[b].Load), a-b)
+func (p *pass) compareMachines(j *Job, a, b int) int {
+	return cmp.Or(cmp.Compare(p.imageRank(j, a), p.imageRank(j, b)), cmp.Compare(p.machines[a].Load, p.machines[b].Load), a-b)
 }
 
-// rank tells how soon a machine would have the job's image: 0 the soonest.
-func (p *planner) rank(j *Job, m int) int {
+// imageRank tells how soon a machine would have the job's image: 0 the soonest.
+func (p *pass) imageRank(j *Job, m int) int {
 	switch {
 	case j.Image == nil || j.Image[m] == Warm:
 		return 0
@@ -28,12 +28,12 @@
 	return 3
 }
 
-// best returns the fitting machine that comes first, or -1. only, if not
+// bestMachine returns the fitting machine that comes first, or -1. only, if not
 // negative, names the zone.
-func (p *planner) best(j *Job, only int) int {
+func (p *pass) bestMachine(j *Job, only int) int {
 	best := -1
 	for i := range p.machines {
-		if p.fits(j, i, only) && (best < 0 || p.compare(j, i, best) < 0) {
+		if p.feasible(j, i, only) && (best < 0 || p.compareMachines(j, i, best) < 0) {
 			best = i
 		}
 	}
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -13,13 +13,13 @@
 // Amounts holds one amount for each resource.
 type Amounts [NumResources]float64
 
-// eps absorbs the rounding of sums of decimal amounts.
-const eps = 1e-6
+// tolerance absorbs the rounding of sums of decimal amounts.
+const tolerance = 1e-6
 
 // Fits tells whether need fits into a.
 func (a Amounts) Fits(need Amounts) bool {
 	for r := range a {
-		if need[r] > a[r]+eps {
+		if need[r] > a[r]+tolerance {
 			return false
 		}
 	}
@@ -39,7 +39,7 @@
 	n := math.MaxInt32
 	for r := range a {
 		if need[r] > 0 {
-			n = min(n, int(math.Max(0, a[r]+eps)/need[r]))
+			n = min(n, int(math.Max(0, a[r]+tolerance)/need[r]))
 		}
 	}
 	return n
--- a/internal/placement/team.go
+++ b/internal/placement/team.go
@@ -10,29 +10,29 @@
 }
 
 func (t *Team) room(n Amounts) bool {
-	return t.CPUsUsed+n[CPU] <= t.CPUsMax+eps && t.GPUsUsed+n[GPU] <= t.GPUsMax+eps
+	return t.CPUsUsed+n[CPU] <= t.CPUsMax+tolerance && t.GPUsUsed+n[GPU] <= t.GPUsMax+tolerance
 }
 
 // fits tells whether the team may use n more of a task's amounts.
 func (t *Team) fits(need Amounts, n int) bool {
 	k := float64(n)
-	return t.CPUsUsed+k*need[CPU] <= t.CPUsMax+eps && t.GPUsUsed+k*need[GPU] <= t.GPUsMax+eps
+	return t.CPUsUsed+k*need[CPU] <= t.CPUsMax+tolerance && t.GPUsUsed+k*need[GPU] <= t.GPUsMax+tolerance
 }
 
-// over returns by how much the team would be over its limit with n more, once
+// excess returns by how much the team would be over its limit with n more, once
 // those that stop have stopped.
-func (t *Team) over(n Amounts) Amounts {
+func (t *Team) excess(n Amounts) Amounts {
 	var out Amounts
-	if d := t.CPUsUsed - t.stopped[CPU] + n[CPU] - t.CPUsMax; d > eps {
+	if d := t.CPUsUsed - t.stopped[CPU] + n[CPU] - t.CPUsMax; d > tolerance {
 		out[CPU] = d
 	}
-	if d := t.GPUsUsed - t.stopped[GPU] + n[GPU] - t.GPUsMax; d > eps {
+	if d := t.GPUsUsed - t.stopped[GPU] + n[GPU] - t.GPUsMax; d > tolerance {
 		out[GPU] = d
 	}
 	return out
 }
 
-func (t *Team) use(n Amounts, k float64) {
+func (t *Team) book(n Amounts, k float64) {
 	t.CPUsUsed += k * n[CPU]
 	t.GPUsUsed += k * n[GPU]
 }
