--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -1,28 +1,29 @@
 package placement
 
+// Machines and their tasks, as a pass sees them.
+
 import "time"
 
-// Machine is a machine as placement sees it. Its position in the list is its
-// dense index.
+// Machine is a machine in the snapshot of a pass. Its position in the list is its name.
 type Machine struct {
-	Open  bool // takes new tasks
-	Type  int
-	Zone  int
-	Spot  bool
-	Free  Amounts
-	Load  float64 // the index
+	Open  bool    // takes new tasks
+	Type  int     // dense index of the machine type; negative: unknown, takes no tasks
+	Zone  int     // dense index; negative: unknown, takes no tasks
+	Spot  bool    // may be taken back by the cloud at any time
+	Free  Amounts // not booked
+	Load  float64 // value of its load Index
 	Fetch bool    // fetches an image
-	Tasks []Task  // booked tasks, for preemption
+	Tasks []Task  // booked tasks, which preemption and reservations look at
 }
 
-// Task is a booked task.
+// Task is a task that is booked on a machine.
 type Task struct {
-	ID               int // the caller's
+	ID               int // the caller's name for it; of equal victims the lowest is stopped first
 	Need             Amounts
 	Priority         int
-	Team             int
+	Team             int // position in the list of teams; negative: unknown, never preempted
 	StartedAt        time.Time
-	MembersElsewhere int       // tasks on other machines that lose as much when it is stopped
-	EndsAt           time.Time // when it ends by itself, about; zero: it does not
-	Stopping         bool
+	MembersElsewhere int       // members of its gang on other machines, which lose as much when it is stopped
+	EndsAt           time.Time // when it is expected to end by itself; zero: it does not
+	Stopping         bool      // has been told to stop and may still run
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -1,46 +1,51 @@
 package placement
 
+// Resources: amounts of what tasks need and machines have.
+
 import "math"
 
-// Resources counted by the load index, and the amounts booked and free.
+// Resource is a resource that the load index counts, and that tasks book on machines.
+type Resource int
+
+// The resources. Memory is in gigabytes.
 const (
-	CPU = iota
+	CPU Resource = iota
 	Memory
 	GPU
 	NumResources
 )
 
-// Amounts holds one amount for each resource.
+// Amounts holds one amount for each Resource.
 type Amounts [NumResources]float64
 
-// tolerance absorbs the rounding of sums of decimal amounts.
+// tolerance absorbs the rounding of sums of decimal amounts: without it a machine is one task short of full.
 const tolerance = 1e-6
 
-// Fits tells whether need fits into a.
+// Fits reports whether need fits into a.
 func (a Amounts) Fits(need Amounts) bool {
-	for r := range a {
-		if need[r] > a[r]+tolerance {
+	for resource := range a {
+		if need[resource] > a[resource]+tolerance {
 			return false
 		}
 	}
 	return true
 }
 
-// Add returns a + k*b.
-func (a Amounts) Add(b Amounts, k float64) Amounts {
-	for r := range a {
-		a[r] += k * b[r]
+// Add returns a + factor*b.
+func (a Amounts) Add(b Amounts, factor float64) Amounts {
+	for resource := range a {
+		a[resource] += factor * b[resource]
 	}
 	return a
 }
 
-// Times returns how many times need fits into a.
+// Times returns how many times need fits into a; math.MaxInt32 if nothing is needed.
 func (a Amounts) Times(need Amounts) int {
-	n := math.MaxInt32
-	for r := range a {
-		if need[r] > 0 {
-			n = min(n, int(math.Max(0, a[r]+tolerance)/need[r]))
+	times := math.MaxInt32
+	for resource := range a {
+		if need[resource] > 0 {
+			times = min(times, int(math.Max(0, a[resource]+tolerance)/need[resource]))
 		}
 	}
-	return n
+	return times
 }
