--- /dev/null
+++ b/internal/placement/snapshot_test.go
@@ -0,0 +1,112 @@
+package placement
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// generatedZones is one more than generated machines are in: some jobs ask for a zone that has none.
+const generatedZones = 4
+
+// generateSnapshot returns a snapshot of a few hundred machines that is the same for the same seed. Its
+// jobs are services and arrays.
+func generateSnapshot(seed uint64, now time.Time) ([]Machine, []Job, []Team) {
+	random := rand.New(rand.NewPCG(7, seed))
+	teams := generateTeams(random)
+	machines := generateMachines(random, now, teams)
+	return machines, generateJobs(random, machines, teams), teams
+}
+
+// oneIn is true once in so many times.
+func oneIn(random *rand.Rand, times int) bool { return random.IntN(times) == 0 }
+
+func generateTeams(random *rand.Rand) []Team {
+	teams := make([]Team, 3)
+	for position := range teams {
+		teams[position].CPUsMax = float64(100 + random.IntN(400))
+	}
+	teams[2].Opportunistic = oneIn(random, 2)
+	return teams
+}
+
+// generateMachines returns machines with tasks, which count as used by the teams.
+func generateMachines(random *rand.Rand, now time.Time, teams []Team) []Machine {
+	crowded := oneIn(random, 2)
+	machines := make([]Machine, 100+random.IntN(300))
+	for position := range machines {
+		machine := Machine{
+			Open:  !oneIn(random, 20),
+			Type:  random.IntN(2),
+			Zone:  random.IntN(generatedZones - 1),
+			Spot:  oneIn(random, 4),
+			Fetch: oneIn(random, 3),
+			Free:  Amounts{CPU: 4, Memory: 16},
+			Load:  float64(random.IntN(12)),
+		}
+		for machine.Free[CPU] > 0 && (crowded || !oneIn(random, 3)) {
+			task := Task{
+				ID:        len(machine.Tasks),
+				Need:      Amounts{CPU: 1, Memory: 3},
+				Priority:  random.IntN(3),
+				Team:      random.IntN(len(teams)),
+				StartedAt: now.Add(-time.Duration(random.IntN(100)) * time.Second),
+				Stopping:  oneIn(random, 10),
+			}
+			machine.Tasks = append(machine.Tasks, task)
+			machine.Free = machine.Free.Add(task.Need, -1)
+			teams[task.Team].CPUsUsed++
+		}
+		machines[position] = machine
+	}
+	return machines
+}
+
+func generateJobs(random *rand.Rand, machines []Machine, teams []Team) []Job {
+	jobs := make([]Job, 30+random.IntN(60))
+	for position := range jobs {
+		job := generateService(random, teams)
+		job.Arrival = uint64(position)
+		if oneIn(random, 3) {
+			turnIntoArray(random, &job, teams)
+		}
+		job.Tasks = job.Waiting
+		if oneIn(random, 3) {
+			job.FetchTooSlow = oneIn(random, 2)
+			job.Image = make([]Image, len(machines))
+			for machineIndex := range job.Image {
+				job.Image[machineIndex] = Image(random.IntN(3))
+			}
+		}
+		if oneIn(random, 5) {
+			job.Avoid = make([]bool, len(machines))
+			job.Avoid[random.IntN(len(machines))] = true
+		}
+		jobs[position] = job
+	}
+	return jobs
+}
+
+func generateService(random *rand.Rand, teams []Team) Job {
+	return Job{
+		Team:        random.IntN(len(teams)),
+		Zone:        random.IntN(generatedZones+1) - 1, // -1: any
+		Spot:        oneIn(random, 2),
+		Waiting:     1,
+		Need:        Amounts{CPU: 2, Memory: 4},
+		Priority:    3,
+		Urgent:      true,
+		TasksInZone: make([]int, generatedZones),
+		Types:       []bool{true, !oneIn(random, 3)},
+	}
+}
+
+func turnIntoArray(random *rand.Rand, job *Job, teams []Team) {
+	job.Need = Amounts{CPU: 1, Memory: 3}
+	job.Priority = random.IntN(3)
+	job.Urgent = false
+	job.Waiting = random.IntN(60)
+	job.Ratio = float64(random.IntN(50))
+	job.BeyondGuarantee = oneIn(random, 2)
+	job.Apart = oneIn(random, 4)
+	job.MayDisplace = !job.BeyondGuarantee && !teams[job.Team].Opportunistic
+}
--- /dev/null
+++ b/internal/placement/traces_test.go
@@ -0,0 +1,210 @@
+package placement
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/golden"
+)
+
+// TestTraces replays the scenarios under testdata. Each line of a trace's input is a word followed by
+// fields such as cpu=4:
+//
+//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same] [lasting=CPU]...
+//	A task is expected to run for a minute, a lasting one for five more.
+//	team max= [used=] [guest]
+//	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [onezone] [apart] [gang] [urgent] [displace] [costly] [beyond] [ratio=] [tocome] [warm=M [coming=M]]
+//	load SECONDS TASKS   the index of one machine with so many tasks for so long
+//	place
+func TestTraces(t *testing.T) { golden.Run(t, replay) }
+
+const (
+	traceZones  = 3
+	taskRun     = 60 * time.Second // expected of a task
+	lastingTask = 5 * time.Minute  // expected of a lasting one, from now on
+)
+
+// scenario is what a trace has described so far.
+type scenario struct {
+	t        *testing.T
+	now      time.Time
+	machines []Machine
+	teams    []Team
+	jobs     []Job
+
+	index Index // of the machine of load lines
+	clock time.Time
+}
+
+func replay(t *testing.T, trace []byte) []byte {
+	start := time.Unix(1000, 0)
+	s := &scenario{t: t, now: start, clock: start}
+	return golden.Replay(trace, func(out *bytes.Buffer, line string, words []string) {
+		fields := traceFields{t, line, words[1:]}
+		switch words[0] {
+		case "machine":
+			s.addMachine(fields)
+		case "team":
+			s.addTeam(fields)
+		case "job":
+			s.addJob(fields)
+		case "load":
+			s.load(out, fields)
+		case "place":
+			s.place(out)
+		default:
+			t.Fatalf("%q", line)
+		}
+	})
+}
+
+// traceFields are the fields of one line.
+type traceFields struct {
+	t     *testing.T
+	line  string
+	words []string
+}
+
+// number returns the value of a field name=VALUE, or what stands for a missing one.
+func (f traceFields) number(name string, missing float64) float64 {
+	for _, word := range f.words {
+		if key, value, ok := strings.Cut(word, "="); ok && key == name {
+			var number float64
+			if _, err := fmt.Sscan(value, &number); err != nil {
+				f.t.Fatalf("%q: %v", f.line, err)
+			}
+			return number
+		}
+	}
+	return missing
+}
+
+// integer is number for whole numbers.
+func (f traceFields) integer(name string, missing int) int {
+	return int(f.number(name, float64(missing)))
+}
+
+// flag reports whether a word stands alone on the line.
+func (f traceFields) flag(name string) bool {
+	for _, word := range f.words {
+		if word == name {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *scenario) addMachine(fields traceFields) {
+	machine := Machine{
+		Open:  true,
+		Zone:  fields.integer("zone", 0),
+		Spot:  fields.flag("spot"),
+		Fetch: fields.flag("fetch"),
+		Load:  fields.number("load", 0),
+		Free:  Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
+	}
+	for _, word := range fields.words {
+		key, value, _ := strings.Cut(word, "=")
+		if key == "task" || key == "stopping" {
+			task := s.parseTask(fields.line, value)
+			task.Stopping = key == "stopping"
+			machine.addTask(task)
+		}
+	}
+	if cpus := fields.number("lasting", 0); cpus > 0 {
+		machine.addTask(Task{Need: Amounts{CPU: cpus}, Priority: 1, StartedAt: s.now, EndsAt: s.now.Add(lastingTask)})
+	}
+	s.machines = append(s.machines, machine)
+}
+
+// addTask books a task on the machine and names it by its position.
+func (m *Machine) addTask(task Task) {
+	task.ID = len(m.Tasks)
+	m.Tasks = append(m.Tasks, task)
+	m.Free[CPU] -= task.Need[CPU]
+}
+
+// parseTask reads CPU:PRIORITY:AGE[:TEAM].
+func (s *scenario) parseTask(line, value string) Task {
+	var cpus, age float64
+	var priority, team int
+	if fieldCount, err := fmt.Sscanf(value, "%f:%d:%f:%d", &cpus, &priority, &age, &team); fieldCount < 3 {
+		s.t.Fatalf("%q: %v", line, err)
+	}
+	started := s.now.Add(-time.Duration(age) * time.Second)
+	return Task{Need: Amounts{CPU: cpus}, Priority: priority, Team: team, StartedAt: started, EndsAt: started.Add(taskRun)}
+}
+
+func (s *scenario) addTeam(fields traceFields) {
+	s.teams = append(s.teams, Team{
+		CPUsMax:       fields.number("max", 100),
+		CPUsUsed:      fields.number("used", 0),
+		Opportunistic: fields.flag("guest"),
+	})
+}
+
+func (s *scenario) addJob(fields traceFields) {
+	job := Job{
+		Team:            fields.integer("team", 0),
+		Priority:        fields.integer("prio", 1),
+		Arrival:         uint64(fields.number("at", 0)),
+		Ratio:           fields.number("ratio", 0),
+		BeyondGuarantee: fields.flag("beyond"),
+		Overdue:         fields.flag("overdue"),
+		Need:            Amounts{CPU: fields.number("cpu", 1), Memory: fields.number("ram", 1)},
+		Waiting:         fields.integer("tasks", 1),
+		Tasks:           fields.integer("tasks", 1),
+		Zone:            fields.integer("zone", AnyZone),
+		Spot:            fields.flag("spot"),
+		OneZone:         fields.flag("onezone"),
+		Apart:           fields.flag("apart"),
+		TasksInZone:     make([]int, traceZones),
+		Gang:            fields.flag("gang"),
+		Reservation:     fields.flag("tocome"),
+		Urgent:          fields.flag("urgent"),
+		MayDisplace:     fields.flag("displace"),
+		FetchTooSlow:    fields.flag("costly"),
+	}
+	if warm := fields.integer("warm", noMachine); warm >= 0 {
+		job.Image = make([]Image, len(s.machines))
+		job.Image[warm] = Warm
+		if coming := fields.integer("coming", noMachine); coming >= 0 {
+			job.Image[coming] = Coming
+		}
+	}
+	s.jobs = append(s.jobs, job)
+}
+
+func (s *scenario) load(out *bytes.Buffer, fields traceFields) {
+	var seconds, tasks int
+	if _, err := fmt.Sscan(strings.Join(fields.words, " "), &seconds, &tasks); err != nil {
+		s.t.Fatalf("%q: %v", fields.line, err)
+	}
+	for range seconds {
+		s.clock = s.clock.Add(time.Second)
+		s.index.Update(Amounts{CPU: float64(tasks), Memory: float64(tasks)}, s.clock, time.Second, 4*time.Second)
+	}
+	fmt.Fprintf(out, "> index %.3f\n", s.index.Value())
+}
+
+func (s *scenario) place(out *bytes.Buffer) {
+	if s.teams == nil {
+		s.teams = []Team{{CPUsMax: 100}}
+	}
+	plan := Place(s.now, s.machines, s.jobs, s.teams)
+	for position := range s.jobs {
+		var machines []string
+		for _, assignment := range plan.Assignments {
+			if assignment.Job == position {
+				machines = append(machines, fmt.Sprint(assignment.Machine))
+			}
+		}
+		fmt.Fprintf(out, "> job %d to machines [%s], %d without\n", position, strings.Join(machines, " "), plan.Unplaced[position])
+	}
+	for _, preemption := range plan.Preemptions {
+		fmt.Fprintf(out, "> stop task %d on machine %d for job %d\n", preemption.Task, preemption.Machine, preemption.For)
+	}
+}
