--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -96,9 +96,9 @@
 	return p.taskEnds[machineIndex]
 }
 
-// overrunShare is by what share of its run time so far a task is expected to run on, one over this, once it
-// has run for longer than was expected.
-const overrunShare = 4
+// overrunDivisor gives how long a task is expected to run on once it has overrun: a quarter of its run time
+// so far. Expecting it to end at once would reserve machines that do not become free.
+const overrunDivisor = 4
 
 // timeLeft returns for how long a task is expected to stay.
 func (t *Task) timeLeft(now time.Time) time.Duration {
@@ -108,6 +108,6 @@
 	if t.EndsAt.IsZero() {
 		return neverEnds
 	}
-	overrun := now.Sub(t.StartedAt) / overrunShare
+	overrun := now.Sub(t.StartedAt) / overrunDivisor
 	return max(t.EndsAt.Sub(now), overrun)
 }
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -58,7 +58,6 @@
 		}
 		free = free.Add(victim.Need, 1)
 		excess = excess.Add(victim.Need, -1)
-		excess[Memory] = 0 // teams have no limit on memory
 	}
 	if roomIsMade(free, job.Need, excess) {
 		option.state = optionPossible
