--- /dev/null
+++ b/internal/placement/gang_test.go
@@ -0,0 +1,49 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestGangTakesFirstOfEqualZones fails if equal zones are not decided by their order: two leaders would
+// decide differently on the same snapshot.
+func TestGangTakesFirstOfEqualZones(t *testing.T) {
+	machines := []Machine{{Open: true, Zone: 1, Free: Amounts{CPU: 2}}, {Open: true, Zone: 0, Free: Amounts{CPU: 2}}}
+	jobs := []Job{{Gang: true, OneZone: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 2, Tasks: 2, TasksInZone: make([]int, 2)}}
+	plan := Place(traceStart, machines, jobs, []Team{{CPUsMax: 9}})
+	for _, assignment := range plan.Assignments {
+		if assignment.Machine != 1 {
+			t.Errorf("assigned %v, want the machine in zone 0", plan.Assignments)
+		}
+	}
+	if len(plan.Assignments) != 2 {
+		t.Errorf("%d assignments, want 2", len(plan.Assignments))
+	}
+}
+
+// TestTrialLeavesNothingBehind fails if a trial that is rolled back leaves a change of the pass or of the
+// gang that was tried.
+func TestTrialLeavesNothingBehind(t *testing.T) {
+	machines := []Machine{
+		{Open: true, Free: Amounts{CPU: 2}},
+		{Open: true, Tasks: []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart}}},
+	}
+	gang := &Job{Gang: true, Urgent: true, Priority: 1, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 3, Tasks: 3,
+		TasksInZone: make([]int, 1), Image: make([]Image, len(machines))}
+	p := newPass(traceStart, machines, []Job{*gang}, []Team{{CPUsMax: 9, CPUsUsed: 1}})
+	state := func() string {
+		return fmt.Sprintf("%+v %+v %+v %+v %v %v", p.machines, p.teams, p.plan, *gang, p.ownsTasks, p.machineChanges)
+	}
+	before := state()
+	p.beginTrial(gang)
+	p.assign(gang, 0)
+	p.preempt(gang, 1, machineFilter{zone: 0})
+	p.stopVictims(gang, 1, []int{0})
+	if len(p.plan.Assignments) != 1 || len(p.plan.Preemptions) != 1 {
+		t.Errorf("the trial came to %+v", p.plan)
+	}
+	p.rollBack(gang)
+	if after := state(); after != before {
+		t.Errorf("is now %s,\nwas %s", after, before)
+	}
+}
--- /dev/null
+++ b/internal/placement/order_test.go
@@ -0,0 +1,56 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestOrderOfJobs fails if jobs have their turn in another order than by priority, the exceptions in
+// docs/placement.md, and arrival, each deciding only between equals of the former.
+func TestOrderOfJobs(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		first, second Job
+	}{
+		{"higher priority before guarantee, ratio and arrival",
+			Job{Priority: 2, BeyondGuarantee: true, Ratio: 9, Arrival: 9}, Job{Priority: 1}},
+		{"within the guarantee before ratio and arrival",
+			Job{Ratio: 9, Arrival: 9}, Job{BeyondGuarantee: true}},
+		{"least work left for the time waited before arrival",
+			Job{Ratio: 1, Arrival: 9}, Job{Ratio: 2}},
+		{"earlier arrival",
+			Job{Arrival: 1}, Job{Arrival: 2}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if !placedBefore(&test.first, &test.second) || placedBefore(&test.second, &test.first) {
+				t.Error("placed in the other order")
+			}
+			jobs := []Job{test.second, test.first}
+			if sequence := placementOrder(jobs); sequence[0] != &jobs[1] || sequence[1] != &jobs[0] {
+				t.Error("not sorted")
+			}
+		})
+	}
+}
+
+// TestOverdueJobsBeginWithOneTask fails if an overdue job waits for its turn, takes more than one task ahead
+// of it, or if overdue jobs are not taken by arrival. Overdue gangs are not begun in part.
+func TestOverdueJobsBeginWithOneTask(t *testing.T) {
+	job := func(arrival uint64, priority int, overdue, gang bool) Job {
+		return Job{Arrival: arrival, Priority: priority, Overdue: overdue, Gang: gang, Zone: AnyZone,
+			Need: Amounts{CPU: 1}, Waiting: 3, Tasks: 3, TasksInZone: make([]int, 1)}
+	}
+	jobs := []Job{job(1, 3, false, false), job(9, 2, true, false), job(8, 1, true, false), job(2, 1, true, true)}
+	machines := []Machine{{Open: true, Free: Amounts{CPU: 10}}}
+	p := newPass(traceStart, machines, jobs, []Team{{CPUsMax: 10}})
+	p.startOverdueJobs(placementOrder(jobs))
+	want := []Assignment{{Job: 2}, {Job: 1}}
+	if !slices.Equal(p.plan.Assignments, want) {
+		t.Errorf("began %v, want %v", p.plan.Assignments, want)
+	}
+	for position, waiting := range []int{3, 2, 2, 3} {
+		if jobs[position].Waiting != waiting {
+			t.Errorf("job %d: %d tasks wait, want %d", position, jobs[position].Waiting, waiting)
+		}
+	}
+}
--- /dev/null
+++ b/internal/placement/preemption_test.go
@@ -0,0 +1,121 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestVictimsOnOneMachine fails if tasks are stopped that need not give way, more are stopped than needed,
+// or others than the cheapest ones.
+func TestVictimsOnOneMachine(t *testing.T) {
+	const own, other, opportunistic = 0, 1, 2
+	task := func(id, priority, team int, age time.Duration) Task {
+		return Task{ID: id, Need: Amounts{CPU: 1}, Priority: priority, Team: team, StartedAt: traceStart.Add(-age)}
+	}
+	stopping := task(0, 1, other, time.Hour)
+	stopping.Stopping = true
+	gangMember := task(0, 1, other, time.Second)
+	gangMember.MembersElsewhere = 9
+	urgent := Job{Team: own, Priority: 2, Urgent: true}
+	for _, test := range []struct {
+		name        string
+		job         Job
+		cpus        float64
+		overLimitBy float64
+		tasks       []Task
+		victims     []int
+		lostSeconds float64
+		state       optionState
+	}{
+		{"equal priority does not give way", urgent, 1, 0,
+			[]Task{task(0, 2, other, time.Second)}, nil, 0, optionImpossible},
+		{"too little gives way", urgent, 2, 0,
+			[]Task{task(0, 1, other, time.Second), task(1, 2, other, time.Second)}, []int{0}, 1, optionImpossible},
+		{"no more than needed, the youngest first", urgent, 1, 0,
+			[]Task{task(0, 1, other, time.Minute), task(1, 1, other, time.Second)}, []int{1}, 1, optionPossible},
+		{"lowest priority before youngest", urgent, 1, 0,
+			[]Task{task(0, 0, other, time.Minute), task(1, 1, other, time.Second)}, []int{0}, 60, optionPossible},
+		{"those that stop already first, at no cost", urgent, 1, 0,
+			[]Task{task(1, 0, other, time.Second), stopping}, []int{1}, 0, optionPossible},
+		{"lowest ID of equals", urgent, 1, 0,
+			[]Task{task(1, 1, other, time.Second), task(0, 1, other, time.Second)}, []int{1}, 1, optionPossible},
+		{"a gang's other members lose as much", urgent, 1, 0,
+			[]Task{gangMember}, []int{0}, 10, optionPossible},
+		{"tasks of unknown teams stay", urgent, 1, 0,
+			[]Task{task(0, 1, -1, time.Second)}, nil, 0, optionImpossible},
+		{"only its own where the team's limit is in the way", urgent, 1, 1,
+			[]Task{task(0, 1, other, time.Second), task(1, 1, own, time.Minute)}, []int{1}, 60, optionPossible},
+		{"work within a guarantee displaces opportunistic work alone", Job{Team: own, MayDisplace: true}, 1, 0,
+			[]Task{task(0, 0, other, time.Second), task(1, 3, opportunistic, time.Minute)}, []int{1}, 60, optionPossible},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.job.Need = Amounts{CPU: test.cpus}
+			machine := &Machine{Open: true, Tasks: test.tasks}
+			p := newPass(traceStart, []Machine{*machine}, nil, []Team{own: {}, other: {}, opportunistic: {Opportunistic: true}})
+			option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.overLimitBy})
+			if option.state != test.state || !slices.Equal(option.victims, test.victims) || option.lostSeconds != test.lostSeconds {
+				t.Errorf("got %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
+			}
+		})
+	}
+}
+
+// TestWhereRoomIsMade fails if a service makes room where its image is not, or if a gang, which begins when
+// its last task can, pays for the image with run time.
+func TestWhereRoomIsMade(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		job  Job
+		want int
+	}{
+		{"service: where the image is", Job{}, 1},
+		{"gang: where the least run time is lost", Job{Gang: true}, 0},
+		{"gang that a fetch makes late: where the image is", Job{Gang: true, FetchTooSlow: true}, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			victim := func(age time.Duration) []Task {
+				return []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart.Add(-age)}}
+			}
+			machines := []Machine{{Open: true, Tasks: victim(time.Second)}, {Open: true, Tasks: victim(time.Minute)}}
+			job := test.job
+			job.Need, job.Priority, job.Urgent, job.Zone = Amounts{CPU: 1}, 1, true, AnyZone
+			job.TasksInZone, job.Image = make([]int, 1), []Image{Cold, Warm}
+			p := newPass(traceStart, machines, []Job{job}, []Team{{CPUsMax: 9}})
+			p.preempt(&job, 1, anyMachine)
+			want := []Preemption{{Machine: test.want}}
+			if !slices.Equal(p.plan.Preemptions, want) {
+				t.Errorf("preempted %v, want %v", p.plan.Preemptions, want)
+			}
+		})
+	}
+}
+
+// TestPreemptionLeavesSnapshotOfTasks fails if a pass writes to the tasks that its machines refer to: the
+// controller keeps those for the next pass.
+func TestPreemptionLeavesSnapshotOfTasks(t *testing.T) {
+	tasks := []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart}}
+	before := slices.Clone(tasks)
+	jobs := []Job{{Priority: 1, Urgent: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 1, Tasks: 1, TasksInZone: make([]int, 1)}}
+	plan := Place(traceStart, []Machine{{Open: true, Tasks: tasks}}, jobs, []Team{{CPUsMax: 9}})
+	if len(plan.Preemptions) != 1 {
+		t.Errorf("preempted %v, want one task", plan.Preemptions)
+	}
+	if !slices.Equal(tasks, before) {
+		t.Errorf("tasks are now %v, were %v", tasks, before)
+	}
+}
+
+// TestStoppingTasksCountUntilGone fails if what a victim holds is given away in the pass that stops it.
+func TestStoppingTasksCountUntilGone(t *testing.T) {
+	machines := []Machine{{Open: true, Tasks: []Task{{Need: Amounts{CPU: 3}, StartedAt: traceStart}}}}
+	jobs := []Job{{Priority: 1, Urgent: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 1, Tasks: 1, TasksInZone: make([]int, 1)}}
+	p := newPass(traceStart, machines, jobs, []Team{{CPUsMax: 9, CPUsUsed: 3}})
+	p.preempt(&jobs[0], 1, anyMachine)
+	if free := machines[0].Free; free != (Amounts{}) {
+		t.Errorf("free %v while the victim runs", free)
+	}
+	if team := p.teams[0]; team.CPUsUsed != 4 || team.stopping[CPU] != 3 {
+		t.Errorf("team uses %v, of which %v stop; want 4 and 3", team.CPUsUsed, team.stopping)
+	}
+}
--- a/internal/placement/reference_test.go
+++ b/internal/placement/reference_test.go
@@ -57,13 +57,12 @@
 // the machines once for a job in place of once for a task, leads to another plan.
 func TestRememberedResultsChangeNoDecision(t *testing.T) {
 	const enoughAssignments, enoughPreemptions = 1000, 100
-	now := time.Unix(1000, 0)
 	assignments, preemptions := 0, 0
 	for seed := range uint64(40) {
-		machines, jobs, teams := generateSnapshot(seed, now)
-		got := Place(now, machines, jobs, teams)
-		machines, jobs, teams = generateSnapshot(seed, now)
-		want := placeOneByOne(now, machines, jobs, teams)
+		machines, jobs, teams := generateSnapshot(seed)
+		got := Place(traceStart, machines, jobs, teams)
+		machines, jobs, teams = generateSnapshot(seed)
+		want := placeOneByOne(traceStart, machines, jobs, teams)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d:\n got %v\nwant %v", seed, got, want)
 		}
@@ -78,14 +77,13 @@
 // TestGangWithoutRoomChangesNothing fails if a gang that would preempt in every zone and finds room in none
 // leaves anything of its trials behind.
 func TestGangWithoutRoomChangesNothing(t *testing.T) {
-	now := time.Unix(1000, 0)
 	for seed := range uint64(20) {
-		machines, jobs, teams := generateSnapshot(seed, now)
-		want := Place(now, machines, jobs, teams)
-		machines, jobs, teams = generateSnapshot(seed, now)
+		machines, jobs, teams := generateSnapshot(seed)
+		want := Place(traceStart, machines, jobs, teams)
+		machines, jobs, teams = generateSnapshot(seed)
 		gang := Job{Team: len(teams), Priority: 4, Need: Amounts{CPU: 1, Memory: 3}, Waiting: 5000, Tasks: 5000,
 			Zone: AnyZone, OneZone: true, Gang: true, Urgent: true, TasksInZone: make([]int, generatedZones)}
-		got := Place(now, machines, append(jobs, gang), append(teams, Team{CPUsMax: 1e6}))
+		got := Place(traceStart, machines, append(jobs, gang), append(teams, Team{CPUsMax: 1e6}))
 		if unplaced := got.Unplaced[len(jobs)]; unplaced != gang.Waiting {
 			t.Fatalf("seed %d: %d of %d tasks of the gang unplaced", seed, unplaced, gang.Waiting)
 		}
--- /dev/null
+++ b/internal/placement/reservation_test.go
@@ -0,0 +1,78 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestReservedMachines fails if a gang that waits closes other machines than those that will have room for
+// it soonest, more of them than hold it, or any where it will find no room in time.
+func TestReservedMachines(t *testing.T) {
+	busy := func(ends ...time.Duration) Machine {
+		machine := Machine{Open: true}
+		for _, end := range ends {
+			machine.Tasks = append(machine.Tasks, Task{Need: Amounts{CPU: 1}, StartedAt: traceStart, EndsAt: traceStart.Add(end)})
+		}
+		return machine
+	}
+	inZone := func(zone int, machine Machine) Machine {
+		machine.Zone = zone
+		return machine
+	}
+	service := Machine{Open: true, Tasks: []Task{{Need: Amounts{CPU: 4}, StartedAt: traceStart}}}
+	const tooLate = maxReservationWait + time.Second
+	for _, test := range []struct {
+		name     string
+		gang     Job
+		machines []Machine
+		closed   []int
+	}{
+		{"room that is there soonest", Job{Waiting: 2},
+			[]Machine{busy(60*time.Second, 60*time.Second), busy(10*time.Second, 20*time.Second)}, []int{1}},
+		{"as few machines as hold it", Job{Waiting: 2},
+			[]Machine{busy(10 * time.Second), busy(10*time.Second, 10*time.Second)}, []int{1}},
+		{"tasks that do not end", Job{Waiting: 1}, []Machine{service}, nil},
+		{"tasks that end late", Job{Waiting: 1}, []Machine{busy(tooLate)}, nil},
+		{"tasks that end late, of an overdue gang", Job{Waiting: 1, Overdue: true}, []Machine{busy(tooLate)}, []int{0}},
+		{"room for a part of it only", Job{Waiting: 3}, []Machine{busy(time.Second, time.Second)}, nil},
+		{"the zone that has room for all of it first", Job{Waiting: 2, OneZone: true},
+			[]Machine{inZone(0, busy(time.Second, time.Minute)), inZone(1, busy(10*time.Second)), inZone(1, busy(10*time.Second))}, []int{1, 2}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.gang.Gang, test.gang.Zone, test.gang.Need = true, AnyZone, Amounts{CPU: 1}
+			test.gang.TasksInZone = make([]int, 2)
+			p := newPass(traceStart, test.machines, []Job{test.gang}, []Team{{}})
+			p.reserveMachines(&test.gang, test.gang.zonesToTry())
+			var closed []int
+			for position := range p.machines {
+				if !p.machines[position].Open {
+					closed = append(closed, position)
+				}
+			}
+			if !slices.Equal(closed, test.closed) {
+				t.Errorf("closed %v, want %v", closed, test.closed)
+			}
+		})
+	}
+}
+
+// TestTimeLeft fails if a task that overruns is expected to end at once: a gang would have machines reserved
+// that do not become free.
+func TestTimeLeft(t *testing.T) {
+	now := traceStart
+	for _, test := range []struct {
+		name string
+		task Task
+		want time.Duration
+	}{
+		{"as expected", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(time.Minute)}, time.Minute},
+		{"overruns: a quarter of its run time", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(-time.Second)}, 15 * time.Second},
+		{"stops already", Task{StartedAt: now, EndsAt: now.Add(time.Minute), Stopping: true}, 0},
+		{"does not end", Task{StartedAt: now}, neverEnds},
+	} {
+		if got := test.task.timeLeft(now); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
--- a/internal/placement/snapshot_test.go
+++ b/internal/placement/snapshot_test.go
@@ -10,10 +10,10 @@
 
 // generateSnapshot returns a snapshot of a few hundred machines that is the same for the same seed. Its
 // jobs are services and arrays.
-func generateSnapshot(seed uint64, now time.Time) ([]Machine, []Job, []Team) {
+func generateSnapshot(seed uint64) ([]Machine, []Job, []Team) {
 	random := rand.New(rand.NewPCG(7, seed))
 	teams := generateTeams(random)
-	machines := generateMachines(random, now, teams)
+	machines := generateMachines(random, teams)
 	return machines, generateJobs(random, machines, teams), teams
 }
 
@@ -30,7 +30,7 @@
 }
 
 // generateMachines returns machines with tasks, which count as used by the teams.
-func generateMachines(random *rand.Rand, now time.Time, teams []Team) []Machine {
+func generateMachines(random *rand.Rand, teams []Team) []Machine {
 	crowded := oneIn(random, 2)
 	machines := make([]Machine, 100+random.IntN(300))
 	for position := range machines {
@@ -49,7 +49,7 @@
 				Need:      Amounts{CPU: 1, Memory: 3},
 				Priority:  random.IntN(3),
 				Team:      random.IntN(len(teams)),
-				StartedAt: now.Add(-time.Duration(random.IntN(100)) * time.Second),
+				StartedAt: traceStart.Add(-time.Duration(random.IntN(100)) * time.Second),
 				Stopping:  oneIn(random, 10),
 			}
 			machine.Tasks = append(machine.Tasks, task)
--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -39,9 +39,11 @@
 	clock time.Time
 }
 
+// traceStart is the time at which the passes of these tests are made.
+var traceStart = time.Unix(1000, 0)
+
 func replay(t *testing.T, trace []byte) []byte {
-	start := time.Unix(1000, 0)
-	s := &scenario{t: t, now: start, clock: start}
+	s := &scenario{t: t, now: traceStart, clock: traceStart}
 	return golden.Replay(trace, func(out *bytes.Buffer, line string, words []string) {
 		fields := traceFields{t, line, words[1:]}
 		switch words[0] {
