--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/bin_packing.go
@@ -1,74 +1,12 @@
-// Package autoscaler decides which machines to rent and which to return. It is
-// pure: it is given demand, machines and prices, and returns decisions.
 package autoscaler
 
 import (
-	"maps"
-	"math"
-	"slices"
 	"sort"
 	"time"
 
 	"tulipshelf/internal/placement"
 )
 
-// maxRent is the most machines that one request may ask for.
-const maxRent = 50
-
-// Demand is a number of tasks of one kind that should have a machine, running
-// ones left out.
-type Demand struct {
-	Need  placement.Amounts
-	Types []bool // allowed by dense type; nil: any
-	Zone  int    // -1: any
-	Spot  bool
-	Tasks int
-
-	OneZone bool // all in one zone, whichever
-}
-
-// Machine is a machine that is paid for.
-type Machine struct {
-	Type, Zone int
-	Spot       bool
-	Free       placement.Amounts // all of it while it boots
-	Usable     bool              // takes tasks now or once it is up
-	Empty      bool              // returnable without loss
-	Idle       time.Duration     // empty for so long
-}
-
-// Pool is a kind of machine that can be rented.
-type Pool struct {
-	Type, Zone int
-	Spot       bool
-	Price      float64
-	Blocked    bool // refused lately
-	Capacity   placement.Amounts
-}
-
-// Rent asks for machines of a pool, by its position.
-type Rent struct {
-	Pool  int
-	Count int
-}
-
-// Decision is the outcome of one pass.
-type Decision struct {
-	ScaleOut []Rent // for the most important demand first
-	ScaleIn  []int  // positions of machines
-}
-
-// Plan fits the demand into what is there, rents the cheapest that fits for the
-// rest, and returns machines that have been empty for idleReturn and that the
-// demand does not use. Demand comes in order of importance.
-func Plan(demand []Demand, machines []Machine, pools []Pool, idleReturn time.Duration) Decision {
-	p := newFit(machines, pools)
-	for _, d := range demand {
-		p.add(d)
-	}
-	return Decision{ScaleOut: p.rents(), ScaleIn: p.unused(idleReturn)}
-}
-
 // fit is demand being fitted into machines, those to be rented included.
 type fit struct {
 	machines []Machine
@@ -191,59 +129,3 @@
 	}
 	return out
 }
-
-// bestZone returns the zone that has room for most of the tasks, and where machines can be
-// rented for the rest; -1 if there is none.
-func (d *Demand) bestZone(machines []Machine, free []placement.Amounts, usable []int, pools []Pool) int {
-	room := map[int]int{}
-	for _, p := range pools {
-		if !p.Blocked && p.Capacity.Fits(d.Need) && d.allows(p.Type, p.Zone, p.Spot) {
-			room[p.Zone] += 0
-		}
-	}
-	rented := maps.Clone(room)
-	for _, i := range usable {
-		if m := &machines[i]; d.allows(m.Type, m.Zone, m.Spot) {
-			room[m.Zone] += free[i].Times(d.Need)
-		}
-	}
-	best := -1
-	for _, z := range slices.Sorted(maps.Keys(room)) {
-		if _, more := rented[z]; !more && room[z] < d.Tasks {
-			continue
-		}
-		if best < 0 || min(room[z], d.Tasks) > min(room[best], d.Tasks) {
-			best = z
-		}
-	}
-	return best
-}
-
-func (d *Demand) allows(typ, zone int, spot bool) bool {
-	return typ >= 0 && (d.Types == nil || d.Types[typ]) && (d.Zone < 0 || d.Zone == zone) && (d.Spot || !spot)
-}
-
-// cheapest returns the pool with the lowest price for one task of d; among
-// equals the one in the zone with the fewest machines.
-func (d *Demand) cheapest(pools []Pool, counts []int, perZone map[int]int) int {
-	best, bestPrice := -1, math.Inf(1)
-	for i, p := range pools {
-		if p.Blocked || counts[i] >= maxRent || !p.Capacity.Fits(d.Need) || !d.allows(p.Type, p.Zone, p.Spot) {
-			continue
-		}
-		fit := math.Inf(1)
-		for r, n := range d.Need {
-			if n > 0 {
-				fit = math.Min(fit, math.Floor(p.Capacity[r]/n+1e-9))
-			}
-		}
-		price := p.Price / fit
-		if math.IsInf(fit, 1) {
-			price = p.Price
-		}
-		if price < bestPrice-1e-12 || price < bestPrice+1e-12 && perZone[p.Zone] < perZone[pools[best].Zone] {
-			best, bestPrice = i, price
-		}
-	}
-	return best
-}
--- a/internal/autoscaler/offered.go
+++ b/internal/autoscaler/demand_history.go
@@ -68,35 +68,3 @@
 		o.last = now
 	}
 }
-
-// Estimates is what the next leader needs of the estimates, to be kept for it.
-type Estimates struct {
-	Sum     float64               `cbor:"sum"`
-	StartMS int64                 `cbor:"start_ms"`
-	LastMS  int64                 `cbor:"last_ms"`
-	CameMS  int64                 `cbor:"came_ms"`
-	Gap     float64               `cbor:"gap"`
-	Learned map[string][2]float64 `cbor:"learned"`
-}
-
-// NewEstimates returns the estimates.
-func NewEstimates(o *DemandHistory, l *RuntimeEstimator) Estimates {
-	m := Estimates{Sum: o.sum, StartMS: o.start.UnixMilli(), LastMS: o.last.UnixMilli(), CameMS: o.came.UnixMilli(), Gap: o.gap,
-		Learned: map[string][2]float64{}}
-	for class, s := range l.classes {
-		m.Learned[class] = [2]float64{s.actual, s.expected}
-	}
-	return m
-}
-
-// Restore takes the estimates of an earlier leader.
-func (m *Estimates) Restore(o *DemandHistory, l *RuntimeEstimator) {
-	o.sum, o.gap = m.Sum, m.Gap
-	o.start, o.last, o.came = time.UnixMilli(m.StartMS), time.UnixMilli(m.LastMS), time.UnixMilli(m.CameMS)
-	l.classes = map[string]*sums{}
-	for class, s := range m.Learned {
-		if s[1] > 0 {
-			l.classes[class] = &sums{s[0], s[1]}
-		}
-	}
-}
