--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -61,8 +61,8 @@
 	if cpus == 0 || left <= 0 {
 		return 0
 	}
-	return usual + left/math.Max(drainBoots*boot, waits/cpus)
+	return usual + left/math.Max(drainTimeInBoots*boot, waits/cpus)
 }
 
-// drainBoots is for how many times as long as it boots a machine should be of use.
-const drainBoots = 4
+// drainTimeInBoots is for how many times as long as it boots a machine should be of use.
+const drainTimeInBoots = 4
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -20,9 +20,9 @@
 // rest, and returns machines that have been empty for idleReturn and that the
 // demand does not use. Demand comes in order of importance.
 func Plan(demand []Demand, machines []Machine, pools []Pool, idleReturn time.Duration) Decision {
-	p := newFit(machines, pools)
+	p := newPacking(machines, pools)
 	for _, d := range demand {
-		p.add(d)
+		p.place(d)
 	}
-	return Decision{ScaleOut: p.rents(), ScaleIn: p.unused(idleReturn)}
+	return Decision{ScaleOut: p.scaleOut(), ScaleIn: p.scaleIn(idleReturn)}
 }
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -14,9 +14,9 @@
 
 // NewEstimates returns the estimates.
 func NewEstimates(o *DemandHistory, l *RuntimeEstimator) Estimates {
-	m := Estimates{Sum: o.sum, StartMS: o.start.UnixMilli(), LastMS: o.last.UnixMilli(), CameMS: o.came.UnixMilli(), Gap: o.gap,
+	m := Estimates{Sum: o.decayedSeconds, StartMS: o.firstArrival.UnixMilli(), LastMS: o.decayedAt.UnixMilli(), CameMS: o.lastArrival.UnixMilli(), Gap: o.meanInterval,
 		Learned: map[string][2]float64{}}
-	for class, s := range l.classes {
+	for class, s := range l.sumsByClass {
 		m.Learned[class] = [2]float64{s.actual, s.expected}
 	}
 	return m
@@ -24,12 +24,12 @@
 
 // Restore takes the estimates of an earlier leader.
 func (m *Estimates) Restore(o *DemandHistory, l *RuntimeEstimator) {
-	o.sum, o.gap = m.Sum, m.Gap
-	o.start, o.last, o.came = time.UnixMilli(m.StartMS), time.UnixMilli(m.LastMS), time.UnixMilli(m.CameMS)
-	l.classes = map[string]*sums{}
+	o.decayedSeconds, o.meanInterval = m.Sum, m.Gap
+	o.firstArrival, o.decayedAt, o.lastArrival = time.UnixMilli(m.StartMS), time.UnixMilli(m.LastMS), time.UnixMilli(m.CameMS)
+	l.sumsByClass = map[string]*runTimeSums{}
 	for class, s := range m.Learned {
 		if s[1] > 0 {
-			l.classes[class] = &sums{s[0], s[1]}
+			l.sumsByClass[class] = &runTimeSums{s[0], s[1]}
 		}
 	}
 }
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -8,15 +8,15 @@
 	"tulipshelf/internal/placement"
 )
 
-// maxRent is the most machines that one request may ask for.
-const maxRent = 50
+// maxMachinesPerRequest is the most machines that one request may ask for.
+const maxMachinesPerRequest = 50
 
-// cheapest returns the pool with the lowest price for one task of d; among
+// cheapestPool returns the pool with the lowest price for one task of d; among
 // equals the one in the zone with the fewest machines.
-func (d *Demand) cheapest(pools []Pool, counts []int, perZone map[int]int) int {
+func (d *Demand) cheapestPool(pools []Pool, counts []int, perZone map[int]int) int {
 	best, bestPrice := -1, math.Inf(1)
 	for i, p := range pools {
-		if p.Blocked || counts[i] >= maxRent || !p.Capacity.Fits(d.Need) || !d.allows(p.Type, p.Zone, p.Spot) {
+		if p.Blocked || counts[i] >= maxMachinesPerRequest || !p.Capacity.Fits(d.Need) || !d.allows(p.Type, p.Zone, p.Spot) {
 			continue
 		}
 		fit := math.Inf(1)
--- a/internal/autoscaler/runtime_estimator.go
+++ b/internal/autoscaler/runtime_estimator.go
@@ -4,16 +4,16 @@
 // class have taken: estimates are often wrong, and on some days mostly to the
 // same side.
 type RuntimeEstimator struct {
-	classes map[string]*sums
+	sumsByClass map[string]*runTimeSums
 }
 
-type sums struct{ actual, expected float64 }
+type runTimeSums struct{ actual, expected float64 }
 
-// doubt is how many seconds of estimates count as borne out before any task has
+// priorSeconds is how many seconds of estimates count as borne out before any task has
 // ended, and old the weight that the past keeps with each task.
 const (
-	doubt = 300
-	old   = 0.98
+	priorSeconds = 300
+	pastWeight   = 0.98
 )
 
 // Add counts a task of the class that was expected to take some seconds and took
@@ -22,21 +22,21 @@
 	if expected <= 0 {
 		return
 	}
-	if l.classes == nil {
-		l.classes = map[string]*sums{}
+	if l.sumsByClass == nil {
+		l.sumsByClass = map[string]*runTimeSums{}
 	}
-	s := l.classes[class]
+	s := l.sumsByClass[class]
 	if s == nil {
-		s = &sums{doubt, doubt}
-		l.classes[class] = s
+		s = &runTimeSums{priorSeconds, priorSeconds}
+		l.sumsByClass[class] = s
 	}
-	s.actual = s.actual*old + actual
-	s.expected = s.expected*old + expected
+	s.actual = s.actual*pastWeight + actual
+	s.expected = s.expected*pastWeight + expected
 }
 
 // Factor returns what to multiply estimates of the class with.
 func (l *RuntimeEstimator) Factor(class string) float64 {
-	if s := l.classes[class]; s != nil {
+	if s := l.sumsByClass[class]; s != nil {
 		return s.actual / s.expected
 	}
 	return 1
