--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -1,68 +1,73 @@
 package autoscaler
 
+// Sizing for arrays: how many CPUs their tasks should have together. Arrays are counted in CPUs, not in
+// tasks, as their tasks take turns on a machine (TestSmallTasksRentLittle in package controller).
+
 import (
 	"math"
 	"sort"
 )
 
-// ArrayWork is what is left of one array: how many seconds until it is due, how many one task
-// takes, and how many CPU seconds are left in all.
+// ArrayWork is what is left of one array. All times are in seconds.
 type ArrayWork struct {
-	Due     float64
-	Run     float64
-	Seconds float64
+	Due     float64 // until it is due; negative if that is past
+	Run     float64 // run time of one task
+	Seconds float64 // CPU seconds left in all
 	Waits   float64 // of these, of tasks that wait and that their team may run
 }
 
-// Slots returns how many CPUs the works should have at once, given how many
-// there are for them. It takes the works in order of their due time
-// and compares what is to be done by each with what can be done by then. New
-// machines help only after boot seconds; where they come too late for the due
-// time, they are asked for only as far as the work would outlast their first
-// tasks.
+// lateSpreadInRuns is over how many run times of a task, from when machines are up, work is spread that new
+// machines come too late for: so many of them are of use beyond their first tasks.
+const lateSpreadInRuns = 1.5
+
+// Slots returns how many CPUs the works should have at once, given how many they have and how many seconds a
+// machine takes to boot. It takes the works in order of their due time, to which it sorts them, and compares
+// what is to be done by each with what can be done by then. New machines help only once they have booted;
+// where they come too late for the due time, they are asked for only as far as the work would outlast their
+// first tasks.
 func Slots(works []ArrayWork, have, boot float64) float64 {
-	sort.Slice(works, func(i, j int) bool { return works[i].Due < works[j].Due })
-	need, total := 0.0, 0.0
-	for _, w := range works {
-		total += w.Seconds
-		due := math.Max(w.Due, w.Run)
-		need = math.Max(need, math.Min(total/due, have))
-		if short := total - have*due; short <= 0 {
+	sort.Slice(works, func(x, y int) bool { return works[x].Due < works[y].Due })
+	needed, total := 0.0, 0.0
+	for _, work := range works {
+		total += work.Seconds
+		due := math.Max(work.Due, work.Run) // no task ends sooner
+		needed = math.Max(needed, math.Min(total/due, have))
+		doneInTime := total-have*due <= 0
+		if doneInTime {
 			continue
 		}
-		help := due - boot
-		if help < w.Run {
-			help = 1.5 * w.Run
+		helpTime := due - boot
+		if helpTime < work.Run {
+			helpTime = lateSpreadInRuns * work.Run
 		}
-		if short := total - have*(boot+help); short > 0 {
-			need = math.Max(need, have+short/help)
+		if missing := total - have*(boot+helpTime); missing > 0 {
+			needed = math.Max(needed, have+missing/helpTime)
 		}
 	}
-	return need
+	return needed
 }
 
-// Drain returns how many CPUs arrays should have so that what waits is done soon,
-// beside the usual load: what will still wait when machines rented now are up is
-// spread over four times the time that they take to boot, or a task's run where that is
-// longer. For less the boots would cost more than the wait.
+// drainTimeInBoots is over how many boot times a backlog is spread: machines that are of use for less cost
+// more to boot than the wait costs (figures for two to four: docs/placement.md, "Sizing the fleet").
+const drainTimeInBoots = 4
+
+// Drain returns how many CPUs arrays should have so that what waits is done soon, beside the usual load: what
+// will still wait once machines rented now are up is spread over drainTimeInBoots, or over a task's run time
+// where that is longer. It is given how many CPUs arrays have, how many the usual load takes, and how many
+// seconds a machine takes to boot; 0 if nothing will wait.
 //
-// It guards against a queue that never empties. Machines for the usual load alone
-// keep up with arrivals, but a backlog once formed stays, and arrays behind it are
-// late (troubles of omaruru-fares-grown: 500 to 800 tasks waited for 100 s; a quiet day
-// of kapana-orders-fleet: 5,000 waited behind the services of the start, some of them
-// for 200 s, while a quarter of the machines to be had were not rented).
+// It guards against a queue that never empties: machines for the usual load alone keep up with arrivals, but
+// a backlog once formed stays, and arrays behind it are late though more machines could be rented.
 func Drain(works []ArrayWork, have, usual, boot float64) float64 {
-	waits, cpus := 0.0, 0.0
-	for _, w := range works {
-		waits += w.Waits
-		cpus += w.Waits / w.Run
+	waitingSeconds, waitingCPUs := 0.0, 0.0
+	for _, work := range works {
+		waitingSeconds += work.Waits
+		waitingCPUs += work.Waits / work.Run
 	}
-	left := waits + boot*(usual-have)
-	if cpus == 0 || left <= 0 {
+	backlog := waitingSeconds + boot*(usual-have)
+	if waitingCPUs == 0 || backlog <= 0 {
 		return 0
 	}
-	return usual + left/math.Max(drainTimeInBoots*boot, waits/cpus)
+	meanRun := waitingSeconds / waitingCPUs
+	return usual + backlog/math.Max(drainTimeInBoots*boot, meanRun)
 }
-
-// drainTimeInBoots is for how many times as long as it boots a machine should be of use.
-const drainTimeInBoots = 4
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,24 +1,26 @@
-// Package autoscaler decides which machines to rent and which to return. It is
-// pure: it is given demand, machines and prices, and returns decisions.
+// Package autoscaler decides which machines to rent and which to return. It is pure and deterministic: it is
+// given demand, machines and prices, and returns decisions, which the controller carries out. The estimates
+// that the demand is made from, demand history and run times, are kept here as well. docs/placement.md
+// ("Sizing the fleet") gives reasons and figures.
 package autoscaler
 
 import "time"
 
-// Decision is the outcome of one pass.
+// Decision is the outcome of Plan.
 type Decision struct {
 	ScaleOut []Rent // for the most important demand first
-	ScaleIn  []int  // positions of machines
+	ScaleIn  []int  // positions of machines to return
 }
 
-// Rent asks for machines of a pool, by its position.
+// Rent asks for machines of a pool.
 type Rent struct {
-	Pool  int
-	Count int
+	Pool  int // position in the list of pools
+	Count int // at most what one request may ask for
 }
 
-// Plan fits the demand into what is there, rents the cheapest that fits for the
-// rest, and returns machines that have been empty for idleReturn and that the
-// demand does not use. Demand comes in order of importance.
+// Plan fits the demand into the machines that are paid for, rents the cheapest that fit for the rest, and
+// returns machines that have been empty for idleReturn and that the demand does not use. Demand comes in
+// order of importance.
 func Plan(demand []Demand, machines []Machine, pools []Pool, idleReturn time.Duration) Decision {
 	p := newPacking(machines, pools)
 	for _, d := range demand {
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -1,5 +1,9 @@
 package autoscaler
 
+// Bin packing: demand is fitted into machines first-fit, with rented machines added as they are needed. The
+// placement pass will put the tasks elsewhere, by load index; what counts here is how many machines it
+// takes.
+
 import (
 	"sort"
 	"time"
@@ -7,17 +11,19 @@
 	"tulipshelf/internal/placement"
 )
 
-// packing is demand being fitted into machines, those to be rented included.
+// packing is demand being fitted into machines. Machines and pools are named by their positions.
 type packing struct {
-	machines          []Machine
-	pools             []Pool
-	fillOrder         []int               // usable machines, by position, in the order in which they are filled
-	free              []placement.Amounts // by machine
-	used              []bool              // by machine
+	machines []Machine
+	pools    []Pool
+
+	fillOrder []int               // usable machines in the order in which they are filled
+	free      []placement.Amounts // by machine
+	used      []bool              // by machine: the demand needs it
+
 	rented            []rentedMachine
-	rentedByPool      []int // machines rented so far, by pool
-	poolsByImportance []int // pools of which machines are rented, the most important first
-	machinesByZone    map[int]int
+	rentedByPool      []int       // number of machines
+	poolsByImportance []int       // pools of which machines are rented, for the most important demand first
+	machinesByZone    map[int]int // number of machines, those to be rented included
 }
 
 // rentedMachine is a machine that is to be rented.
@@ -27,105 +33,119 @@
 }
 
 func newPacking(machines []Machine, pools []Pool) *packing {
-	p := &packing{machines: machines, pools: pools, fillOrder: make([]int, 0, len(machines)),
-		free: make([]placement.Amounts, len(machines)), used: make([]bool, len(machines)),
-		rentedByPool: make([]int, len(pools)), machinesByZone: map[int]int{}}
-	for i, m := range machines {
-		p.free[i] = m.Free
-		p.machinesByZone[m.Zone]++
-		if m.Usable {
-			p.fillOrder = append(p.fillOrder, i)
+	p := &packing{
+		machines:       machines,
+		pools:          pools,
+		fillOrder:      make([]int, 0, len(machines)),
+		free:           make([]placement.Amounts, len(machines)),
+		used:           make([]bool, len(machines)),
+		rentedByPool:   make([]int, len(pools)),
+		machinesByZone: map[int]int{},
+	}
+	for machineIndex := range machines {
+		machine := &machines[machineIndex]
+		p.free[machineIndex] = machine.Free
+		p.machinesByZone[machine.Zone]++
+		if machine.Usable {
+			p.fillOrder = append(p.fillOrder, machineIndex)
 		}
 	}
-	// Machines in use first, then those up longest in use: what stays empty is
-	// what can be returned. Spot machines before others among equals, being cheaper.
 	sort.SliceStable(p.fillOrder, func(x, y int) bool {
-		a, b := machines[p.fillOrder[x]], machines[p.fillOrder[y]]
-		if a.Empty != b.Empty {
-			return !a.Empty
-		}
-		return a.Spot && !b.Spot
+		return filledBefore(&machines[p.fillOrder[x]], &machines[p.fillOrder[y]])
 	})
 	return p
 }
 
-// place fits in as many tasks of d as there is room for, or machines for them can be rented.
-func (p *packing) place(d Demand) {
-	if d.OneZone && d.Zone < 0 {
-		d.Zone = d.bestZone(p.machines, p.free, p.fillOrder, p.pools)
+// filledBefore reports whether a is filled before b: machines in use first, as what stays empty is what can
+// be returned, and of equals spot machines, which are cheaper.
+func filledBefore(a, b *Machine) bool {
+	if a.Empty != b.Empty {
+		return !a.Empty
+	}
+	return a.Spot && !b.Spot
+}
+
+// place fits in as many tasks of the demand as there is room for, or as machines can be rented for.
+func (p *packing) place(demand Demand) {
+	if demand.OneZone && demand.Zone < 0 {
+		demand.Zone = p.bestZone(&demand)
 	}
-	// Room only shrinks, so what has none for one task has none for the next.
+	// Room only shrinks, so a machine that has none for one task has none for the next.
 	next, nextRented := 0, 0
-	for range d.Tasks {
-		if next = p.nextMachine(&d, next); next < len(p.fillOrder) {
-			i := p.fillOrder[next]
-			p.free[i] = p.free[i].Add(d.Need, -1)
-			p.used[i] = true
+	for range demand.Tasks {
+		next = p.nextMachine(&demand, next)
+		if next < len(p.fillOrder) {
+			machineIndex := p.fillOrder[next]
+			p.free[machineIndex] = p.free[machineIndex].Add(demand.Need, -1)
+			p.used[machineIndex] = true
 			continue
 		}
-		nextRented = p.nextRented(&d, nextRented)
-		if nextRented == len(p.rented) && !p.rent(&d) {
+		nextRented = p.nextRented(&demand, nextRented)
+		if nextRented == len(p.rented) && !p.rent(&demand) {
 			return
 		}
-		r := &p.rented[nextRented]
-		r.free = r.free.Add(d.Need, -1)
+		rented := &p.rented[nextRented]
+		rented.free = rented.free.Add(demand.Need, -1)
 	}
 }
 
-// nextMachine returns the first place in the order, from one on, of a machine with room for a
-// task; len(p.order) if there is none.
-func (p *packing) nextMachine(d *Demand, from int) int {
-	for ; from < len(p.fillOrder); from++ {
-		i := p.fillOrder[from]
-		m := &p.machines[i]
-		if p.free[i].Fits(d.Need) && d.allows(m.Type, m.Zone, m.Spot) {
-			break
+// nextMachine returns the first place in the fill order, at or after the one given, of a machine with room
+// for a task; len(p.fillOrder) if there is none.
+func (p *packing) nextMachine(demand *Demand, from int) int {
+	for place := from; place < len(p.fillOrder); place++ {
+		machineIndex := p.fillOrder[place]
+		if p.free[machineIndex].Fits(demand.Need) && demand.allowsMachine(&p.machines[machineIndex]) {
+			return place
 		}
 	}
-	return from
+	return len(p.fillOrder)
 }
 
-// nextRented returns the position, from one on, of a rented machine with room for a task;
+// nextRented returns the position, at or after the one given, of a rented machine with room for a task;
 // len(p.rented) if there is none.
-func (p *packing) nextRented(d *Demand, from int) int {
-	for ; from < len(p.rented); from++ {
-		pool := &p.pools[p.rented[from].pool]
-		if p.rented[from].free.Fits(d.Need) && d.allows(pool.Type, pool.Zone, pool.Spot) {
-			break
+func (p *packing) nextRented(demand *Demand, from int) int {
+	for position := from; position < len(p.rented); position++ {
+		rented := &p.rented[position]
+		if rented.free.Fits(demand.Need) && demand.allowsPool(&p.pools[rented.pool]) {
+			return position
 		}
 	}
-	return from
+	return len(p.rented)
 }
 
-// rent rents the cheapest machine for a task and tells whether one can be had.
-func (p *packing) rent(d *Demand) bool {
-	pool := d.cheapestPool(p.pools, p.rentedByPool, p.machinesByZone)
-	if pool < 0 {
+// rent rents the cheapest machine for a task and reports whether one can be had.
+func (p *packing) rent(demand *Demand) bool {
+	poolIndex := p.cheapestPool(demand)
+	if poolIndex == noPool {
 		return false
 	}
-	if p.rentedByPool[pool] == 0 {
-		p.poolsByImportance = append(p.poolsByImportance, pool)
+	if p.rentedByPool[poolIndex] == 0 {
+		p.poolsByImportance = append(p.poolsByImportance, poolIndex)
 	}
-	p.rentedByPool[pool]++
-	p.machinesByZone[p.pools[pool].Zone]++
-	p.rented = append(p.rented, rentedMachine{pool, p.pools[pool].Capacity})
+	pool := &p.pools[poolIndex]
+	p.rentedByPool[poolIndex]++
+	p.machinesByZone[pool.Zone]++
+	p.rented = append(p.rented, rentedMachine{pool: poolIndex, free: pool.Capacity})
 	return true
 }
 
 // scaleOut returns what is to be rented.
-func (p *packing) scaleOut() (out []Rent) {
-	for _, pool := range p.poolsByImportance {
-		out = append(out, Rent{Pool: pool, Count: p.rentedByPool[pool]})
+func (p *packing) scaleOut() []Rent {
+	var rents []Rent
+	for _, poolIndex := range p.poolsByImportance {
+		rents = append(rents, Rent{Pool: poolIndex, Count: p.rentedByPool[poolIndex]})
 	}
-	return out
+	return rents
 }
 
-// scaleIn returns the machines that can be returned.
-func (p *packing) scaleIn(idleReturn time.Duration) (out []int) {
-	for i, m := range p.machines {
-		if m.Empty && !p.used[i] && m.Idle >= idleReturn {
-			out = append(out, i)
+// scaleIn returns the machines that the demand does not use and that have been empty for long enough.
+func (p *packing) scaleIn(idleReturn time.Duration) []int {
+	var unneeded []int
+	for machineIndex := range p.machines {
+		machine := &p.machines[machineIndex]
+		if machine.Empty && !p.used[machineIndex] && machine.Idle >= idleReturn {
+			unneeded = append(unneeded, machineIndex)
 		}
 	}
-	return out
+	return unneeded
 }
--- a/internal/autoscaler/demand_history.go
+++ b/internal/autoscaler/demand_history.go
@@ -1,70 +1,90 @@
 package autoscaler
 
+// Demand history: the load that arrivals usually bring, for which machines are kept before it comes.
+
 import (
 	"math"
 	"time"
 )
 
-// DemandHistory estimates the load that arrivals bring: run time that arrives in a
-// second, which is the number of tasks that run at once on average.
+// DemandHistory estimates the load that arrivals bring: run time that arrives in a second, which is the
+// number of tasks that run at once on average. The caller sets Memory before the first use and guards it.
 type DemandHistory struct {
-	Memory         time.Duration // how fast the past is forgotten
-	decayedSeconds float64
-	firstArrival   time.Time
+	Memory time.Duration // the past loses all but 1/e of its weight in this time
+
+	decayedSeconds float64   // run time that arrived, each arrival weighted by its age at decayedAt
+	firstArrival   time.Time // zero: nothing has arrived
 	decayedAt      time.Time
-	lastArrival    time.Time // the last arrival
-	meanInterval   float64   // smoothed seconds between arrivals
+	lastArrival    time.Time
+	meanInterval   float64 // smoothed seconds between arrivals; zero: not known
 }
 
-// chanceIntervals is how many usual gaps without an arrival are taken for chance.
-const chanceIntervals = 3
+const (
+	// chanceIntervals is how many mean intervals without an arrival are taken for chance. A longer silence
+	// means that arrivals have ceased, long before Memory has passed.
+	chanceIntervals = 3
+
+	// intervalSmoothing gives how far the mean moves with each new interval: one part in so many of the
+	// difference, so that one long silence does not pass for the usual pace.
+	intervalSmoothing = 8
+
+	// minShareSeen bounds by how much an estimate is raised for the part of Memory that it has not lived
+	// to see: the first arrivals alone would stand for a load many times as high.
+	minShareSeen = 0.6
+)
 
-// Add counts work that arrived at some time, in seconds of run time. It may be
-// some time ago: a new leader reads of jobs that came before it.
-func (o *DemandHistory) Add(seconds float64, at time.Time) {
-	o.decay(at)
-	if at.Before(o.firstArrival) {
-		o.firstArrival = at
+// Add counts work that arrived at a time, in seconds of run time. The time may be past: a new leader reads
+// of jobs that arrived before it led.
+func (h *DemandHistory) Add(seconds float64, at time.Time) {
+	h.decay(at)
+	if at.Before(h.firstArrival) {
+		h.firstArrival = at
+	}
+	age := h.decayedAt.Sub(at)
+	h.decayedSeconds += seconds * math.Exp(-age.Seconds()/h.Memory.Seconds())
+	h.addInterval(at.Sub(h.lastArrival).Seconds())
+	if at.After(h.lastArrival) {
+		h.lastArrival = at
 	}
-	o.decayedSeconds += seconds * math.Exp(-o.decayedAt.Sub(at).Seconds()/o.Memory.Seconds())
-	if d := at.Sub(o.lastArrival).Seconds(); !o.lastArrival.IsZero() && d > 0 {
-		if o.meanInterval == 0 {
-			o.meanInterval = d
-		}
-		o.meanInterval += (d - o.meanInterval) / 8
+}
+
+// addInterval counts the seconds since the last arrival, if there was one before.
+func (h *DemandHistory) addInterval(seconds float64) {
+	if h.lastArrival.IsZero() || seconds <= 0 {
+		return
 	}
-	if at.After(o.lastArrival) {
-		o.lastArrival = at
+	if h.meanInterval == 0 {
+		h.meanInterval = seconds
 	}
+	h.meanInterval += (seconds - h.meanInterval) / intervalSmoothing
 }
 
-// Empty tells whether nothing has been counted.
-func (o *DemandHistory) Empty() bool { return o.lastArrival.IsZero() }
+// Empty reports whether nothing has been counted.
+func (h *DemandHistory) Empty() bool { return h.lastArrival.IsZero() }
 
-// Rate returns the estimate.
-func (o *DemandHistory) Rate(now time.Time) float64 {
-	if o.firstArrival.IsZero() {
+// Rate returns the estimate, in seconds of run time that arrive in a second.
+func (h *DemandHistory) Rate(now time.Time) float64 {
+	if h.firstArrival.IsZero() {
 		return 0
 	}
-	o.decay(now)
-	tau := o.Memory.Seconds()
-	// What the estimate has not yet lived to see is not taken for silence.
-	seen := 1 - math.Exp(-now.Sub(o.firstArrival).Seconds()/tau)
-	rate := o.decayedSeconds / (tau * math.Max(seen, 0.6))
-	// A silence of several times the usual gap means that arrivals have ceased,
-	// long before the memory has faded.
-	if silence := now.Sub(o.lastArrival).Seconds(); o.meanInterval > 0 && silence > chanceIntervals*o.meanInterval {
-		rate *= chanceIntervals * o.meanInterval / silence
+	h.decay(now)
+	memory := h.Memory.Seconds()
+	shareSeen := 1 - math.Exp(-now.Sub(h.firstArrival).Seconds()/memory)
+	rate := h.decayedSeconds / (memory * math.Max(shareSeen, minShareSeen))
+	silence := now.Sub(h.lastArrival).Seconds()
+	if h.meanInterval > 0 && silence > chanceIntervals*h.meanInterval {
+		rate *= chanceIntervals * h.meanInterval / silence
 	}
 	return rate
 }
 
-func (o *DemandHistory) decay(now time.Time) {
-	if o.firstArrival.IsZero() {
-		o.firstArrival, o.decayedAt = now, now
+// decay lowers the weight of past arrivals to what it is now; a time that is past changes nothing.
+func (h *DemandHistory) decay(now time.Time) {
+	if h.firstArrival.IsZero() {
+		h.firstArrival, h.decayedAt = now, now
 	}
-	if d := now.Sub(o.decayedAt); d > 0 {
-		o.decayedSeconds *= math.Exp(-d.Seconds() / o.Memory.Seconds())
-		o.decayedAt = now
+	if passed := now.Sub(h.decayedAt); passed > 0 {
+		h.decayedSeconds *= math.Exp(-passed.Seconds() / h.Memory.Seconds())
+		h.decayedAt = now
 	}
 }
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -1,35 +1,48 @@
 package autoscaler
 
+// Stored estimates: without them each new leader would begin with no history and rent too little.
+
 import "time"
 
-// Estimates is what the next leader needs of the estimates, to be kept for it.
+// Estimates is what is stored of a DemandHistory and a RuntimeEstimator for the next leader. The codec tags
+// are those of stored records and never change.
 type Estimates struct {
-	Sum     float64               `cbor:"sum"`
-	StartMS int64                 `cbor:"start_ms"`
-	LastMS  int64                 `cbor:"last_ms"`
-	CameMS  int64                 `cbor:"came_ms"`
-	Gap     float64               `cbor:"gap"`
-	Learned map[string][2]float64 `cbor:"learned"`
+	Sum     float64               `cbor:"sum"`      // weighted seconds of run time that arrived
+	StartMS int64                 `cbor:"start_ms"` // first arrival, in milliseconds of Unix time
+	LastMS  int64                 `cbor:"last_ms"`  // time of the weights
+	CameMS  int64                 `cbor:"came_ms"`  // last arrival
+	Gap     float64               `cbor:"gap"`      // mean seconds between arrivals
+	Learned map[string][2]float64 `cbor:"learned"`  // by class: actual and expected run time, in weighted seconds
 }
 
-// NewEstimates returns the estimates.
-func NewEstimates(o *DemandHistory, l *RuntimeEstimator) Estimates {
-	m := Estimates{Sum: o.decayedSeconds, StartMS: o.firstArrival.UnixMilli(), LastMS: o.decayedAt.UnixMilli(), CameMS: o.lastArrival.UnixMilli(), Gap: o.meanInterval,
-		Learned: map[string][2]float64{}}
-	for class, s := range l.sumsByClass {
-		m.Learned[class] = [2]float64{s.actual, s.expected}
+// NewEstimates returns the estimates to store.
+func NewEstimates(history *DemandHistory, estimator *RuntimeEstimator) Estimates {
+	estimates := Estimates{
+		Sum:     history.decayedSeconds,
+		StartMS: history.firstArrival.UnixMilli(),
+		LastMS:  history.decayedAt.UnixMilli(),
+		CameMS:  history.lastArrival.UnixMilli(),
+		Gap:     history.meanInterval,
+		Learned: map[string][2]float64{},
+	}
+	for class, sums := range estimator.sumsByClass {
+		estimates.Learned[class] = [2]float64{sums.actual, sums.expected}
 	}
-	return m
+	return estimates
 }
 
-// Restore takes the estimates of an earlier leader.
-func (m *Estimates) Restore(o *DemandHistory, l *RuntimeEstimator) {
-	o.decayedSeconds, o.meanInterval = m.Sum, m.Gap
-	o.firstArrival, o.decayedAt, o.lastArrival = time.UnixMilli(m.StartMS), time.UnixMilli(m.LastMS), time.UnixMilli(m.CameMS)
-	l.sumsByClass = map[string]*runTimeSums{}
-	for class, s := range m.Learned {
-		if s[1] > 0 {
-			l.sumsByClass[class] = &runTimeSums{s[0], s[1]}
+// Restore replaces what history and estimator hold by what an earlier leader has stored. A class of which
+// nothing was expected, which only a damaged record has, is left out: its factor would be no number.
+func (e *Estimates) Restore(history *DemandHistory, estimator *RuntimeEstimator) {
+	history.decayedSeconds = e.Sum
+	history.meanInterval = e.Gap
+	history.firstArrival = time.UnixMilli(e.StartMS)
+	history.decayedAt = time.UnixMilli(e.LastMS)
+	history.lastArrival = time.UnixMilli(e.CameMS)
+	estimator.sumsByClass = map[string]*runTimeSums{}
+	for class, learned := range e.Learned {
+		if actual, expected := learned[0], learned[1]; expected > 0 {
+			estimator.sumsByClass[class] = &runTimeSums{actual: actual, expected: expected}
 		}
 	}
 }
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -1,64 +1,98 @@
 package autoscaler
 
+// Pool selection: from which pool, and in which zone, machines are rented for a demand.
+
 import (
 	"maps"
 	"math"
 	"slices"
-
-	"tulipshelf/internal/placement"
 )
 
-// maxMachinesPerRequest is the most machines that one request may ask for.
-const maxMachinesPerRequest = 50
+const (
+	// maxMachinesPerRequest is the most machines of a pool that one request to the cloud may ask for.
+	maxMachinesPerRequest = 50
+
+	// noPool is returned in place of a pool's position where there is none.
+	noPool = -1
 
-// cheapestPool returns the pool with the lowest price for one task of d; among
-// equals the one in the zone with the fewest machines.
-func (d *Demand) cheapestPool(pools []Pool, counts []int, perZone map[int]int) int {
-	best, bestPrice := -1, math.Inf(1)
-	for i, p := range pools {
-		if p.Blocked || counts[i] >= maxMachinesPerRequest || !p.Capacity.Fits(d.Need) || !d.allows(p.Type, p.Zone, p.Spot) {
+	// countTolerance and priceTolerance absorb the rounding of quotients: without them a machine of 0.3
+	// would seem to hold two tasks of 0.1, and one of two equal prices would seem the lower.
+	countTolerance = 1e-9
+	priceTolerance = 1e-12
+)
+
+// cheapestPool returns the pool with the lowest price for one task, of equals the one in the zone with the
+// fewest machines, so that they are spread over zones; noPool if nothing can be rented.
+func (p *packing) cheapestPool(demand *Demand) int {
+	best, bestPrice := noPool, math.Inf(1)
+	for poolIndex := range p.pools {
+		pool := &p.pools[poolIndex]
+		if p.rentedByPool[poolIndex] >= maxMachinesPerRequest || !pool.canHold(demand) {
 			continue
 		}
-		fit := math.Inf(1)
-		for r, n := range d.Need {
-			if n > 0 {
-				fit = math.Min(fit, math.Floor(p.Capacity[r]/n+1e-9))
-			}
-		}
-		price := p.Price / fit
-		if math.IsInf(fit, 1) {
-			price = p.Price
-		}
-		if price < bestPrice-1e-12 || price < bestPrice+1e-12 && perZone[p.Zone] < perZone[pools[best].Zone] {
-			best, bestPrice = i, price
+		price := pool.pricePerTask(demand)
+		lower := price < bestPrice-priceTolerance
+		equal := !lower && price < bestPrice+priceTolerance
+		if lower || equal && p.machinesByZone[pool.Zone] < p.machinesByZone[p.pools[best].Zone] {
+			best, bestPrice = poolIndex, price
 		}
 	}
 	return best
 }
 
-// bestZone returns the zone that has room for most of the tasks, and where machines can be
-// rented for the rest; -1 if there is none.
-func (d *Demand) bestZone(machines []Machine, free []placement.Amounts, usable []int, pools []Pool) int {
-	room := map[int]int{}
-	for _, p := range pools {
-		if !p.Blocked && p.Capacity.Fits(d.Need) && d.allows(p.Type, p.Zone, p.Spot) {
-			room[p.Zone] += 0
+// pricePerTask returns the price of a machine of the pool, shared by as many tasks as it holds. Tasks that
+// need nothing share no price.
+func (p *Pool) pricePerTask(demand *Demand) float64 {
+	tasks := math.Inf(1)
+	for resource, need := range demand.Need {
+		if need > 0 {
+			tasks = math.Min(tasks, math.Floor(p.Capacity[resource]/need+countTolerance))
 		}
 	}
-	rented := maps.Clone(room)
-	for _, i := range usable {
-		if m := &machines[i]; d.allows(m.Type, m.Zone, m.Spot) {
-			room[m.Zone] += free[i].Times(d.Need)
-		}
+	if math.IsInf(tasks, 1) {
+		return p.Price
+	}
+	return p.Price / tasks
+}
+
+// bestZone returns the zone that has room for most of the tasks now, of equals the first, and where machines
+// can be rented for the rest; negative if there is none.
+func (p *packing) bestZone(demand *Demand) int {
+	rentable := p.rentableZones(demand)
+	room := p.roomByZone(demand)
+	for zone := range rentable {
+		room[zone] += 0 // a zone without machines is looked at as well
 	}
 	best := -1
-	for _, z := range slices.Sorted(maps.Keys(room)) {
-		if _, more := rented[z]; !more && room[z] < d.Tasks {
+	for _, zone := range slices.Sorted(maps.Keys(room)) {
+		if !rentable[zone] && room[zone] < demand.Tasks {
 			continue
 		}
-		if best < 0 || min(room[z], d.Tasks) > min(room[best], d.Tasks) {
-			best = z
+		if best < 0 || min(room[zone], demand.Tasks) > min(room[best], demand.Tasks) {
+			best = zone
 		}
 	}
 	return best
 }
+
+// rentableZones returns the zones in which machines for the tasks can be rented.
+func (p *packing) rentableZones(demand *Demand) map[int]bool {
+	zones := map[int]bool{}
+	for poolIndex := range p.pools {
+		if pool := &p.pools[poolIndex]; pool.canHold(demand) {
+			zones[pool.Zone] = true
+		}
+	}
+	return zones
+}
+
+// roomByZone returns for how many tasks the machines of each zone have room.
+func (p *packing) roomByZone(demand *Demand) map[int]int {
+	room := map[int]int{}
+	for _, machineIndex := range p.fillOrder {
+		if machine := &p.machines[machineIndex]; demand.allowsMachine(machine) {
+			room[machine.Zone] += p.free[machineIndex].Times(demand.Need)
+		}
+	}
+	return room
+}
