--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,7 +1,6 @@
 package autoscaler
 
 import (
-	"math"
 	"reflect"
 	"testing"
 	"time"
@@ -9,157 +8,99 @@
 	"tulipshelf/internal/placement"
 )
 
-func cpus(n float64) placement.Amounts {
-	return placement.Amounts{placement.CPU: n, placement.Memory: n}
+// cpus returns as many CPUs, and as many gigabytes of memory.
+func cpus(count float64) placement.Amounts {
+	return placement.Amounts{placement.CPU: count, placement.Memory: count}
 }
 
-func pools() []Pool {
+// Positions in what testPools returns.
+const (
+	spotPool = iota
+	firstZonePool
+	secondZonePool
+)
+
+func testPools() []Pool {
 	return []Pool{
-		{Zone: 0, Spot: true, Price: 0.1, Capacity: cpus(4)},
-		{Zone: 0, Price: 0.2, Capacity: cpus(4)},
-		{Zone: 1, Price: 0.2, Capacity: cpus(4)},
+		spotPool:       {Zone: 0, Spot: true, Price: 0.1, Capacity: cpus(4)},
+		firstZonePool:  {Zone: 0, Price: 0.2, Capacity: cpus(4)},
+		secondZonePool: {Zone: 1, Price: 0.2, Capacity: cpus(4)},
 	}
 }
 
-// The cheapest pool that the tasks may use is rented, spread over zones, and
-// only for what does not fit into the machines there are, booting ones included. What
-// the most important demand needs comes first.
-func TestRent(t *testing.T) {
-	service := Demand{Need: cpus(2), Zone: -1, Tasks: 6}
-	array := Demand{Need: cpus(1), Zone: -1, Spot: true, Tasks: 4}
+// TestRentsCheapestForWhatDoesNotFit fails if machines are rented for what fits into those there are, booting
+// ones included, if they are not the cheapest that the tasks may use, spread over zones, or if what the most
+// important demand needs does not come first.
+func TestRentsCheapestForWhatDoesNotFit(t *testing.T) {
+	service := Demand{Need: cpus(2), Zone: placement.AnyZone, Tasks: 6}
+	array := Demand{Need: cpus(1), Zone: placement.AnyZone, Spot: true, Tasks: 4}
 	booting := Machine{Zone: 0, Free: cpus(4), Usable: true}
-	d := Plan([]Demand{service, array}, []Machine{booting}, pools(), time.Minute)
-	if want := []Rent{{2, 1}, {1, 1}, {0, 1}}; !reflect.DeepEqual(d.ScaleOut, want) {
-		t.Errorf("rent %v, want %v", d.ScaleOut, want)
-	}
-	blocked := pools()
-	blocked[0].Blocked = true
-	d = Plan([]Demand{array}, nil, blocked, time.Minute)
-	if want := []Rent{{1, 1}}; !reflect.DeepEqual(d.ScaleOut, want) {
-		t.Errorf("spot refused: rent %v, want %v", d.ScaleOut, want)
-	}
-	d = Plan([]Demand{{Need: cpus(5), Zone: -1, Tasks: 1}}, nil, pools(), time.Minute)
-	if len(d.ScaleOut) != 0 {
-		t.Errorf("rent %v for what fits nowhere", d.ScaleOut)
+	spotBlocked := testPools()
+	spotBlocked[spotPool].Blocked = true
+	for _, test := range []struct {
+		name     string
+		demand   []Demand
+		machines []Machine
+		pools    []Pool
+		want     []Rent
+	}{
+		{"services in both zones, the array on a spot machine", []Demand{service, array}, []Machine{booting}, testPools(),
+			[]Rent{{secondZonePool, 1}, {firstZonePool, 1}, {spotPool, 1}}},
+		{"spot machines refused lately", []Demand{array}, nil, spotBlocked,
+			[]Rent{{firstZonePool, 1}}},
+		{"larger than any machine", []Demand{{Need: cpus(5), Zone: placement.AnyZone, Tasks: 1}}, nil, testPools(),
+			nil},
+		{"no more than one request may ask for", []Demand{{Need: cpus(4), Zone: 1, Tasks: 1000}}, nil, testPools(),
+			[]Rent{{secondZonePool, maxMachinesPerRequest}}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			decision := Plan(test.demand, test.machines, test.pools, time.Minute)
+			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
+				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
+			}
+		})
 	}
 }
 
-// Only empty machines go back, once idle for long enough and not needed.
-func TestReturn(t *testing.T) {
+// TestReturnsOnlyIdleMachinesThatAreNotNeeded fails if a machine is returned that has tasks, that the demand
+// needs, or that has not been empty for long enough.
+func TestReturnsOnlyIdleMachinesThatAreNotNeeded(t *testing.T) {
 	machines := []Machine{
+		{Free: cpus(4), Usable: true, Empty: true, Idle: time.Minute}, // takes the fourth task
 		{Free: cpus(4), Usable: true, Empty: true, Idle: time.Minute},
-		{Free: cpus(4), Usable: true, Empty: true, Idle: time.Minute},
-		{Free: cpus(3), Usable: true},
+		{Free: cpus(3), Usable: true}, // takes three tasks
 		{Free: cpus(4), Usable: true, Empty: true, Idle: time.Second},
 	}
-	d := Plan([]Demand{{Need: cpus(1), Zone: -1, Tasks: 4}}, machines, pools(), 10*time.Second)
-	if want := []int{1}; !reflect.DeepEqual(d.ScaleIn, want) {
-		t.Errorf("return %v, want %v", d.ScaleIn, want)
-	}
-}
-
-func TestSlots(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		works []ArrayWork
-		have  float64
-		want  float64
-	}{
-		{"nothing to do", nil, 10, 0},
-		{"tasks take turns on what is there", []ArrayWork{{Due: 100, Run: 10, Seconds: 100}}, 10, 1},
-		{"short by its due time, new machines in time", []ArrayWork{{Due: 100, Run: 10, Seconds: 2000}}, 10, 30},
-		{"due sooner than a machine boots, done before one would be up", []ArrayWork{{Due: 30, Run: 10, Seconds: 400}}, 10, 10},
-		{"late already: not more than halves the wait", []ArrayWork{{Due: -5, Run: 20, Seconds: 4000}}, 20, 100},
-	} {
-		if got := Slots(x.works, x.have, 50); math.Abs(got-x.want) > 0.5 {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
-		}
-	}
-}
-
-func TestOffered(t *testing.T) {
-	o := DemandHistory{Memory: 100 * time.Second}
-	now := time.Unix(0, 0)
-	if o.Rate(now) != 0 {
-		t.Error("load before any arrival")
-	}
-	for range 1000 { // 20 s of run time each second
-		o.Add(20, now)
-		now = now.Add(time.Second)
-	}
-	if got := o.Rate(now); math.Abs(got-20) > 0.5 {
-		t.Errorf("steady load %v, want 20", got)
-	}
-	if got := o.Rate(now.Add(2 * time.Second)); got < 19 {
-		t.Errorf("after a silence like others %v", got)
-	}
-	// Arrivals came each second, so a silence of 100 s is more than chance.
-	if got := o.Rate(now.Add(100 * time.Second)); got > 1 {
-		t.Errorf("long after the last arrival %v", got)
-	}
-}
-
-func TestLearned(t *testing.T) {
-	var l RuntimeEstimator
-	if l.Factor("class") != 1 {
-		t.Error("corrected before anything is known")
-	}
-	l.Add("class", 10, 20)
-	if f := l.Factor("class"); f < 1 || f > 1.1 {
-		t.Errorf("one task changes the factor to %v", f)
-	}
-	for range 500 {
-		l.Add("class", 10, 20)
-	}
-	if f := l.Factor("class"); math.Abs(f-2) > 0.01 || l.Factor("other") != 1 {
-		t.Errorf("factor %v, want 2", f)
-	}
-}
-
-// What an earlier leader has kept gives the next one the same estimates, and what
-// is read of jobs that came before counts less with its age.
-func TestMemo(t *testing.T) {
-	var l RuntimeEstimator
-	o := DemandHistory{Memory: 100 * time.Second}
-	now := time.Unix(1000, 0)
-	for range 200 {
-		o.Add(20, now)
-		l.Add("class", 10, 20)
-		now = now.Add(time.Second)
-	}
-	kept := NewEstimates(&o, &l)
-	var l2 RuntimeEstimator
-	o2 := DemandHistory{Memory: 100 * time.Second}
-	kept.Restore(&o2, &l2)
-	later := now.Add(3 * time.Second)
-	if a, b := o.Rate(later), o2.Rate(later); math.Abs(a-b) > 0.01 || l.Factor("class") != l2.Factor("class") {
-		t.Errorf("recalled %v and %v, were %v and %v", b, l2.Factor("class"), a, l.Factor("class"))
-	}
-	fresh, aged := DemandHistory{Memory: 100 * time.Second}, DemandHistory{Memory: 100 * time.Second}
-	fresh.Add(1000, later)
-	aged.Add(1000, later)
-	fresh.Add(1000, later)
-	aged.Add(1000, later.Add(-100*time.Second))
-	if a, b := aged.Rate(later), fresh.Rate(later); a > 0.8*b {
-		t.Errorf("work of 100 s ago counts %v, of now %v", a, b)
+	demand := []Demand{{Need: cpus(1), Zone: placement.AnyZone, Tasks: 4}}
+	decision := Plan(demand, machines, testPools(), 10*time.Second)
+	if want := []int{1}; !reflect.DeepEqual(decision.ScaleIn, want) {
+		t.Errorf("return %v, want %v", decision.ScaleIn, want)
 	}
 }
 
-func TestDrain(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		works []ArrayWork
-		have  float64
-		usual float64
-		want  float64
+// TestGangIsRentedInOneZone fails if tasks that have to be in one zone are spread, or are tried in a zone
+// that has no room for all of them and no machines to rent.
+func TestGangIsRentedInOneZone(t *testing.T) {
+	gang := Demand{Need: cpus(4), Zone: placement.AnyZone, OneZone: true, Tasks: 3}
+	inZone := func(zone int) Machine { return Machine{Zone: zone, Free: cpus(4), Usable: true} }
+	firstZoneBlocked := testPools()
+	firstZoneBlocked[spotPool].Blocked = true
+	firstZoneBlocked[firstZonePool].Blocked = true
+	for _, test := range []struct {
+		name     string
+		machines []Machine
+		pools    []Pool
+		want     []Rent
 	}{
-		{"nothing waits", []ArrayWork{{Run: 60}}, 100, 100, 0},
-		{"done by the time that machines are up", []ArrayWork{{Run: 60, Waits: 600}}, 100, 60, 0},
-		{"spread over a task's run", []ArrayWork{{Run: 100, Waits: 6000}}, 100, 100, 160},
-		{"spread over four boots", []ArrayWork{{Run: 25, Waits: 6000}}, 100, 100, 175},
+		{"where most of them have room", []Machine{inZone(0), inZone(1), inZone(1)}, testPools(), []Rent{{secondZonePool, 1}}},
+		{"first of equal zones", []Machine{inZone(0), inZone(1)}, testPools(), []Rent{{firstZonePool, 2}}},
+		{"where machines can be rented for the rest", []Machine{inZone(0), inZone(0)}, firstZoneBlocked, []Rent{{secondZonePool, 3}}},
 	} {
-		if got := Drain(x.works, x.have, x.usual, 20); math.Abs(got-x.want) > 0.5 {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			decision := Plan([]Demand{gang}, test.machines, test.pools, time.Minute)
+			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
+				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/autoscaler/bin_packing_test.go
@@ -0,0 +1,64 @@
+package autoscaler
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/placement"
+)
+
+// TestPackingLeavesReturnableMachinesEmpty fails if demand is fitted into machines that could be returned
+// while others have room, or into those that cost more.
+func TestPackingLeavesReturnableMachinesEmpty(t *testing.T) {
+	empty := Machine{Free: cpus(4), Usable: true, Empty: true, Idle: time.Hour}
+	emptySpot := empty
+	emptySpot.Spot = true
+	inUse := Machine{Free: cpus(4), Usable: true}
+	for _, test := range []struct {
+		name     string
+		machines []Machine
+		want     []int
+	}{
+		{"machines in use first", []Machine{empty, inUse}, []int{0}},
+		{"spot machines before others", []Machine{empty, emptySpot}, []int{0}},
+		{"the first of equals", []Machine{empty, empty}, []int{1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			demand := []Demand{{Need: cpus(1), Zone: placement.AnyZone, Spot: true, Tasks: 4}}
+			decision := Plan(demand, test.machines, nil, time.Minute)
+			if !reflect.DeepEqual(decision.ScaleIn, test.want) {
+				t.Errorf("return %v, want %v", decision.ScaleIn, test.want)
+			}
+		})
+	}
+}
+
+// TestPackingKeepsTasksOffMachinesTheyMayNotUse fails if a demand is taken for met by machines that its tasks
+// may not run on.
+func TestPackingKeepsTasksOffMachinesTheyMayNotUse(t *testing.T) {
+	service := Demand{Need: cpus(1), Zone: placement.AnyZone, Tasks: 1}
+	array := Demand{Need: cpus(1), Zone: placement.AnyZone, Spot: true, Tasks: 1}
+	usable := Machine{Free: cpus(4), Usable: true}
+	unknownType, spot, notUsable := usable, usable, usable
+	unknownType.Type, spot.Spot, notUsable.Usable = -1, true, false
+	for _, test := range []struct {
+		name    string
+		demand  []Demand
+		machine Machine
+		want    []Rent
+	}{
+		{"usable", []Demand{service}, usable, nil},
+		{"unknown type", []Demand{service}, unknownType, []Rent{{secondZonePool, 1}}},
+		{"spot machine", []Demand{service}, spot, []Rent{{secondZonePool, 1}}},
+		{"not usable", []Demand{service}, notUsable, []Rent{{secondZonePool, 1}}},
+		{"spot machine that is to be rented", []Demand{array, service}, notUsable, []Rent{{spotPool, 1}, {secondZonePool, 1}}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			decision := Plan(test.demand, []Machine{test.machine}, testPools(), time.Minute)
+			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
+				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/autoscaler/estimates_test.go
@@ -0,0 +1,39 @@
+package autoscaler
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// TestEstimatesSurviveChangeOfLeader fails if a new leader begins with other estimates than the earlier one
+// has stored.
+func TestEstimatesSurviveChangeOfLeader(t *testing.T) {
+	var estimator, restoredEstimator RuntimeEstimator
+	history, restoredHistory := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
+	now := steadyArrivals(&history, time.Unix(1000, 0), 200)
+	for range 200 {
+		estimator.Add("class", 10, 20)
+	}
+	stored := NewEstimates(&history, &estimator)
+	stored.Restore(&restoredHistory, &restoredEstimator)
+	later := now.Add(3 * time.Second)
+	if rate, restored := history.Rate(later), restoredHistory.Rate(later); math.Abs(rate-restored) > 0.01 {
+		t.Errorf("rate %v, was %v", restored, rate)
+	}
+	if factor, restored := estimator.Factor("class"), restoredEstimator.Factor("class"); factor != restored {
+		t.Errorf("factor %v, was %v", restored, factor)
+	}
+}
+
+// TestDamagedEstimateIsLeftOut fails if a stored class of which nothing was expected gives a factor that is no
+// number.
+func TestDamagedEstimateIsLeftOut(t *testing.T) {
+	stored := Estimates{Learned: map[string][2]float64{"class": {20, 0}}}
+	var history DemandHistory
+	var estimator RuntimeEstimator
+	stored.Restore(&history, &estimator)
+	if factor := estimator.Factor("class"); factor != 1 {
+		t.Errorf("factor %v, want 1", factor)
+	}
+}
