--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -28,6 +28,27 @@
 	}
 }
 
+// scaleOutTest is a case of Plan: what is to be rented.
+type scaleOutTest struct {
+	name     string
+	demand   []Demand
+	machines []Machine
+	pools    []Pool
+	want     []Rent
+}
+
+func runScaleOutTests(t *testing.T, tests []scaleOutTest) {
+	t.Helper()
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			decision := Plan(test.demand, test.machines, test.pools, time.Minute)
+			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
+				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
+			}
+		})
+	}
+}
+
 // TestRentsCheapestForWhatDoesNotFit fails if machines are rented for what fits into those there are, booting
 // ones included, if they are not the cheapest that the tasks may use, spread over zones, or if what the most
 // important demand needs does not come first.
@@ -37,13 +58,7 @@
 	booting := Machine{Zone: 0, Free: cpus(4), Usable: true}
 	spotBlocked := testPools()
 	spotBlocked[spotPool].Blocked = true
-	for _, test := range []struct {
-		name     string
-		demand   []Demand
-		machines []Machine
-		pools    []Pool
-		want     []Rent
-	}{
+	runScaleOutTests(t, []scaleOutTest{
 		{"services in both zones, the array on a spot machine", []Demand{service, array}, []Machine{booting}, testPools(),
 			[]Rent{{secondZonePool, 1}, {firstZonePool, 1}, {spotPool, 1}}},
 		{"spot machines refused lately", []Demand{array}, nil, spotBlocked,
@@ -52,14 +67,7 @@
 			nil},
 		{"no more than one request may ask for", []Demand{{Need: cpus(4), Zone: 1, Tasks: 1000}}, nil, testPools(),
 			[]Rent{{secondZonePool, maxMachinesPerRequest}}},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			decision := Plan(test.demand, test.machines, test.pools, time.Minute)
-			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
-				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
-			}
-		})
-	}
+	})
 }
 
 // TestReturnsOnlyIdleMachinesThatAreNotNeeded fails if a machine is returned that has tasks, that the demand
@@ -81,26 +89,14 @@
 // TestGangIsRentedInOneZone fails if tasks that have to be in one zone are spread, or are tried in a zone
 // that has no room for all of them and no machines to rent.
 func TestGangIsRentedInOneZone(t *testing.T) {
-	gang := Demand{Need: cpus(4), Zone: placement.AnyZone, OneZone: true, Tasks: 3}
+	demand := []Demand{{Need: cpus(4), Zone: placement.AnyZone, OneZone: true, Tasks: 3}}
 	inZone := func(zone int) Machine { return Machine{Zone: zone, Free: cpus(4), Usable: true} }
 	firstZoneBlocked := testPools()
 	firstZoneBlocked[spotPool].Blocked = true
 	firstZoneBlocked[firstZonePool].Blocked = true
-	for _, test := range []struct {
-		name     string
-		machines []Machine
-		pools    []Pool
-		want     []Rent
-	}{
-		{"where most of them have room", []Machine{inZone(0), inZone(1), inZone(1)}, testPools(), []Rent{{secondZonePool, 1}}},
-		{"first of equal zones", []Machine{inZone(0), inZone(1)}, testPools(), []Rent{{firstZonePool, 2}}},
-		{"where machines can be rented for the rest", []Machine{inZone(0), inZone(0)}, firstZoneBlocked, []Rent{{secondZonePool, 3}}},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			decision := Plan([]Demand{gang}, test.machines, test.pools, time.Minute)
-			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
-				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
-			}
-		})
-	}
+	runScaleOutTests(t, []scaleOutTest{
+		{"where most of them have room", demand, []Machine{inZone(0), inZone(1), inZone(1)}, testPools(), []Rent{{secondZonePool, 1}}},
+		{"first of equal zones", demand, []Machine{inZone(0), inZone(1)}, testPools(), []Rent{{firstZonePool, 2}}},
+		{"where machines can be rented for the rest", demand, []Machine{inZone(0), inZone(0)}, firstZoneBlocked, []Rent{{secondZonePool, 3}}},
+	})
 }
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -89,13 +89,13 @@
 	}
 }
 
-// nextMachine returns the first place in the fill order, at or after the one given, of a machine with room
-// for a task; len(p.fillOrder) if there is none.
+// nextMachine returns the first position in the fill order, at or after the one given, of a machine with
+// room for a task; len(p.fillOrder) if there is none.
 func (p *packing) nextMachine(demand *Demand, from int) int {
-	for place := from; place < len(p.fillOrder); place++ {
-		machineIndex := p.fillOrder[place]
+	for position := from; position < len(p.fillOrder); position++ {
+		machineIndex := p.fillOrder[position]
 		if p.free[machineIndex].Fits(demand.Need) && demand.allowsMachine(&p.machines[machineIndex]) {
-			return place
+			return position
 		}
 	}
 	return len(p.fillOrder)
--- a/internal/autoscaler/bin_packing_test.go
+++ b/internal/autoscaler/bin_packing_test.go
@@ -42,23 +42,11 @@
 	usable := Machine{Free: cpus(4), Usable: true}
 	unknownType, spot, notUsable := usable, usable, usable
 	unknownType.Type, spot.Spot, notUsable.Usable = -1, true, false
-	for _, test := range []struct {
-		name    string
-		demand  []Demand
-		machine Machine
-		want    []Rent
-	}{
-		{"usable", []Demand{service}, usable, nil},
-		{"unknown type", []Demand{service}, unknownType, []Rent{{secondZonePool, 1}}},
-		{"spot machine", []Demand{service}, spot, []Rent{{secondZonePool, 1}}},
-		{"not usable", []Demand{service}, notUsable, []Rent{{secondZonePool, 1}}},
-		{"spot machine that is to be rented", []Demand{array, service}, notUsable, []Rent{{spotPool, 1}, {secondZonePool, 1}}},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			decision := Plan(test.demand, []Machine{test.machine}, testPools(), time.Minute)
-			if !reflect.DeepEqual(decision.ScaleOut, test.want) {
-				t.Errorf("rent %v, want %v", decision.ScaleOut, test.want)
-			}
-		})
-	}
+	runScaleOutTests(t, []scaleOutTest{
+		{"usable", []Demand{service}, []Machine{usable}, testPools(), nil},
+		{"unknown type", []Demand{service}, []Machine{unknownType}, testPools(), []Rent{{secondZonePool, 1}}},
+		{"spot machine", []Demand{service}, []Machine{spot}, testPools(), []Rent{{secondZonePool, 1}}},
+		{"not usable", []Demand{service}, []Machine{notUsable}, testPools(), []Rent{{secondZonePool, 1}}},
+		{"spot machine that is to be rented", []Demand{array, service}, []Machine{notUsable}, testPools(), []Rent{{spotPool, 1}, {secondZonePool, 1}}},
+	})
 }
