--- a/internal/placement/feasibility_test.go
+++ b/internal/placement/feasibility_test.go
@@ -2,14 +2,28 @@
 
 import "testing"
 
+// feasibilityTest is a case of feasibility: a change of a machine and a job that fit each other.
+type feasibilityTest struct {
+	name     string
+	change   func(machine *Machine, job *Job, filter *machineFilter)
+	feasible bool
+}
+
+func (test *feasibilityTest) run(t *testing.T) {
+	machines := []Machine{{Open: true, Type: 1, Zone: 1, Free: Amounts{CPU: 4, Memory: 16}}}
+	jobs := []Job{{Need: Amounts{CPU: 4, Memory: 16}, Zone: AnyZone, Tasks: 4, TasksInZone: make([]int, 2)}}
+	filter := anyMachine
+	test.change(&machines[0], &jobs[0], &filter)
+	p := newPass(traceStart, machines, jobs, []Team{{}})
+	if got := p.feasible(&jobs[0], 0, filter); got != test.feasible {
+		t.Errorf("feasible: %v, want %v", got, test.feasible)
+	}
+}
+
 // TestInfeasibleMachines fails if a task is placed where it may not run: each case differs from a feasible
 // one in what its name says.
 func TestInfeasibleMachines(t *testing.T) {
-	for _, test := range []struct {
-		name     string
-		change   func(machine *Machine, job *Job, filter *machineFilter)
-		feasible bool
-	}{
+	for _, test := range []feasibilityTest{
 		{"unchanged", func(*Machine, *Job, *machineFilter) {}, true},
 		{"closed", func(machine *Machine, _ *Job, _ *machineFilter) { machine.Open = false }, false},
 		{"no room", func(machine *Machine, _ *Job, _ *machineFilter) { machine.Free[Memory] = 1 }, false},
@@ -39,16 +53,7 @@
 			job.Image, filter.imageReady = []Image{Warm}, true
 		}, true},
 	} {
-		t.Run(test.name, func(t *testing.T) {
-			machines := []Machine{{Open: true, Type: 1, Zone: 1, Free: Amounts{CPU: 4, Memory: 16}}}
-			jobs := []Job{{Need: Amounts{CPU: 4, Memory: 16}, Zone: AnyZone, Tasks: 4, TasksInZone: make([]int, 2)}}
-			filter := anyMachine
-			test.change(&machines[0], &jobs[0], &filter)
-			p := newPass(traceStart, machines, jobs, []Team{{}})
-			if got := p.feasible(&jobs[0], 0, filter); got != test.feasible {
-				t.Errorf("feasible: %v, want %v", got, test.feasible)
-			}
-		})
+		t.Run(test.name, test.run)
 	}
 }
 
@@ -85,7 +90,12 @@
 			t.Errorf("%s: has a class", name)
 		}
 	}
-	gang := base()
+}
+
+// TestGangClassesKeepZonesApart fails if what holds for a gang in one zone is taken for another, or if tasks
+// that the gang already has are left out of account.
+func TestGangClassesKeepZonesApart(t *testing.T) {
+	gang := Job{Need: Amounts{CPU: 1}, Zone: AnyZone, TasksInZone: make([]int, 2)}
 	inFirst, ok := gang.gangClass(0)
 	if inSecond, alsoOK := gang.gangClass(1); !ok || !alsoOK || inFirst == inSecond {
 		t.Error("a gang has the same class in two zones")
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -6,10 +6,39 @@
 	"time"
 )
 
+// Positions of the teams in victimsTest.
+const (
+	own = iota
+	other
+	opportunistic
+)
+
+// victimsTest is a case of which tasks on one machine are stopped for a job.
+type victimsTest struct {
+	name        string
+	job         Job
+	cpus        float64 // that a task of the job needs
+	overLimitBy float64 // CPUs
+	tasks       []Task
+	victims     []int
+	lostSeconds float64
+	state       optionState
+}
+
+func (test *victimsTest) run(t *testing.T) {
+	test.job.Need = Amounts{CPU: test.cpus}
+	machine := &Machine{Open: true, Tasks: test.tasks}
+	teams := []Team{own: {}, other: {}, opportunistic: {Opportunistic: true}}
+	p := newPass(traceStart, []Machine{*machine}, nil, teams)
+	option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.overLimitBy})
+	if option.state != test.state || !slices.Equal(option.victims, test.victims) || option.lostSeconds != test.lostSeconds {
+		t.Errorf("got %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
+	}
+}
+
 // TestVictimsOnOneMachine fails if tasks are stopped that need not give way, more are stopped than needed,
 // or others than the cheapest ones.
 func TestVictimsOnOneMachine(t *testing.T) {
-	const own, other, opportunistic = 0, 1, 2
 	task := func(id, priority, team int, age time.Duration) Task {
 		return Task{ID: id, Need: Amounts{CPU: 1}, Priority: priority, Team: team, StartedAt: traceStart.Add(-age)}
 	}
@@ -18,16 +47,7 @@
 	gangMember := task(0, 1, other, time.Second)
 	gangMember.MembersElsewhere = 9
 	urgent := Job{Team: own, Priority: 2, Urgent: true}
-	for _, test := range []struct {
-		name        string
-		job         Job
-		cpus        float64
-		overLimitBy float64
-		tasks       []Task
-		victims     []int
-		lostSeconds float64
-		state       optionState
-	}{
+	for _, test := range []victimsTest{
 		{"equal priority does not give way", urgent, 1, 0,
 			[]Task{task(0, 2, other, time.Second)}, nil, 0, optionImpossible},
 		{"too little gives way", urgent, 2, 0,
@@ -49,15 +69,7 @@
 		{"work within a guarantee displaces opportunistic work alone", Job{Team: own, MayDisplace: true}, 1, 0,
 			[]Task{task(0, 0, other, time.Second), task(1, 3, opportunistic, time.Minute)}, []int{1}, 60, optionPossible},
 	} {
-		t.Run(test.name, func(t *testing.T) {
-			test.job.Need = Amounts{CPU: test.cpus}
-			machine := &Machine{Open: true, Tasks: test.tasks}
-			p := newPass(traceStart, []Machine{*machine}, nil, []Team{own: {}, other: {}, opportunistic: {Opportunistic: true}})
-			option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.overLimitBy})
-			if option.state != test.state || !slices.Equal(option.victims, test.victims) || option.lostSeconds != test.lostSeconds {
-				t.Errorf("got %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
-			}
-		})
+		t.Run(test.name, test.run)
 	}
 }
 
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -6,16 +6,34 @@
 	"time"
 )
 
+// busy returns a machine with a task of one CPU for each time in which one ends.
+func busy(ends ...time.Duration) Machine {
+	machine := Machine{Open: true}
+	for _, end := range ends {
+		task := Task{Need: Amounts{CPU: 1}, StartedAt: traceStart, EndsAt: traceStart.Add(end)}
+		machine.Tasks = append(machine.Tasks, task)
+	}
+	return machine
+}
+
+// closedFor returns the positions of the machines that are reserved for a gang of tasks of one CPU.
+func closedFor(gang Job, machines []Machine) []int {
+	gang.Gang, gang.Zone, gang.Need = true, AnyZone, Amounts{CPU: 1}
+	gang.TasksInZone = make([]int, 2)
+	p := newPass(traceStart, machines, []Job{gang}, []Team{{}})
+	p.reserveMachines(&gang, gang.zonesToTry())
+	var closed []int
+	for position := range p.machines {
+		if !p.machines[position].Open {
+			closed = append(closed, position)
+		}
+	}
+	return closed
+}
+
 // TestReservedMachines fails if a gang that waits closes other machines than those that will have room for
 // it soonest, more of them than hold it, or any where it will find no room in time.
 func TestReservedMachines(t *testing.T) {
-	busy := func(ends ...time.Duration) Machine {
-		machine := Machine{Open: true}
-		for _, end := range ends {
-			machine.Tasks = append(machine.Tasks, Task{Need: Amounts{CPU: 1}, StartedAt: traceStart, EndsAt: traceStart.Add(end)})
-		}
-		return machine
-	}
 	inZone := func(zone int, machine Machine) Machine {
 		machine.Zone = zone
 		return machine
@@ -40,16 +58,7 @@
 			[]Machine{inZone(0, busy(time.Second, time.Minute)), inZone(1, busy(10*time.Second)), inZone(1, busy(10*time.Second))}, []int{1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			test.gang.Gang, test.gang.Zone, test.gang.Need = true, AnyZone, Amounts{CPU: 1}
-			test.gang.TasksInZone = make([]int, 2)
-			p := newPass(traceStart, test.machines, []Job{test.gang}, []Team{{}})
-			p.reserveMachines(&test.gang, test.gang.zonesToTry())
-			var closed []int
-			for position := range p.machines {
-				if !p.machines[position].Open {
-					closed = append(closed, position)
-				}
-			}
+			closed := closedFor(test.gang, test.machines)
 			if !slices.Equal(closed, test.closed) {
 				t.Errorf("closed %v, want %v", closed, test.closed)
 			}
