--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -1,180 +1,112 @@
 package placement
 
-import (
-	"cmp"
-	"slices"
-)
+// Gangs: jobs of which all tasks start together or none does.
 
-// gang places all waiting tasks of a job in this pass or none. Where all must
-// be in one zone, it is the one in which the last of them has its image soonest, and of
-// equals the one with the lowest indices; they begin when the last one can.
-func (p *planner) gang(i int, j *Job) {
-	zones := []int{-1}
-	if j.OneZone {
-		zones = zones[:0]
-		for z := range j.TasksInZone {
-			zones = append(zones, z)
-		}
-	}
-	if j.Reservation {
-		p.hold(j, zones)
+import "cmp"
+
+// placeGang places all waiting tasks of a gang in this pass or none. A gang that finds no room makes some
+// if it may preempt, and otherwise has machines reserved.
+func (p *pass) placeGang(gang *Job) {
+	zones := gang.zonesToTry()
+	if gang.Reservation {
+		p.reserveMachines(gang, zones)
 		return
 	}
-	if p.inBestZone(j, zones, func(zone int) trial { return p.tryGang(i, j, zone) }) {
+	if p.inBestZone(gang, zones, p.tryPlaceGang) {
 		return
 	}
-	p.out.Unplaced[i] = j.Waiting
-	if !p.teams[j.Team].fits(j.Need, j.Waiting) {
+	p.plan.Unplaced[gang.position] = gang.Waiting
+	if !p.teamOf(gang).hasRoomFor(gang.Need, gang.Waiting) {
 		return
 	}
-	// Preemption is outside the design, as for services. Without it a gang of high priority
-	// waited behind arrays of lower priority until its gaps came, which thin spread makes late
-	// (rush-forecast waited for 17 s and more where 3 s is the aim). What is free counts as
-	// room that costs nothing.
-	if j.Urgent && p.inBestZone(j, zones, func(zone int) trial { return p.tryPreempt(i, j, zone) }) {
+	// Preemption is outside the design, as it is for services: without it a gang of high priority waits
+	// behind arrays of lower priority until enough machines have room at once, which thin spread makes late.
+	if gang.Urgent && p.inBestZone(gang, zones, p.tryPreemptForGang) {
 		return
 	}
-	p.hold(j, zones)
-}
-
-// trial is what trying a gang in one zone comes to.
-type trial struct {
-	whole bool
-	rank  int     // of the machine that has its image last
-	cost  float64 // of equal ranks the lower is better
-}
-
-func (t trial) compare(other trial) int {
-	return cmp.Or(cmp.Compare(t.rank, other.rank), cmp.Compare(t.cost, other.cost))
+	p.reserveMachines(gang, zones)
 }
 
-// inBestZone tries a gang in each zone and leaves it where that is best, or nowhere if no
-// zone takes all of it.
-func (p *planner) inBestZone(j *Job, zones []int, try func(zone int) trial) bool {
-	best, least := -1, trial{}
-	for k, zone := range zones {
-		p.begin(j)
-		t := try(zone)
-		p.rollBack(j)
-		if t.whole && (best < 0 || t.compare(least) < 0) {
-			best, least = k, t
-		}
+// zonesToTry returns the zones in which the job is tried one after the other.
+func (j *Job) zonesToTry() []int {
+	if !j.OneZone {
+		return []int{AnyZone}
 	}
-	if best >= 0 {
-		try(zones[best])
+	zones := make([]int, len(j.TasksInZone))
+	for zone := range zones {
+		zones[zone] = zone
 	}
-	return best >= 0
+	return zones
 }
 
-// tryGang places as much of a gang as fits in a zone, or anywhere if it is negative.
-func (p *planner) tryGang(i int, j *Job, zone int) (t trial) {
-	k, plain := j.gangKind(zone)
-	if least, known := p.short[k]; plain && known && j.Waiting >= least {
-		return t
-	}
-	n := 0
-	for n < j.Waiting && p.teams[j.Team].room(j.Need) {
-		m := p.best(j, zone)
-		if m < 0 {
-			break
-		}
-		t.rank = max(t.rank, p.rank(j, m))
-		t.cost += p.machines[m].Load
-		p.assign(i, j, m)
-		n++
-	}
-	t.whole = n == j.Waiting
-	if plain && !t.whole && p.teams[j.Team].room(j.Need) {
-		p.short[k] = j.Waiting // room only shrinks within a pass
-	}
-	return t
+// gangTrial is what trying a gang in one zone comes to.
+type gangTrial struct {
+	complete  bool      // there is room for all tasks
+	slowest   imageRank // of the machine that would have the image last: the tasks begin when the last one can
+	totalCost float64   // of equal ranks the lower is better: load indices, or run time lost
 }
 
-// stopKind is what decides for how many tasks of a gang others can be stopped in a zone.
-type stopKind struct {
-	kind
-	priority int
-	displace bool
+func (t gangTrial) compare(other gangTrial) int {
+	return cmp.Or(cmp.Compare(t.slowest, other.slowest), cmp.Compare(t.totalCost, other.totalCost))
 }
 
-// tryPreempt makes room for as much of a gang as it can in a zone, its team's limit leaving
-// room for all of it.
-func (p *planner) tryPreempt(i int, j *Job, zone int) trial {
-	k, plain := j.gangKind(zone)
-	key := stopKind{k, j.Priority, j.MayDisplace}
-	if least, known := p.unstoppable[key]; plain && known && j.Waiting >= least {
-		return trial{}
-	}
-	made, lost := p.preempt(i, j, j.Waiting, choice{zone: zone})
-	if plain && made < j.Waiting {
-		p.unstoppable[key] = j.Waiting // what may be stopped only shrinks within a pass
-	}
-	return trial{whole: made == j.Waiting, cost: lost}
-}
-
-// savepoint is what a pass was like when a try began: all that tries change, and of machines
-// just those that this one does.
-type savepoint struct {
-	machines       map[int]savedMachine
-	teams          []Team
-	inZone         []int
-	assigns, stops int
-	changes        int
-}
-
-type savedMachine struct {
-	machine Machine
-	own     bool
-	image   Image
-}
-
-// begin begins a try that can be rolled back, with a gang.
-func (p *planner) begin(j *Job) {
-	p.saved = &savepoint{machines: map[int]savedMachine{}, teams: slices.Clone(p.teams), inZone: slices.Clone(j.TasksInZone),
-		assigns: len(p.out.Assignments), stops: len(p.out.Preemptions), changes: p.changes}
-}
-
-// touch has to be called before a machine is changed for j.
-func (p *planner) touch(j *Job, m int) {
-	p.changes++
-	if p.saved == nil {
-		return
-	}
-	if _, done := p.saved.machines[m]; done {
-		return
+// inBestZone tries a gang in each zone and then places it, or makes room for it, in the zone where that is
+// best, the first of equals. It reports whether there is a zone that takes all of it; if not, the pass is
+// as it was.
+func (p *pass) inBestZone(gang *Job, zones []int, try func(gang *Job, zone int) gangTrial) bool {
+	bestZone, best := AnyZone, gangTrial{}
+	for _, zone := range zones {
+		p.beginTrial(gang)
+		trial := try(gang, zone)
+		p.rollBack(gang)
+		if trial.complete && (!best.complete || trial.compare(best) < 0) {
+			bestZone, best = zone, trial
+		}
 	}
-	was := savedMachine{machine: p.machines[m], own: p.own[m]}
-	if j.Image != nil {
-		was.image = j.Image[m]
+	if best.complete {
+		try(gang, bestZone)
 	}
-	p.saved.machines[m] = was
-	p.own[m] = false // its tasks are copied before they change
+	return best.complete
 }
 
-// rollBack brings back the pass, and j, to where the try began.
-func (p *planner) rollBack(j *Job) {
-	for m, was := range p.saved.machines {
-		if p.own[m] {
-			p.forget(m)
-		}
-		p.machines[m], p.own[m] = was.machine, was.own
-		if j.Image != nil {
-			j.Image[m] = was.image
+// tryPlaceGang places as many of a gang's tasks as fit in a zone, or in any.
+func (p *pass) tryPlaceGang(gang *Job, zone int) gangTrial {
+	class, hasClass := gang.gangClass(zone)
+	if least, known := p.gangNoRoom[class]; hasClass && known && gang.Waiting >= least {
+		return gangTrial{}
+	}
+	var trial gangTrial
+	team := p.teamOf(gang)
+	placed := 0
+	for placed < gang.Waiting && team.hasRoomFor(gang.Need, 1) {
+		machineIndex := p.bestMachine(gang, machineFilter{zone: zone})
+		if machineIndex == noMachine {
+			break
 		}
+		trial.slowest = max(trial.slowest, p.imageRankOn(gang, machineIndex))
+		trial.totalCost += p.machines[machineIndex].Load
+		p.assign(gang, machineIndex)
+		placed++
+	}
+	trial.complete = placed == gang.Waiting
+	if hasClass && !trial.complete && team.hasRoomFor(gang.Need, 1) {
+		p.gangNoRoom[class] = gang.Waiting // room only shrinks within a pass
 	}
-	copy(p.teams, p.saved.teams)
-	copy(j.TasksInZone, p.saved.inZone)
-	p.changes = p.saved.changes
-	p.out.Assignments, p.out.Preemptions = p.out.Assignments[:p.saved.assigns], p.out.Preemptions[:p.saved.stops]
-	p.saved = nil
+	return trial
 }
 
-// gangKind returns the kind of a gang's tasks in a zone; ok is false where its own other tasks
-// or its failures matter as well.
-func (j *Job) gangKind(zone int) (k kind, ok bool) {
-	if j.Avoid != nil || slices.ContainsFunc(j.TasksInZone, func(n int) bool { return n > 0 }) {
-		return kind{}, false
-	}
-	k = kind{need: j.Need, types: j.typeNames(), zone: j.Zone, spot: j.Spot, tried: zone}
-	return k, true
+// tryPreemptForGang makes room for as many of a gang's tasks as it can in a zone, or in any. The team's
+// limit has to have room for all of them. What is free counts as room that costs nothing.
+func (p *pass) tryPreemptForGang(gang *Job, zone int) gangTrial {
+	class, hasClass := gang.gangClass(zone)
+	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayDisplace}
+	if least, known := p.gangNoPreemption[preemptionClass]; hasClass && known && gang.Waiting >= least {
+		return gangTrial{}
+	}
+	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
+	complete := result.tasks == gang.Waiting
+	if hasClass && !complete {
+		p.gangNoPreemption[preemptionClass] = gang.Waiting // what may be stopped only shrinks within a pass
+	}
+	return gangTrial{complete: complete, totalCost: result.lostSeconds}
 }
