--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -10,35 +10,35 @@
 
 // ArrayWork is what is left of one array. All times are in seconds.
 type ArrayWork struct {
-	Due     float64 // until it is due; negative if that is past
-	Run     float64 // run time of one task
-	Seconds float64 // CPU seconds left in all
-	Waits   float64 // of these, of tasks that wait and that their team may run
+	DueSeconds        float64 // until it is due; negative if that is past
+	RunSeconds        float64 // run time of one task
+	CPUSeconds        float64 // CPU seconds left in all
+	WaitingCPUSeconds float64 // of these, of tasks that wait and that their team may run
 }
 
 // lateSpreadInRuns is over how many run times of a task, from when machines are up, work is spread that new
 // machines come too late for: so many of them are of use beyond their first tasks.
 const lateSpreadInRuns = 1.5
 
-// Slots returns how many CPUs the works should have at once, given how many they have and how many seconds a
+// CPUsForDueTimes returns how many CPUs the works should have at once, given how many they have and how many seconds a
 // machine takes to boot. It takes the works in order of their due time, to which it sorts them, and compares
 // what is to be done by each with what can be done by then. New machines help only once they have booted;
 // where they come too late for the due time, they are asked for only as far as the work would outlast their
 // first tasks.
-func Slots(works []ArrayWork, have, boot float64) float64 {
-	sort.Slice(works, func(x, y int) bool { return works[x].Due < works[y].Due })
+func CPUsForDueTimes(works []ArrayWork, have, boot float64) float64 {
+	sort.Slice(works, func(x, y int) bool { return works[x].DueSeconds < works[y].DueSeconds })
 	needed, total := 0.0, 0.0
 	for _, work := range works {
-		total += work.Seconds
-		due := math.Max(work.Due, work.Run) // no task ends sooner
+		total += work.CPUSeconds
+		due := math.Max(work.DueSeconds, work.RunSeconds) // no task ends sooner
 		needed = math.Max(needed, math.Min(total/due, have))
 		doneInTime := total-have*due <= 0
 		if doneInTime {
 			continue
 		}
 		helpTime := due - boot
-		if helpTime < work.Run {
-			helpTime = lateSpreadInRuns * work.Run
+		if helpTime < work.RunSeconds {
+			helpTime = lateSpreadInRuns * work.RunSeconds
 		}
 		if missing := total - have*(boot+helpTime); missing > 0 {
 			needed = math.Max(needed, have+missing/helpTime)
@@ -51,18 +51,18 @@
 // more to boot than the wait costs (figures for two to four: docs/placement.md, "Sizing the fleet").
 const drainTimeInBoots = 4
 
-// Drain returns how many CPUs arrays should have so that what waits is done soon, beside the usual load: what
+// CPUsForBacklog returns how many CPUs arrays should have so that what waits is done soon, beside the usual load: what
 // will still wait once machines rented now are up is spread over drainTimeInBoots, or over a task's run time
 // where that is longer. It is given how many CPUs arrays have, how many the usual load takes, and how many
 // seconds a machine takes to boot; 0 if nothing will wait.
 //
 // It guards against a queue that never empties: machines for the usual load alone keep up with arrivals, but
 // a backlog once formed stays, and arrays behind it are late though more machines could be rented.
-func Drain(works []ArrayWork, have, usual, boot float64) float64 {
+func CPUsForBacklog(works []ArrayWork, have, usual, boot float64) float64 {
 	waitingSeconds, waitingCPUs := 0.0, 0.0
 	for _, work := range works {
-		waitingSeconds += work.Waits
-		waitingCPUs += work.Waits / work.Run
+		waitingSeconds += work.WaitingCPUSeconds
+		waitingCPUs += work.WaitingCPUSeconds / work.RunSeconds
 	}
 	backlog := waitingSeconds + boot*(usual-have)
 	if waitingCPUs == 0 || backlog <= 0 {
--- a/internal/autoscaler/array_sizing_test.go
+++ b/internal/autoscaler/array_sizing_test.go
@@ -32,16 +32,16 @@
 	runSizingTests(t, []sizingTest{
 		{name: "nothing to do", have: 10, want: 0},
 		{name: "tasks take turns on what is there", have: 10, want: 1,
-			works: []ArrayWork{{Due: 100, Run: 10, Seconds: 100}}},
+			works: []ArrayWork{{DueSeconds: 100, RunSeconds: 10, CPUSeconds: 100}}},
 		{name: "short by its due time, new machines in time", have: 10, want: 30,
-			works: []ArrayWork{{Due: 100, Run: 10, Seconds: 2000}}},
+			works: []ArrayWork{{DueSeconds: 100, RunSeconds: 10, CPUSeconds: 2000}}},
 		{name: "due sooner than a machine boots, done before one would be up", have: 10, want: 10,
-			works: []ArrayWork{{Due: 30, Run: 10, Seconds: 400}}},
+			works: []ArrayWork{{DueSeconds: 30, RunSeconds: 10, CPUSeconds: 400}}},
 		{name: "due sooner than a task can end", have: 100, want: 10,
-			works: []ArrayWork{{Due: 5, Run: 10, Seconds: 100}}},
+			works: []ArrayWork{{DueSeconds: 5, RunSeconds: 10, CPUSeconds: 100}}},
 		{name: "late already: not more than halves the wait", have: 20, want: 100,
-			works: []ArrayWork{{Due: -5, Run: 20, Seconds: 4000}}},
-	}, func(test sizingTest) float64 { return Slots(test.works, test.have, boot) })
+			works: []ArrayWork{{DueSeconds: -5, RunSeconds: 20, CPUSeconds: 4000}}},
+	}, func(test sizingTest) float64 { return CPUsForDueTimes(test.works, test.have, boot) })
 }
 
 // TestBacklogDrains fails if a backlog stays for ever beside the usual load, or is done so soon that machines
@@ -50,12 +50,12 @@
 	const boot = 20
 	runSizingTests(t, []sizingTest{
 		{name: "nothing waits", have: 100, usual: 100, want: 0,
-			works: []ArrayWork{{Run: 60}}},
+			works: []ArrayWork{{RunSeconds: 60}}},
 		{name: "done by the time that machines are up", have: 100, usual: 60, want: 0,
-			works: []ArrayWork{{Run: 60, Waits: 600}}},
+			works: []ArrayWork{{RunSeconds: 60, WaitingCPUSeconds: 600}}},
 		{name: "spread over a task's run", have: 100, usual: 100, want: 160,
-			works: []ArrayWork{{Run: 100, Waits: 6000}}},
+			works: []ArrayWork{{RunSeconds: 100, WaitingCPUSeconds: 6000}}},
 		{name: "spread over four boots", have: 100, usual: 100, want: 175,
-			works: []ArrayWork{{Run: 25, Waits: 6000}}},
-	}, func(test sizingTest) float64 { return Drain(test.works, test.have, test.usual, boot) })
+			works: []ArrayWork{{RunSeconds: 25, WaitingCPUSeconds: 6000}}},
+	}, func(test sizingTest) float64 { return CPUsForBacklog(test.works, test.have, test.usual, boot) })
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -8,12 +8,12 @@
 
 // Decision is the outcome of Plan.
 type Decision struct {
-	ScaleOut []Rent // for the most important demand first
-	ScaleIn  []int  // positions of machines to return
+	ScaleOut []RentRequest // for the most important demand first
+	ScaleIn  []int         // positions of machines to return
 }
 
-// Rent asks for machines of a pool.
-type Rent struct {
+// RentRequest asks for machines of a pool.
+type RentRequest struct {
 	Pool  int // position in the list of pools
 	Count int // at most what one request may ask for
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -34,7 +34,7 @@
 	demand   []Demand
 	machines []Machine
 	pools    []Pool
-	want     []Rent
+	want     []RentRequest
 }
 
 func runScaleOutTests(t *testing.T, tests []scaleOutTest) {
@@ -60,13 +60,13 @@
 	spotBlocked[spotPool].Blocked = true
 	runScaleOutTests(t, []scaleOutTest{
 		{"services in both zones, the array on a spot machine", []Demand{service, array}, []Machine{booting}, testPools(),
-			[]Rent{{secondZonePool, 1}, {firstZonePool, 1}, {spotPool, 1}}},
+			[]RentRequest{{secondZonePool, 1}, {firstZonePool, 1}, {spotPool, 1}}},
 		{"spot machines refused lately", []Demand{array}, nil, spotBlocked,
-			[]Rent{{firstZonePool, 1}}},
+			[]RentRequest{{firstZonePool, 1}}},
 		{"larger than any machine", []Demand{{Need: cpus(5), Zone: placement.AnyZone, Tasks: 1}}, nil, testPools(),
 			nil},
 		{"no more than one request may ask for", []Demand{{Need: cpus(4), Zone: 1, Tasks: 1000}}, nil, testPools(),
-			[]Rent{{secondZonePool, maxMachinesPerRequest}}},
+			[]RentRequest{{secondZonePool, maxMachinesPerRequest}}},
 	})
 }
 
@@ -95,8 +95,8 @@
 	firstZoneBlocked[spotPool].Blocked = true
 	firstZoneBlocked[firstZonePool].Blocked = true
 	runScaleOutTests(t, []scaleOutTest{
-		{"where most of them have room", demand, []Machine{inZone(0), inZone(1), inZone(1)}, testPools(), []Rent{{secondZonePool, 1}}},
-		{"first of equal zones", demand, []Machine{inZone(0), inZone(1)}, testPools(), []Rent{{firstZonePool, 2}}},
-		{"where machines can be rented for the rest", demand, []Machine{inZone(0), inZone(0)}, firstZoneBlocked, []Rent{{secondZonePool, 3}}},
+		{"where most of them have room", demand, []Machine{inZone(0), inZone(1), inZone(1)}, testPools(), []RentRequest{{secondZonePool, 1}}},
+		{"first of equal zones", demand, []Machine{inZone(0), inZone(1)}, testPools(), []RentRequest{{firstZonePool, 2}}},
+		{"where machines can be rented for the rest", demand, []Machine{inZone(0), inZone(0)}, firstZoneBlocked, []RentRequest{{secondZonePool, 3}}},
 	})
 }
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -130,10 +130,10 @@
 }
 
 // scaleOut returns what is to be rented.
-func (p *packing) scaleOut() []Rent {
-	var rents []Rent
+func (p *packing) scaleOut() []RentRequest {
+	var rents []RentRequest
 	for _, poolIndex := range p.poolsByImportance {
-		rents = append(rents, Rent{Pool: poolIndex, Count: p.rentedByPool[poolIndex]})
+		rents = append(rents, RentRequest{Pool: poolIndex, Count: p.rentedByPool[poolIndex]})
 	}
 	return rents
 }
--- a/internal/autoscaler/bin_packing_test.go
+++ b/internal/autoscaler/bin_packing_test.go
@@ -44,9 +44,9 @@
 	unknownType.Type, spot.Spot, notUsable.Usable = -1, true, false
 	runScaleOutTests(t, []scaleOutTest{
 		{"usable", []Demand{service}, []Machine{usable}, testPools(), nil},
-		{"unknown type", []Demand{service}, []Machine{unknownType}, testPools(), []Rent{{secondZonePool, 1}}},
-		{"spot machine", []Demand{service}, []Machine{spot}, testPools(), []Rent{{secondZonePool, 1}}},
-		{"not usable", []Demand{service}, []Machine{notUsable}, testPools(), []Rent{{secondZonePool, 1}}},
-		{"spot machine that is to be rented", []Demand{array, service}, []Machine{notUsable}, testPools(), []Rent{{spotPool, 1}, {secondZonePool, 1}}},
+		{"unknown type", []Demand{service}, []Machine{unknownType}, testPools(), []RentRequest{{secondZonePool, 1}}},
+		{"spot machine", []Demand{service}, []Machine{spot}, testPools(), []RentRequest{{secondZonePool, 1}}},
+		{"not usable", []Demand{service}, []Machine{notUsable}, testPools(), []RentRequest{{secondZonePool, 1}}},
+		{"spot machine that is to be rented", []Demand{array, service}, []Machine{notUsable}, testPools(), []RentRequest{{spotPool, 1}, {secondZonePool, 1}}},
 	})
 }
--- a/internal/autoscaler/estimates_test.go
+++ b/internal/autoscaler/estimates_test.go
@@ -29,7 +29,7 @@
 // TestDamagedEstimateIsLeftOut fails if a stored class of which nothing was expected gives a factor that is no
 // number.
 func TestDamagedEstimateIsLeftOut(t *testing.T) {
-	stored := Estimates{Learned: map[string][2]float64{"class": {20, 0}}}
+	stored := Estimates{RunTimes: map[string][2]float64{"class": {20, 0}}}
 	var history DemandHistory
 	var estimator RuntimeEstimator
 	stored.Restore(&history, &estimator)
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -91,7 +91,7 @@
 	room := map[int]int{}
 	for _, machineIndex := range p.fillOrder {
 		if machine := &p.machines[machineIndex]; demand.allowsMachine(machine) {
-			room[machine.Zone] += p.free[machineIndex].Times(demand.Need)
+			room[machine.Zone] += p.free[machineIndex].FittingCount(demand.Need)
 		}
 	}
 	return room
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -23,11 +23,11 @@
 
 // Statement is what a controller says of its register in a heartbeat or in the answer to one.
 type Statement struct {
-	Jobs     []string      // all that it holds, in no order
-	Sequence uint64        // number of the job that it learned last; not sent to others
-	Memory   time.Duration // for which it has forgotten nothing too early
-	Age      time.Duration // since the time until which it is complete
-	Knows    bool          // whether there is such a time; otherwise Age means nothing
+	Jobs           []string      // all that it holds, in no order
+	Sequence       uint64        // number of the job that it learned last; not sent to others
+	Memory         time.Duration // for which it has forgotten nothing too early
+	Staleness      time.Duration // since the time until which it is complete
+	StalenessKnown bool          // whether there is such a time; otherwise Age means nothing
 }
 
 // peer is the last answer of another controller.
@@ -48,11 +48,11 @@
 		ids = append(ids, id)
 	}
 	return Statement{
-		Jobs:     ids,
-		Sequence: r.lastSequence,
-		Memory:   now.Sub(r.memoryStart),
-		Age:      elapsed(now, r.completeUntil),
-		Knows:    !r.completeUntil.IsZero(),
+		Jobs:           ids,
+		Sequence:       r.lastSequence,
+		Memory:         now.Sub(r.memoryStart),
+		Staleness:      elapsed(now, r.completeUntil),
+		StalenessKnown: !r.completeUntil.IsZero(),
 	}
 }
 
@@ -65,8 +65,8 @@
 	now := time.Now()
 	r.add(theirs.Jobs, now)
 	r.peers[node] = peer{askedAt: sent, memoryStart: now.Add(-theirs.Memory), acknowledged: seq}
-	if theirs.Knows {
-		r.advance(sent.Add(-theirs.Age))
+	if theirs.StalenessKnown {
+		r.advance(sent.Add(-theirs.Staleness))
 	}
 	r.advanceByMajority(now)
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -85,7 +85,7 @@
 	}
 	n.proxy = &relay.Proxy{Node: settings.Node, Store: n.store, Dial: network.Dial,
 		ValueBytes: settings.Store.ValueBytes, TxnOps: settings.Store.TxnOps}
-	n.candidate = &leadership.Candidate{Node: settings.Node, TTL: operator.LeaderLease, Store: n.store, PreferOther: n.prefersOther}
+	n.candidate = &leadership.Candidate{Node: settings.Node, LeaseTTL: operator.LeaderLease, Store: n.store, PreferOther: n.prefersOther}
 	n.api = n.newAPI()
 	n.peers = newPeerGroup(n)
 	return n
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -164,10 +164,10 @@
 		return
 	}
 	stored.Estimates.Restore(&f.arrays, &f.runtimes)
-	if stored.Gangs.CameMS > 0 {
+	if stored.Gangs.LastArrivalMS > 0 {
 		stored.Gangs.Restore(&f.gangs, &autoscaler.RuntimeEstimator{})
 	}
-	f.restoredUntil = time.UnixMilli(stored.Estimates.LastMS)
+	f.restoredUntil = time.UnixMilli(stored.Estimates.DecayedAtMS)
 	for _, id := range stored.Failing {
 		f.jobs.failing[id] = true
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -27,7 +27,7 @@
 // machineState is a machine's load index, and what is on it as placement sees it. The latter is a
 // cache: a pass looks at every machine, and most have changed nothing since the last.
 type machineState struct {
-	loadIndex placement.Index
+	loadIndex placement.LoadIndex
 
 	cached      bool
 	version     uint64 // of the machine, when it was cached
@@ -93,7 +93,7 @@
 		t.refresh(state, machine)
 	}
 	for _, assignment := range state.assignments {
-		view.Fetch = view.Fetch || assignment.RunningSince.IsZero()
+		view.FetchesImage = view.FetchesImage || assignment.RunningSince.IsZero()
 	}
 	view.Free, view.Tasks, view.Load = state.free, state.tasks, state.loadIndex.Value()
 	view.Open = t.acceptsTasks(machine, now)
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -103,10 +103,10 @@
 	for _, gang := range r.gangs(now) {
 		spec, state := gang.spec, gang.state
 		reserved = append(reserved, placement.Job{
-			Reservation: true, Gang: true, Team: state.team,
+			Anticipated: true, Gang: true, Team: state.team,
 			Priority: min(spec.Rank(), job.Standard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
 			Need: state.need, Waiting: spec.Tasks, Tasks: spec.Tasks,
-			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, Apart: spec.Apart,
+			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			TasksInZone: make([]int, len(r.topology.zones)),
 		})
 	}
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -128,8 +128,8 @@
 // stopPreempted stops the victims of a pass's preemptions.
 func (s *scheduler) stopPreempted(preemptions []placement.Preemption, waiting []*jobstore.Job, assignments [][]*agent.Assignment, now time.Time) {
 	for _, preemption := range preemptions {
-		victim := assignments[preemption.Machine][preemption.Task]
-		slog.Info("task preempted", "task", victim.TaskName(), "machine", victim.Machine, "for", waiting[preemption.For].Spec.ID)
+		victim := assignments[preemption.Machine][preemption.TaskID]
+		slog.Info("task preempted", "task", victim.TaskName(), "machine", victim.Machine, "for", waiting[preemption.Job].Spec.ID)
 		if victim.Job.IsGang() {
 			s.attempts.checkpointGang(victim.Job, now)
 			continue
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -24,10 +24,10 @@
 		image := s.imageOf(j, images)
 		zones := s.tasksInZones(j)
 		view := placement.Job{
-			Team: state.team, Priority: s.priority(j), Arrival: j.Arrival, Ratio: s.inverseResponseRatio(j, now),
+			Team: state.team, Priority: s.priority(j), Arrival: j.Arrival, WorkPerWait: s.inverseResponseRatio(j, now),
 			BeyondGuarantee: beyond && !firstGangs[j], MayDisplace: s.mayDisplace(j, now) && !beyond,
 			Need: state.need, Waiting: s.jobs.wanted(j), Tasks: spec.Tasks, Gang: j.IsGang(),
-			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, Apart: spec.Apart,
+			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			Avoid: s.machinesToAvoid(state), Urgent: spec.Shape != job.Array, Overdue: s.overdue(j, now),
 			Image: image.byMachine, FetchTooSlow: image.fetchTooSlow, TasksInZone: zones.tasks,
 		}
@@ -183,12 +183,12 @@
 
 // imageLists is which machines have an image, by image. Jobs with the same image share a list, so
 // that one pass sends them to the same machines.
-type imageLists map[string][]placement.Image
+type imageLists map[string][]placement.ImageState
 
 // imageView is what placement has to know of a job's image.
 type imageView struct {
-	byMachine    []placement.Image // nil: the image does not count
-	fetchTooSlow bool              // a fetch takes up all of the time in which the job should start
+	byMachine    []placement.ImageState // nil: the image does not count
+	fetchTooSlow bool                   // a fetch takes up all of the time in which the job should start
 }
 
 // Shares of the time in which a job should start.
@@ -229,14 +229,14 @@
 }
 
 // machinesWithImage returns, by index, what each machine has of an image.
-func (s *scheduler) machinesWithImage(image string) []placement.Image {
-	list := make([]placement.Image, s.machines.registry.Size())
+func (s *scheduler) machinesWithImage(image string) []placement.ImageState {
+	list := make([]placement.ImageState, s.machines.registry.Size())
 	for i := range list {
 		switch machine := s.machines.registry.At(i); {
 		case machine.Images.Ready(image):
-			list[i] = placement.Warm
+			list[i] = placement.ImageReady
 		case machine.Images.Has(image):
-			list[i] = placement.Coming
+			list[i] = placement.ImageFetching
 		}
 	}
 	return list
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -55,7 +55,7 @@
 	// asks for none: machines would stand free for tasks that are not allowed to start.
 	if last := s.forecast.lastArray; missing.usual > 0 && last != nil {
 		tasks := int(missing.usual/sizingCPUs(last.need) + 0.5)
-		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: unknownIndex, Spot: true, Tasks: tasks})
+		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: placement.AnyZone, Spot: true, Tasks: tasks})
 	}
 	return demand{list.demand, reason}
 }
@@ -170,8 +170,8 @@
 	load := s.arrayLoad(teams, now)
 	cpus := load.liveCPUs + math.Max(0, s.freeCPUs(now)-reservedCPUs)
 	usual := s.forecast.arrays.Rate(now)
-	slots := autoscaler.Slots(load.work, cpus, boot)
-	drain := autoscaler.Drain(load.work, cpus, usual, boot)
+	slots := autoscaler.CPUsForDueTimes(load.work, cpus, boot)
+	drain := autoscaler.CPUsForBacklog(load.work, cpus, usual, boot)
 	slog.Debug("arrays sized", "need", slots, "usual", usual, "drain", drain, "live", load.liveCPUs, "cpus", cpus, "taken", reservedCPUs)
 	return arrayCPUs{needed: math.Max(math.Max(slots, usual), drain) - load.liveCPUs, usual: usual - load.liveCPUs}
 }
@@ -196,11 +196,11 @@
 		liveCPUs := float64(array.LiveTasks()) * taskCPUs
 		waitingCPUs := float64(s.jobs.wanted(array)) * taskCPUs
 		run := s.forecast.runSeconds(array.Spec) + s.topology.fetchSeconds(array.Spec.ImageGB)
-		work := autoscaler.ArrayWork{Due: s.dueIn(array, now).Seconds(), Run: run, Seconds: run * (waitingCPUs + liveCPUs/2)}
+		work := autoscaler.ArrayWork{DueSeconds: s.dueIn(array, now).Seconds(), RunSeconds: run, CPUSeconds: run * (waitingCPUs + liveCPUs/2)}
 		if array.Spec.CPUs > 0 {
 			runnable := math.Min(waitingCPUs, math.Max(0, room[state.team]))
 			room[state.team] -= runnable
-			work.Waits = run * runnable
+			work.WaitingCPUSeconds = run * runnable
 		}
 		load.liveCPUs += liveCPUs
 		load.work = append(load.work, work)
@@ -274,5 +274,5 @@
 	}
 	state := s.jobs.states[largest]
 	tasks := int(math.Ceil(cpus * s.Operator.Reserve / largest.Spec.CPUs))
-	return []autoscaler.Demand{{Need: state.need, Types: state.types, Zone: unknownIndex, Tasks: tasks}}
+	return []autoscaler.Demand{{Need: state.need, Types: state.types, Zone: placement.AnyZone, Tasks: tasks}}
 }
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -31,7 +31,7 @@
 		network, store := fake.NewNetwork(ctx), fake.NewStore()
 		go network.Serve(ctx, storeAddr, store.Handle)
 		client := kvstore.New(network.Dial("10.0.0.1:8080"), storeAddr, 200, 60)
-		candidate := &leadership.Candidate{Node: "node-0", TTL: 4 * time.Second, Store: client}
+		candidate := &leadership.Candidate{Node: "node-0", LeaseTTL: 4 * time.Second, Store: client}
 		ended := make(chan error, 1)
 		go candidate.Run(ctx, func(ctx context.Context, term *leadership.Term) {
 			ended <- New(ctx, writerTestConfig(client, network), term).Run()
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -64,7 +64,7 @@
 		return nil, c.follow(ctx, state)
 	case c.shouldBackOff():
 		c.backedOff = true
-		clock.Sleep(ctx, c.TTL/backOffDivisor)
+		clock.Sleep(ctx, c.LeaseTTL/backOffDivisor)
 		return nil, nil
 	}
 	return c.stand(ctx, state)
@@ -93,7 +93,7 @@
 // know of it.
 func (c *Candidate) stand(ctx context.Context, state electionState) (*Term, error) {
 	sent := time.Now()
-	lease, err := c.Store.Grant(ctx, c.TTL)
+	lease, err := c.Store.Grant(ctx, c.LeaseTTL)
 	if err != nil {
 		return nil, fmt.Errorf("leadership: lease: %w", err)
 	}
@@ -104,7 +104,7 @@
 		}
 		return nil, err
 	}
-	return &Term{candidate: c, lease: lease, issued: issued, validUntil: leaseValidUntil(sent, c.TTL)}, nil
+	return &Term{candidate: c, lease: lease, issued: issued, validUntil: leaseValidUntil(sent, c.LeaseTTL)}, nil
 }
 
 // claimNext takes the term after the latest, provided that state still stands.
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -18,7 +18,7 @@
 type Candidate struct {
 	// Set before the first call of a method, and not changed after that.
 	Node        string          // this node's name, which no other candidate has
-	TTL         time.Duration   // of the leader's lease: after a leader's death nobody leads for up to so long
+	LeaseTTL    time.Duration   // of the leader's lease: after a leader's death nobody leads for up to so long
 	Store       *kvstore.Client // holds the election's keys
 	PreferOther func() bool     // reports whether another node should be elected rather than this one; nil: never
 
--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -53,7 +53,7 @@
 }
 
 func (c *cluster) start(name string, options ...func(*Candidate)) *node {
-	n := &node{Candidate: &Candidate{Node: name, TTL: leaseTTL, Store: c.client(name)}}
+	n := &node{Candidate: &Candidate{Node: name, LeaseTTL: leaseTTL, Store: c.client(name)}}
 	for _, option := range options {
 		option(n.Candidate)
 	}
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -64,7 +64,7 @@
 // full time again, so no other node can be elected in it.
 func (c *Candidate) renewUntilLost(ctx context.Context, term *Term) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, c.TTL/renewIntervalDivisor)
+		clock.Sleep(ctx, c.LeaseTTL/renewIntervalDivisor)
 		err := c.renew(ctx, term)
 		if errors.Is(err, kvstore.ErrNotFound) {
 			slog.Info("leadership lost: lease expired", "term", term.Number())
@@ -78,13 +78,13 @@
 
 // renew renews the lease once. kvstore.ErrNotFound says that it has expired or was revoked.
 func (c *Candidate) renew(ctx context.Context, term *Term) error {
-	ctx, cancel := context.WithTimeout(ctx, c.TTL/renewTimeoutDivisor)
+	ctx, cancel := context.WithTimeout(ctx, c.LeaseTTL/renewTimeoutDivisor)
 	defer cancel()
 	sent := time.Now()
 	if err := c.Store.Extend(ctx, term.lease); err != nil {
 		return err
 	}
-	term.renewed(leaseValidUntil(sent, c.TTL))
+	term.renewed(leaseValidUntil(sent, c.LeaseTTL))
 	return nil
 }
 
@@ -93,5 +93,5 @@
 // this node campaigns again.
 func (c *Candidate) completeTransfer(ctx context.Context, term *Term) {
 	term.Resign(ctx)
-	clock.Sleep(ctx, jitter(c.TTL))
+	clock.Sleep(ctx, jitter(c.LeaseTTL))
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -49,8 +49,8 @@
 		Gangs:      true,
 		MemoryMs:   uint64(register.Memory.Milliseconds()),
 	}
-	if register.Knows {
-		heartbeat.KnownMs = uint64(register.Age.Milliseconds()) + knownOffset
+	if register.StalenessKnown {
+		heartbeat.KnownMs = uint64(register.Staleness.Milliseconds()) + knownOffset
 	}
 	gone := encodeAttempts(g.node.ConfirmedGone())
 	heartbeat.Gone = attemptsThatFit(gone, maxHeartbeat-proto.Size(heartbeat))
@@ -92,10 +92,10 @@
 // cancellationStatement returns what a heartbeat says of its sender's register of cancelled jobs.
 func cancellationStatement(heartbeat *Heartbeat) cancellation.Statement {
 	return cancellation.Statement{
-		Jobs:   heartbeat.Cancelled,
-		Memory: time.Duration(heartbeat.MemoryMs) * time.Millisecond,
-		Age:    time.Duration(heartbeat.KnownMs) * time.Millisecond,
-		Knows:  heartbeat.KnownMs != 0,
+		Jobs:           heartbeat.Cancelled,
+		Memory:         time.Duration(heartbeat.MemoryMs) * time.Millisecond,
+		Staleness:      time.Duration(heartbeat.KnownMs) * time.Millisecond,
+		StalenessKnown: heartbeat.KnownMs != 0,
 	}
 }
 
--- a/internal/placement/equivalence.go
+++ b/internal/placement/equivalence.go
@@ -30,7 +30,7 @@
 // equivalenceClass returns the class of the job's tasks; ok is false where its other tasks or its failures
 // play a part.
 func (j *Job) equivalenceClass() (class equivalenceClass, ok bool) {
-	if j.OneZone || j.Apart || j.Gang || j.Avoid != nil {
+	if j.OneZone || j.SpreadOverZones || j.Gang || j.Avoid != nil {
 		return equivalenceClass{}, false
 	}
 	return j.classOfTasks(), true
--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -51,7 +51,7 @@
 	if machine.Spot && !j.Spot {
 		return false
 	}
-	if j.Apart && j.TasksInZone[machine.Zone] >= j.maxTasksPerZone() {
+	if j.SpreadOverZones && j.TasksInZone[machine.Zone] >= j.maxTasksPerZone() {
 		return false
 	}
 	return !j.OneZone || !j.hasTasksOutside(machine.Zone)
--- a/internal/placement/feasibility_test.go
+++ b/internal/placement/feasibility_test.go
@@ -38,19 +38,19 @@
 		{"spot instance wanted", func(machine *Machine, job *Job, _ *machineFilter) { machine.Spot, job.Spot = true, true }, true},
 		{"job failed there", func(_ *Machine, job *Job, _ *machineFilter) { job.Avoid = []bool{true} }, false},
 		{"job failed elsewhere", func(_ *Machine, job *Job, _ *machineFilter) { job.Avoid = []bool{false} }, true},
-		{"half of the tasks are in the zone", func(_ *Machine, job *Job, _ *machineFilter) { job.Apart, job.TasksInZone[1] = true, 2 }, false},
-		{"less than half are in the zone", func(_ *Machine, job *Job, _ *machineFilter) { job.Apart, job.TasksInZone[1] = true, 1 }, true},
+		{"half of the tasks are in the zone", func(_ *Machine, job *Job, _ *machineFilter) { job.SpreadOverZones, job.TasksInZone[1] = true, 2 }, false},
+		{"less than half are in the zone", func(_ *Machine, job *Job, _ *machineFilter) { job.SpreadOverZones, job.TasksInZone[1] = true, 1 }, true},
 		{"one zone, and tasks in another", func(_ *Machine, job *Job, _ *machineFilter) { job.OneZone, job.TasksInZone[0] = true, 1 }, false},
 		{"one zone, and tasks in it", func(_ *Machine, job *Job, _ *machineFilter) { job.OneZone, job.TasksInZone[1] = true, 1 }, true},
 		{"filter on another zone", func(_ *Machine, _ *Job, filter *machineFilter) { filter.zone = 0 }, false},
 		{"filter on images, to be fetched", func(_ *Machine, job *Job, filter *machineFilter) {
-			job.Image, filter.imageReady = []Image{Cold}, true
+			job.Image, filter.imageReady = []ImageState{ImageMissing}, true
 		}, false},
 		{"filter on images, being fetched", func(_ *Machine, job *Job, filter *machineFilter) {
-			job.Image, filter.imageReady = []Image{Coming}, true
+			job.Image, filter.imageReady = []ImageState{ImageFetching}, true
 		}, false},
 		{"filter on images, there", func(_ *Machine, job *Job, filter *machineFilter) {
-			job.Image, filter.imageReady = []Image{Warm}, true
+			job.Image, filter.imageReady = []ImageState{ImageReady}, true
 		}, true},
 	} {
 		t.Run(test.name, test.run)
@@ -80,7 +80,7 @@
 	}
 	for name, change := range map[string]func(job *Job){
 		"one zone": func(job *Job) { job.OneZone = true },
-		"apart":    func(job *Job) { job.Apart = true },
+		"apart":    func(job *Job) { job.SpreadOverZones = true },
 		"gang":     func(job *Job) { job.Gang = true },
 		"avoid":    func(job *Job) { job.Avoid = []bool{false} },
 	} {
--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -54,14 +54,14 @@
 // appendFutureSlots appends the slots for tasks of one size on a machine, the soonest first.
 func (p *pass) appendFutureSlots(slots []futureSlot, need Amounts, machineIndex int) []futureSlot {
 	free := p.machines[machineIndex].Free
-	counted := free.Times(need)
+	counted := free.FittingCount(need)
 	slots = appendSlots(slots, counted, futureSlot{machine: machineIndex})
 	for _, end := range p.taskEndsOn(machineIndex) {
 		if end.wait == neverEnds {
 			break
 		}
 		free = free.Add(end.need, 1)
-		fitting := free.Times(need)
+		fitting := free.FittingCount(need)
 		slots = appendSlots(slots, fitting-counted, futureSlot{wait: end.wait, machine: machineIndex})
 		counted = max(counted, fitting)
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -8,7 +8,7 @@
 // if it may preempt, and otherwise has machines reserved.
 func (p *pass) placeGang(gang *Job) {
 	zones := gang.zonesToTry()
-	if gang.Reservation {
+	if gang.Anticipated {
 		p.reserveMachines(gang, zones)
 		return
 	}
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -29,7 +29,7 @@
 		{Open: true, Tasks: []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart}}},
 	}
 	gang := &Job{Gang: true, Urgent: true, Priority: 1, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 3, Tasks: 3,
-		TasksInZone: make([]int, 1), Image: make([]Image, len(machines))}
+		TasksInZone: make([]int, 1), Image: make([]ImageState, len(machines))}
 	p := newPass(traceStart, machines, []Job{*gang}, []Team{{CPUsMax: 9, CPUsUsed: 1}})
 	state := func() string {
 		return fmt.Sprintf("%+v %+v %+v %+v %v %v", p.machines, p.teams, p.plan, *gang, p.ownsTasks, p.machineChanges)
--- a/internal/placement/load_index_test.go
+++ b/internal/placement/load_index_test.go
@@ -12,7 +12,7 @@
 	const seconds, smoothing = 8, 4 * time.Second
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
 	oneTask := Amounts{CPU: 1}
-	var regular, withGap Index
+	var regular, withGap LoadIndex
 	for second := 1; second <= seconds; second++ {
 		regular.Update(oneTask, at(second), time.Second, smoothing)
 	}
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -6,14 +6,14 @@
 
 // Machine is a machine in the snapshot of a pass. Its position in the list is its name.
 type Machine struct {
-	Open  bool    // takes new tasks
-	Type  int     // dense index of the machine type; negative: unknown, takes no tasks
-	Zone  int     // dense index; negative: unknown, takes no tasks
-	Spot  bool    // may be taken back by the cloud at any time
-	Free  Amounts // not booked
-	Load  float64 // value of its load Index
-	Fetch bool    // fetches an image
-	Tasks []Task  // booked tasks, which preemption and reservations look at
+	Open         bool    // takes new tasks
+	Type         int     // dense index of the machine type; negative: unknown, takes no tasks
+	Zone         int     // dense index; negative: unknown, takes no tasks
+	Spot         bool    // may be taken back by the cloud at any time
+	Free         Amounts // not booked
+	Load         float64 // value of its load Index
+	FetchesImage bool    // fetches an image
+	Tasks        []Task  // booked tasks, which preemption and reservations look at
 }
 
 // Task is a task that is booked on a machine.
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -13,11 +13,11 @@
 		first, second Job
 	}{
 		{"higher priority before guarantee, ratio and arrival",
-			Job{Priority: 2, BeyondGuarantee: true, Ratio: 9, Arrival: 9}, Job{Priority: 1}},
+			Job{Priority: 2, BeyondGuarantee: true, WorkPerWait: 9, Arrival: 9}, Job{Priority: 1}},
 		{"within the guarantee before ratio and arrival",
-			Job{Ratio: 9, Arrival: 9}, Job{BeyondGuarantee: true}},
+			Job{WorkPerWait: 9, Arrival: 9}, Job{BeyondGuarantee: true}},
 		{"least work left for the time waited before arrival",
-			Job{Ratio: 1, Arrival: 9}, Job{Ratio: 2}},
+			Job{WorkPerWait: 1, Arrival: 9}, Job{WorkPerWait: 2}},
 		{"earlier arrival",
 			Job{Arrival: 1}, Job{Arrival: 2}},
 	} {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -18,6 +18,6 @@
 // Preemption asks for a task to be stopped to make room for a job.
 type Preemption struct {
 	Machine int // position in the list of machines
-	Task    int // ID
-	For     int // position in the list of jobs
+	TaskID  int // ID
+	Job     int // position in the list of jobs
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -113,7 +113,7 @@
 		victim := &machine.Tasks[taskIndex]
 		if !victim.Stopping {
 			victim.Stopping = true
-			preemption := Preemption{Machine: machineIndex, Task: victim.ID, For: job.position}
+			preemption := Preemption{Machine: machineIndex, TaskID: victim.ID, Job: job.position}
 			p.plan.Preemptions = append(p.plan.Preemptions, preemption)
 		}
 		freed = freed.Add(victim.Need, 1)
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -92,7 +92,7 @@
 			machines := []Machine{{Open: true, Tasks: victim(time.Second)}, {Open: true, Tasks: victim(time.Minute)}}
 			job := test.job
 			job.Need, job.Priority, job.Urgent, job.Zone = Amounts{CPU: 1}, 1, true, AnyZone
-			job.TasksInZone, job.Image = make([]int, 1), []Image{Cold, Warm}
+			job.TasksInZone, job.Image = make([]int, 1), []ImageState{ImageMissing, ImageReady}
 			p := newPass(traceStart, machines, []Job{job}, []Team{{CPUsMax: 9}})
 			p.preempt(&job, 1, anyMachine)
 			want := []Preemption{{Machine: test.want}}
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -47,11 +47,11 @@
 // imageRankOn returns how soon a machine would have the job's image.
 func (p *pass) imageRankOn(job *Job, machineIndex int) imageRank {
 	switch {
-	case job.Image == nil || job.Image[machineIndex] == Warm:
+	case job.Image == nil || job.Image[machineIndex] == ImageReady:
 		return imageOnMachine
-	case job.Image[machineIndex] == Coming:
+	case job.Image[machineIndex] == ImageFetching:
 		return imageBeingFetched
-	case !p.machines[machineIndex].Fetch:
+	case !p.machines[machineIndex].FetchesImage:
 		return imageToFetch
 	}
 	return imageToFetchDelayed
--- a/internal/placement/ranking_test.go
+++ b/internal/placement/ranking_test.go
@@ -9,15 +9,15 @@
 	for _, test := range []struct {
 		name     string
 		machines []Machine
-		images   []Image
+		images   []ImageState
 		want     int
 	}{
 		{"lowest load index", []Machine{{Load: 3}, {Load: 1}, {Load: 2}}, nil, 1},
 		{"first of equals", []Machine{{Load: 2}, {Load: 1}, {Load: 1}}, nil, 1},
-		{"image there before it is fetched", []Machine{{Load: 1}, {Load: 9}}, []Image{Coming, Warm}, 1},
-		{"image being fetched before a new fetch", []Machine{{Load: 1}, {Load: 9, Fetch: fetching}}, []Image{Cold, Coming}, 1},
-		{"fetch alone before fetch beside another", []Machine{{Load: 1, Fetch: fetching}, {Load: 9}}, []Image{Cold, Cold}, 1},
-		{"load index among equal images", []Machine{{Load: 2}, {Load: 1}}, []Image{Warm, Warm}, 1},
+		{"image there before it is fetched", []Machine{{Load: 1}, {Load: 9}}, []ImageState{ImageFetching, ImageReady}, 1},
+		{"image being fetched before a new fetch", []Machine{{Load: 1}, {Load: 9, FetchesImage: fetching}}, []ImageState{ImageMissing, ImageFetching}, 1},
+		{"fetch alone before fetch beside another", []Machine{{Load: 1, FetchesImage: fetching}, {Load: 9}}, []ImageState{ImageMissing, ImageMissing}, 1},
+		{"load index among equal images", []Machine{{Load: 2}, {Load: 1}}, []ImageState{ImageReady, ImageReady}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for position := range test.machines {
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -39,8 +39,8 @@
 	return a
 }
 
-// Times returns how many times need fits into a; math.MaxInt32 if nothing is needed.
-func (a Amounts) Times(need Amounts) int {
+// FittingCount returns how many times need fits into a; math.MaxInt32 if nothing is needed.
+func (a Amounts) FittingCount(need Amounts) int {
 	times := math.MaxInt32
 	for resource := range a {
 		if need[resource] > 0 {
--- a/internal/placement/rollback.go
+++ b/internal/placement/rollback.go
@@ -19,7 +19,7 @@
 type savedMachine struct {
 	machine   Machine
 	ownsTasks bool
-	image     Image // of the gang that is tried
+	image     ImageState // of the gang that is tried
 }
 
 // beginTrial begins a trial of a gang; rollBack ends it. Trials do not nest.
--- a/internal/placement/snapshot_test.go
+++ b/internal/placement/snapshot_test.go
@@ -35,13 +35,13 @@
 	machines := make([]Machine, 100+random.IntN(300))
 	for position := range machines {
 		machine := Machine{
-			Open:  !oneIn(random, 20),
-			Type:  random.IntN(2),
-			Zone:  random.IntN(generatedZones - 1),
-			Spot:  oneIn(random, 4),
-			Fetch: oneIn(random, 3),
-			Free:  Amounts{CPU: 4, Memory: 16},
-			Load:  float64(random.IntN(12)),
+			Open:         !oneIn(random, 20),
+			Type:         random.IntN(2),
+			Zone:         random.IntN(generatedZones - 1),
+			Spot:         oneIn(random, 4),
+			FetchesImage: oneIn(random, 3),
+			Free:         Amounts{CPU: 4, Memory: 16},
+			Load:         float64(random.IntN(12)),
 		}
 		for machine.Free[CPU] > 0 && (crowded || !oneIn(random, 3)) {
 			task := Task{
@@ -72,9 +72,9 @@
 		job.Tasks = job.Waiting
 		if oneIn(random, 3) {
 			job.FetchTooSlow = oneIn(random, 2)
-			job.Image = make([]Image, len(machines))
+			job.Image = make([]ImageState, len(machines))
 			for machineIndex := range job.Image {
-				job.Image[machineIndex] = Image(random.IntN(3))
+				job.Image[machineIndex] = ImageState(random.IntN(3))
 			}
 		}
 		if oneIn(random, 5) {
@@ -105,8 +105,8 @@
 	job.Priority = random.IntN(3)
 	job.Urgent = false
 	job.Waiting = random.IntN(60)
-	job.Ratio = float64(random.IntN(50))
+	job.WorkPerWait = float64(random.IntN(50))
 	job.BeyondGuarantee = oneIn(random, 2)
-	job.Apart = oneIn(random, 4)
+	job.SpreadOverZones = oneIn(random, 4)
 	job.MayDisplace = !job.BeyondGuarantee && !teams[job.Team].Opportunistic
 }
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -75,9 +75,9 @@
 	machine.Free = machine.Free.Add(job.Need, -1)
 	p.teamOf(job).book(job.Need)
 	job.TasksInZone[machine.Zone]++
-	if job.Image != nil && job.Image[machineIndex] == Cold {
-		job.Image[machineIndex] = Coming
-		machine.Fetch = true
+	if job.Image != nil && job.Image[machineIndex] == ImageMissing {
+		job.Image[machineIndex] = ImageFetching
+		machine.FetchesImage = true
 	}
 	p.plan.Assignments = append(p.plan.Assignments, Assignment{Job: job.position, Machine: machineIndex})
 }
--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -35,7 +35,7 @@
 	teams    []Team
 	jobs     []Job
 
-	index Index // of the machine of load lines
+	index LoadIndex // of the machine of load lines
 	clock time.Time
 }
 
@@ -101,12 +101,12 @@
 
 func (s *scenario) addMachine(fields traceFields) {
 	machine := Machine{
-		Open:  true,
-		Zone:  fields.integer("zone", 0),
-		Spot:  fields.flag("spot"),
-		Fetch: fields.flag("fetch"),
-		Load:  fields.number("load", 0),
-		Free:  Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
+		Open:         true,
+		Zone:         fields.integer("zone", 0),
+		Spot:         fields.flag("spot"),
+		FetchesImage: fields.flag("fetch"),
+		Load:         fields.number("load", 0),
+		Free:         Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
 	}
 	for _, word := range fields.words {
 		key, value, _ := strings.Cut(word, "=")
@@ -153,7 +153,7 @@
 		Team:            fields.integer("team", 0),
 		Priority:        fields.integer("prio", 1),
 		Arrival:         uint64(fields.number("at", 0)),
-		Ratio:           fields.number("ratio", 0),
+		WorkPerWait:     fields.number("ratio", 0),
 		BeyondGuarantee: fields.flag("beyond"),
 		Overdue:         fields.flag("overdue"),
 		Need:            Amounts{CPU: fields.number("cpu", 1), Memory: fields.number("ram", 1)},
@@ -162,19 +162,19 @@
 		Zone:            fields.integer("zone", AnyZone),
 		Spot:            fields.flag("spot"),
 		OneZone:         fields.flag("onezone"),
-		Apart:           fields.flag("apart"),
+		SpreadOverZones: fields.flag("apart"),
 		TasksInZone:     make([]int, traceZones),
 		Gang:            fields.flag("gang"),
-		Reservation:     fields.flag("tocome"),
+		Anticipated:     fields.flag("tocome"),
 		Urgent:          fields.flag("urgent"),
 		MayDisplace:     fields.flag("displace"),
 		FetchTooSlow:    fields.flag("costly"),
 	}
 	if warm := fields.integer("warm", noMachine); warm >= 0 {
-		job.Image = make([]Image, len(s.machines))
-		job.Image[warm] = Warm
+		job.Image = make([]ImageState, len(s.machines))
+		job.Image[warm] = ImageReady
 		if coming := fields.integer("coming", noMachine); coming >= 0 {
-			job.Image[coming] = Coming
+			job.Image[coming] = ImageFetching
 		}
 	}
 	s.jobs = append(s.jobs, job)
@@ -207,6 +207,6 @@
 		fmt.Fprintf(out, "> job %d to machines [%s], %d without\n", position, strings.Join(machines, " "), plan.Unplaced[position])
 	}
 	for _, preemption := range plan.Preemptions {
-		fmt.Fprintf(out, "> stop task %d on machine %d for job %d\n", preemption.Task, preemption.Machine, preemption.For)
+		fmt.Fprintf(out, "> stop task %d on machine %d for job %d\n", preemption.TaskID, preemption.Machine, preemption.Job)
 	}
 }
