--- a/internal/jobstore/record.go
+++ b/internal/jobstore/codec.go
@@ -1,3 +1,5 @@
+// This file encodes and decodes the values of records. The names on the wire stand here alone.
+
 package jobstore
 
 import (
@@ -9,33 +11,6 @@
 	"tulipshelf/internal/wire"
 )
 
-// Prefixes of the keys of this slice.
-const (
-	JobPrefix = "job/"
-	endPrefix = "end/"
-)
-
-// JobKey returns the key of an unfinished job.
-func JobKey(id string) string { return JobPrefix + id }
-
-// EndKey returns the key of a finished job's state.
-func EndKey(id string) string { return endPrefix + id }
-
-func chunkKey(id string, n int) string { return fmt.Sprintf("%s%s/%06d", JobPrefix, id, n) }
-
-// SplitKey takes apart a key under JobPrefix; chunk is -1 for the job itself.
-func SplitKey(key string) (id string, chunk int, ok bool) {
-	id, rest, found := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
-	if !job.ValidID(id) {
-		return "", 0, false
-	}
-	if !found {
-		return id, -1, true
-	}
-	n, err := strconv.Atoi(rest)
-	return id, n, err == nil
-}
-
 // Record is the value under a job's key.
 type Record struct {
 	Spec              *job.Spec `cbor:"spec"`
@@ -47,6 +22,28 @@
 	PreviousChunkSize int       `cbor:"was,omitempty"`          // tasks in one chunk before that
 }
 
+// DecodeRecord reads the value of a job's key.
+func DecodeRecord(value []byte) (Record, error) {
+	var r Record
+	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.ChunkSize < 1 {
+		return r, fmt.Errorf("jobstore: job record: %w", err)
+	}
+	return r, nil
+}
+
+// DecodeRecordSummary reads from the value of a job's key whether it is cancelled, and the number of
+// the first chunk that counts.
+func DecodeRecordSummary(value []byte) (cancelled bool, base int, err error) {
+	var r struct {
+		CancelledMS int64 `cbor:"cancelled_ms"`
+		Base        int   `cbor:"base"`
+	}
+	if err := wire.Unmarshal(value, &r); err != nil {
+		return false, 0, fmt.Errorf("jobstore: job record: %w", err)
+	}
+	return r.CancelledMS != 0, r.Base, nil
+}
+
 // FinalState is the value under a finished job's key.
 type FinalState struct {
 	Status string `cbor:"status"` // Done or Cancelled
@@ -74,52 +71,6 @@
 	Session uint64
 }
 
-// Sizes of a chunk's value, counted in JSON as the state service does.
-const (
-	attemptBytes = 56 // one attempt with long names and numbers; a task that is done takes far less
-	restBytes    = 64
-)
-
-// TasksPerChunk returns how many tasks fit into one chunk with all of them live. Should names
-// be so long that they do not, fewer of them are live at once (Job.Startable).
-func TasksPerChunk(valueBytes int) int {
-	return max(1, min(1024, (valueBytes-restBytes)/attemptBytes))
-}
-
-// size returns the length of a chunk's value in JSON.
-func (v *chunkValue) size() int {
-	n := len(`{"done":"","live":[]}`) + len(v.Done)
-	for i := range v.Live {
-		a := &v.Live[i]
-		n += len(`[,,"",],`) + len(a.Machine) + digits(uint64(a.Task)) + digits(a.Try) + digits(a.Session)
-	}
-	return n
-}
-
-func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
-
-// DecodeRecord reads the value of a job's key.
-func DecodeRecord(value []byte) (Record, error) {
-	var r Record
-	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.ChunkSize < 1 {
-		return r, fmt.Errorf("jobstore: job record: %w", err)
-	}
-	return r, nil
-}
-
-// DecodeRecordSummary reads from the value of a job's key whether it is cancelled, and the number of
-// the first chunk that counts.
-func DecodeRecordSummary(value []byte) (cancelled bool, base int, err error) {
-	var r struct {
-		CancelledMS int64 `cbor:"cancelled_ms"`
-		Base        int   `cbor:"base"`
-	}
-	if err := wire.Unmarshal(value, &r); err != nil {
-		return false, 0, fmt.Errorf("jobstore: job record: %w", err)
-	}
-	return r.CancelledMS != 0, r.Base, nil
-}
-
 // Location is a live attempt by its record.
 type Location struct {
 	Attempt     job.AttemptID
--- a/internal/jobstore/layout.go
+++ b/internal/jobstore/rechunk.go
@@ -1,3 +1,5 @@
+// This file divides the tasks of a job into smaller chunks once its values have become too large.
+
 package jobstore
 
 import (
@@ -92,6 +94,3 @@
 	b.layOut(j, w.record.ChunkSize, j.SubmittedAt)
 	j.record, j.Revision = w.record, rev
 }
-
-// key returns the key of a chunk.
-func (j *Job) key(n int) string { return chunkKey(j.Spec.ID, j.record.FirstChunk+n) }
