--- a/internal/jobstore/attempt.go
+++ b/internal/jobstore/attempt.go
@@ -31,24 +31,24 @@
 // NextAttemptNumber returns an attempt number never used before. The tasks of a gang that
 // start together share one; of a task, no two attempts have the same.
 func (b *Store) NextAttemptNumber(term uint64) uint64 {
-	b.seq++
-	return job.AttemptNumber(term, b.seq)
+	b.attemptSequence++
+	return job.AttemptNumber(term, b.attemptSequence)
 }
 
 // StartAttempt makes an attempt. It must not be sent before a batch has recorded it.
 func (b *Store) StartAttempt(j *Job, task int, try uint64, machine string, session uint64, now time.Time) *Attempt {
-	if j.tasks[task] != TaskWaiting || j.Cancelled {
+	if j.tasks[task] != taskWaiting || j.Cancelled {
 		panic(fmt.Sprintf("jobstore: start of %s/%d in state %d", j.Spec.ID, task, j.tasks[task]))
 	}
 	a := &Attempt{Job: j, Task: task, Number: try, Machine: machine, Incarnation: session}
-	j.tasks[task] = TaskLive
+	j.tasks[task] = taskLive
 	j.live[task] = a
-	j.sendable = unknown
-	for j.next < len(j.tasks) && j.tasks[j.next] != TaskWaiting {
-		j.next++
+	j.gangDispatch = gangDispatchUnknown
+	for j.firstMaybeWaiting < len(j.tasks) && j.tasks[j.firstMaybeWaiting] != taskWaiting {
+		j.firstMaybeWaiting++
 	}
-	c := b.touch(j, task, now)
-	c.starts++
+	c := b.markDirty(j, task, now)
+	c.unrecordedStarts++
 	return a
 }
 
@@ -58,7 +58,7 @@
 // would never be sent, and hold room until that is known (inc-bc39).
 func (b *Store) RenumberUnrecorded(term uint64, told func(a *Attempt, was uint64)) {
 	for j := range b.dirty {
-		j.sendable = unknown
+		j.gangDispatch = gangDispatchUnknown
 		tries := map[uint64]uint64{} // the tasks of a gang share one
 		for _, a := range j.live {
 			if a.Recorded {
@@ -81,27 +81,27 @@
 		return
 	}
 	delete(j.live, a.Task)
-	j.sendable = unknown
-	if done || j.IsGang() && j.done > 0 {
-		j.finish(a.Task)
+	j.gangDispatch = gangDispatchUnknown
+	if done || j.IsGang() && j.doneCount > 0 {
+		j.markDone(a.Task)
 	} else {
-		j.tasks[a.Task] = TaskWaiting
-		j.next = min(j.next, a.Task)
+		j.tasks[a.Task] = taskWaiting
+		j.firstMaybeWaiting = min(j.firstMaybeWaiting, a.Task)
 	}
-	b.ends++
-	j.unwritten[a.Task] = b.ends
-	b.touch(j, a.Task, now)
+	b.endSequence++
+	j.unrecordedEnds[a.Task] = b.endSequence
+	b.markDirty(j, a.Task, now)
 	if done && j.IsGang() {
 		// The tasks of a gang complete together: those that were proven gone before the
 		// first was reported done are done too.
 		for t, s := range j.tasks {
-			if s == TaskWaiting {
-				j.finish(t)
-				b.touch(j, t, now)
+			if s == taskWaiting {
+				j.markDone(t)
+				b.markDirty(j, t, now)
 			}
 		}
 	}
-	b.checkEnd(j)
+	b.markDirtyIfReadyToEnd(j)
 }
 
 // WithdrawUnrecorded takes back the attempts of a cancelled job that no batch has
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -12,8 +12,8 @@
 // reports them, or they are found out again; nothing is told to anybody on their
 // strength.
 const (
-	lazy    = 2 * time.Second
-	overdue = 12 * time.Second // from then on they are written before what can wait
+	deferral    = 2 * time.Second
+	maxDeferral = 12 * time.Second // from then on they are written before what can wait
 )
 
 // Urgencies of changes. The end of a job that is done comes first: its user waits
@@ -22,17 +22,17 @@
 // takes its tasks for being there, so it becomes overdue like completions (inc-b469: 35
 // ends were not recorded for 50 s, and ten sound machines were returned for them).
 const (
-	keyLazy      = 0
-	keyCancelled = 1
-	keyOverdue   = 50
-	keyStart     = 200
-	keyDone      = 300
+	urgencyDeferrable   = 0
+	urgencyCancelledEnd = 1
+	urgencyOverdue      = 50
+	urgencyStart        = 200
+	urgencyDoneEnd      = 300
 )
 
 // candidate is a change that waits to be written: of a chunk, or the end of a job.
 type candidate struct {
-	j       *Job
-	c       *chunk // nil: the job's end
+	job     *Job
+	chunk   *chunk // nil: the job's end
 	urgency int
 
 	// How long it has waited to be written, times the starts that wait with it. By the
@@ -45,25 +45,25 @@
 // compare orders candidates: the most urgent first.
 func (k candidate) compare(other candidate) int {
 	if order := cmp.Or(cmp.Compare(other.urgency, k.urgency), cmp.Compare(other.weight, k.weight),
-		cmp.Compare(k.j.Arrival, other.j.Arrival)); order != 0 {
+		cmp.Compare(k.job.Arrival, other.job.Arrival)); order != 0 {
 		return order
 	}
-	if k.c == nil || other.c == nil {
+	if k.chunk == nil || other.chunk == nil {
 		return 0
 	}
-	return k.c.n - other.c.n
+	return k.chunk.index - other.chunk.index
 }
 
 // candidates returns all changes that may be written now.
 func (b *Store) candidates(now time.Time) (out []candidate) {
 	for j := range b.dirty {
-		if j.over() {
+		if j.readyToEnd() {
 			out = append(out, j.endCandidate(now))
 			continue
 		}
 		for _, c := range j.chunks {
 			if urgency, due := j.urgency(c, now); due {
-				weight := now.Sub(c.since).Seconds() * float64(max(1, c.starts))
+				weight := now.Sub(c.dirtySince).Seconds() * float64(max(1, c.unrecordedStarts))
 				out = append(out, candidate{j, c, urgency, weight})
 			}
 		}
@@ -73,30 +73,30 @@
 
 // endCandidate returns the end of a job as a candidate.
 func (j *Job) endCandidate(now time.Time) candidate {
-	if j.overSince.IsZero() {
-		j.overSince = now
+	if j.endReadySince.IsZero() {
+		j.endReadySince = now
 	}
-	waited := now.Sub(j.overSince)
+	waited := now.Sub(j.endReadySince)
 	switch {
 	case !j.Cancelled:
-		return candidate{j: j, urgency: keyDone}
-	case waited < overdue:
-		return candidate{j: j, urgency: keyCancelled}
+		return candidate{job: j, urgency: urgencyDoneEnd}
+	case waited < maxDeferral:
+		return candidate{job: j, urgency: urgencyCancelledEnd}
 	}
-	return candidate{j: j, urgency: keyOverdue, weight: waited.Seconds()}
+	return candidate{job: j, urgency: urgencyOverdue, weight: waited.Seconds()}
 }
 
 // urgency returns how urgent it is to write a chunk, and whether it is due at all.
 func (j *Job) urgency(c *chunk, now time.Time) (urgency int, due bool) {
-	switch waited := now.Sub(c.since); {
+	switch waited := now.Sub(c.dirtySince); {
 	case !c.dirty:
 		return 0, false
-	case c.starts > 0:
+	case c.unrecordedStarts > 0:
 		// The starts of a cancelled job are about to be taken back, unsent.
-		return keyStart + j.Spec.Rank(), !j.Cancelled
-	case waited >= overdue:
-		return keyOverdue, true
+		return urgencyStart + j.Spec.Rank(), !j.Cancelled
+	case waited >= maxDeferral:
+		return urgencyOverdue, true
 	default:
-		return keyLazy, waited >= lazy
+		return urgencyDeferrable, waited >= deferral
 	}
 }
--- a/internal/jobstore/capacity.go
+++ b/internal/jobstore/capacity.go
@@ -12,34 +12,34 @@
 	}
 	n := 0
 	for first := 0; first < len(j.tasks); first += j.record.ChunkSize {
-		n += min(j.room(first/j.record.ChunkSize, valueBytes), j.waitingIn(first))
+		n += min(j.freeSlots(first/j.record.ChunkSize, valueBytes), j.waitingTasksIn(first))
 	}
 	return min(n, j.WaitingTasks())
 }
 
 // NextStartable returns the first task at or after from that may start, or -1.
 func (j *Job) NextStartable(from, valueBytes int) int {
-	t := j.NextWaiting(from)
-	for t >= 0 && j.record.ChunkSize > TasksPerChunk(valueBytes) && j.room(t/j.record.ChunkSize, valueBytes) == 0 {
-		t = j.NextWaiting((t/j.record.ChunkSize + 1) * j.record.ChunkSize)
+	t := j.nextWaiting(from)
+	for t >= 0 && j.record.ChunkSize > TasksPerChunk(valueBytes) && j.freeSlots(t/j.record.ChunkSize, valueBytes) == 0 {
+		t = j.nextWaiting((t/j.record.ChunkSize + 1) * j.record.ChunkSize)
 	}
 	return t
 }
 
-// room returns for how many more live attempts a chunk's value has room.
-func (j *Job) room(n, valueBytes int) int {
+// freeSlots returns for how many more live attempts a chunk's value has room.
+func (j *Job) freeSlots(n, valueBytes int) int {
 	live := 0
 	for t := n * j.record.ChunkSize; t < min((n+1)*j.record.ChunkSize, len(j.tasks)); t++ {
-		if j.tasks[t] == TaskLive {
+		if j.tasks[t] == taskLive {
 			live++
 		}
 	}
 	return max(0, TasksPerChunk(valueBytes)-live)
 }
 
-func (j *Job) waitingIn(first int) (n int) {
+func (j *Job) waitingTasksIn(first int) (n int) {
 	for _, s := range j.tasks[first:min(first+j.record.ChunkSize, len(j.tasks))] {
-		if s == TaskWaiting {
+		if s == taskWaiting {
 			n++
 		}
 	}
--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -9,15 +9,15 @@
 )
 
 type chunk struct {
-	n      int
-	rev    uint64
-	dirty  bool
-	since  time.Time // when it became dirty
-	starts int       // that it holds and that are not yet recorded
+	index            int
+	revision         uint64
+	dirty            bool
+	dirtySince       time.Time // when it became dirty
+	unrecordedStarts int       // that it holds and that are not yet recorded
 }
 
-// key returns the key of a chunk.
-func (j *Job) key(n int) string { return chunkKey(j.Spec.ID, j.record.FirstChunk+n) }
+// chunkKey returns the key of a chunk.
+func (j *Job) chunkKey(n int) string { return chunkKey(j.Spec.ID, j.record.FirstChunk+n) }
 
 func (j *Job) chunkValue(n int) *chunkValue {
 	first := n * j.record.ChunkSize
@@ -25,11 +25,11 @@
 	var v chunkValue
 	var sb strings.Builder
 	for t := first; t < last; t++ {
-		if j.tasks[t] != TaskDone {
+		if j.tasks[t] != taskDone {
 			continue
 		}
 		end := t
-		for end+1 < last && j.tasks[end+1] == TaskDone {
+		for end+1 < last && j.tasks[end+1] == taskDone {
 			end++
 		}
 		if sb.Len() > 0 {
@@ -45,15 +45,15 @@
 	v.Done = sb.String()
 	for t := first; t < last; t++ {
 		if a := j.live[t]; a != nil {
-			v.Live = append(v.Live, attemptValue{Task: t, Try: a.Number, Machine: a.Machine, Session: a.Incarnation})
+			v.Live = append(v.Live, attemptValue{Task: t, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation})
 		}
 	}
 	return &v
 }
 
-// unrecordedIn returns the attempts of a chunk's tasks that are not recorded, by task.
-func (j *Job) unrecordedIn(c *chunk) (out []*Attempt) {
-	first := c.n * j.record.ChunkSize
+// unrecordedAttempts returns the attempts of a chunk's tasks that are not recorded, by task.
+func (j *Job) unrecordedAttempts(c *chunk) (out []*Attempt) {
+	first := c.index * j.record.ChunkSize
 	for t := first; t < first+j.record.ChunkSize; t++ {
 		if a := j.live[t]; a != nil && !a.Recorded {
 			out = append(out, a)
--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -64,11 +64,11 @@
 }
 
 type attemptValue struct {
-	_       struct{} `cbor:",toarray"`
-	Task    int
-	Try     uint64
-	Machine string
-	Session uint64
+	_           struct{} `cbor:",toarray"`
+	Task        int
+	Number      uint64
+	Machine     string
+	Incarnation uint64
 }
 
 // Location is a live attempt by its record.
@@ -85,14 +85,14 @@
 		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
 	}
 	for _, a := range v.Live {
-		live = append(live, Location{job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Try}, a.Machine, a.Session})
+		live = append(live, Location{job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Number}, a.Machine, a.Incarnation})
 	}
-	err = eachInRanges(v.Done, func(int) error { done++; return nil })
+	err = eachInRange(v.Done, func(int) error { done++; return nil })
 	return done, live, err
 }
 
-// eachInRanges calls f for each number of a text such as "0-5,9".
-func eachInRanges(s string, f func(int) error) error {
+// eachInRange calls f for each number of a text such as "0-5,9".
+func eachInRange(s string, f func(int) error) error {
 	if s == "" {
 		return nil
 	}
--- a/internal/jobstore/durability.go
+++ b/internal/jobstore/durability.go
@@ -7,21 +7,21 @@
 // machines that had done their part of it could not be returned (66 to 85 of 260 in
 // the tail of steady of omaruru-fares-grown).
 func (j *Job) ResultDurable(task int) bool {
-	_, unwritten := j.unwritten[task]
+	_, unwritten := j.unrecordedEnds[task]
 	c := j.chunks[task/j.record.ChunkSize]
-	return !unwritten && c != nil && c.rev != 0
+	return !unwritten && c != nil && c.revision != 0
 }
 
 // Backlog returns how many starts wait to be written and in how many chunks, and how
 // many ends of jobs do.
 func (b *Store) Backlog() (starts, chunks, ends int) {
 	for j := range b.dirty {
-		if j.over() {
+		if j.readyToEnd() {
 			ends++
 			continue
 		}
 		for _, c := range j.chunks {
-			if c.dirty && c.starts > 0 {
+			if c.dirty && c.unrecordedStarts > 0 {
 				chunks++
 			}
 		}
--- a/internal/jobstore/gang.go
+++ b/internal/jobstore/gang.go
@@ -21,13 +21,13 @@
 	return true
 }
 
-// answer is what was worked out, or that nothing was since the last change.
-type answer uint8
+// gangDispatchState is what was worked out, or that nothing was since the last change.
+type gangDispatchState uint8
 
 const (
-	unknown answer = iota
-	yes
-	no
+	gangDispatchUnknown gangDispatchState = iota
+	gangDispatchAllowed
+	gangDispatchBlocked
 )
 
 // Dispatchable tells whether the start of an attempt may be sent: it is recorded, and so are
@@ -38,17 +38,17 @@
 	if !a.Recorded || !a.Job.IsGang() {
 		return a.Recorded
 	}
-	if a.Job.sendable == unknown {
-		a.Job.sendable = no
-		if a.Job.recorded() && a.Job.GangComplete() {
-			a.Job.sendable = yes
+	if a.Job.gangDispatch == gangDispatchUnknown {
+		a.Job.gangDispatch = gangDispatchBlocked
+		if a.Job.allRecorded() && a.Job.GangComplete() {
+			a.Job.gangDispatch = gangDispatchAllowed
 		}
 	}
-	return a.Job.sendable == yes
+	return a.Job.gangDispatch == gangDispatchAllowed
 }
 
-// recorded tells whether all live attempts are.
-func (j *Job) recorded() bool {
+// allRecorded tells whether all live attempts are.
+func (j *Job) allRecorded() bool {
 	for _, a := range j.live {
 		if !a.Recorded {
 			return false
--- a/internal/jobstore/garbage.go
+++ b/internal/jobstore/garbage.go
@@ -4,21 +4,21 @@
 
 import "tulipshelf/internal/kvstore"
 
-// leaveChunks leaves what is stored of a job's chunks for deletion.
-func (j *Job) leaveChunks() {
+// addChunksToGarbage leaves what is stored of a job's chunks for deletion.
+func (j *Job) addChunksToGarbage() {
 	for n := range j.chunks {
-		j.orphans = append(j.orphans, j.record.FirstChunk+n)
+		j.garbageChunks = append(j.garbageChunks, j.record.FirstChunk+n)
 	}
-	j.orphans = append(j.orphans, j.old...)
+	j.garbageChunks = append(j.garbageChunks, j.previousChunks...)
 }
 
 // GarbageMutations returns deletions of an ended job's remaining chunks, at most n.
 func (j *Job) GarbageMutations(n int) []kvstore.Mutation {
-	n = min(n, len(j.orphans))
+	n = min(n, len(j.garbageChunks))
 	var ops []kvstore.Mutation
-	for _, c := range j.orphans[:n] {
+	for _, c := range j.garbageChunks[:n] {
 		ops = append(ops, kvstore.Mutation{Delete: chunkKey(j.Spec.ID, c)})
 	}
-	j.orphans = j.orphans[n:]
+	j.garbageChunks = j.garbageChunks[n:]
 	return ops
 }
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -8,14 +8,14 @@
 	"tulipshelf/internal/job"
 )
 
-// TaskState of a task.
-type TaskState uint8
+// taskState of a task.
+type taskState uint8
 
 // States of a task.
 const (
-	TaskWaiting TaskState = iota
-	TaskLive
-	TaskDone
+	taskWaiting taskState = iota
+	taskLive
+	taskDone
 )
 
 // Job is an unfinished job.
@@ -26,25 +26,24 @@
 	SubmittedAt time.Time
 	Cancelled   bool
 	CancelledAt time.Time
-	Team        int // dense, set by the controller
 
-	record  Record
-	tasks   []TaskState
-	live    map[int]*Attempt
-	done    int
-	next    int // no waiting task below it
-	chunks  map[int]*chunk
-	old     []int // numbers of the chunks of the layout before
-	orphans []int // numbers of chunks to delete after the end is recorded
+	record            Record
+	tasks             []taskState
+	live              map[int]*Attempt
+	doneCount         int
+	firstMaybeWaiting int // no waiting task below it
+	chunks            map[int]*chunk
+	previousChunks    []int // numbers of the chunks of the layout before
+	garbageChunks     []int // numbers of chunks to delete after the end is recorded
 
-	sendable answer // whether all of a gang is recorded, as its attempts are
+	gangDispatch gangDispatchState // whether all of a gang is recorded, as its attempts are
 
-	unwritten map[int]uint64 // tasks whose last end is not yet recorded, with its number
-	overSince time.Time      // since when its end waits to be recorded
+	unrecordedEnds map[int]uint64 // tasks whose last end is not yet recorded, with its number
+	endReadySince  time.Time      // since when its end waits to be recorded
 }
 
 // DoneTasks returns how many tasks are done.
-func (j *Job) DoneTasks() int { return j.done }
+func (j *Job) DoneTasks() int { return j.doneCount }
 
 // LiveTasks returns how many tasks have an attempt that is not proven gone.
 func (j *Job) LiveTasks() int { return len(j.live) }
@@ -54,13 +53,13 @@
 	if j.Cancelled {
 		return 0
 	}
-	return len(j.tasks) - j.done - len(j.live)
+	return len(j.tasks) - j.doneCount - len(j.live)
 }
 
-// NextWaiting returns the first waiting task at or after from, or -1.
-func (j *Job) NextWaiting(from int) int {
-	for t := max(from, j.next); t < len(j.tasks); t++ {
-		if j.tasks[t] == TaskWaiting {
+// nextWaiting returns the first waiting task at or after from, or -1.
+func (j *Job) nextWaiting(from int) int {
+	for t := max(from, j.firstMaybeWaiting); t < len(j.tasks); t++ {
+		if j.tasks[t] == taskWaiting {
 			return t
 		}
 	}
@@ -77,14 +76,14 @@
 // LiveAttempt returns the live attempt of a task, or nil.
 func (j *Job) LiveAttempt(task int) *Attempt { return j.live[task] }
 
-func (j *Job) finish(task int) {
-	j.tasks[task] = TaskDone
-	j.done++
+func (j *Job) markDone(task int) {
+	j.tasks[task] = taskDone
+	j.doneCount++
 }
 
-// over tells whether a job's end can be recorded: all tasks done, or cancelled
+// readyToEnd tells whether a job's end can be recorded: all tasks done, or cancelled
 // and no attempt left. It is worked out anew each time: a new leader reads a
 // cancelled job before the attempts that are still live.
-func (j *Job) over() bool {
-	return j.done == len(j.tasks) || j.Cancelled && len(j.live) == 0
+func (j *Job) readyToEnd() bool {
+	return j.doneCount == len(j.tasks) || j.Cancelled && len(j.live) == 0
 }
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -216,7 +216,7 @@
 		t.Fatalf("done %d, live %v, %v", done, live, err)
 	}
 	for _, bad := range []string{"x", "3-1", "-1", "1-", "0-999999999"} {
-		if eachInRanges(bad, func(int) error { return nil }) == nil {
+		if eachInRange(bad, func(int) error { return nil }) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
@@ -309,7 +309,7 @@
 		}
 		if _, ended := b.BatchCommitted(bt, uint64(1000+s)); len(ended) == 0 {
 			continue
-		} else if waited := now.Sub(t0); ended[0] != cancelled || waited < overdue || waited > overdue+5*time.Second {
+		} else if waited := now.Sub(t0); ended[0] != cancelled || waited < maxDeferral || waited > maxDeferral+5*time.Second {
 			t.Errorf("%s recorded after %v", ended[0].Spec.ID, waited)
 		}
 		return
--- a/internal/jobstore/layout_test.go
+++ b/internal/jobstore/layout_test.go
@@ -16,7 +16,7 @@
 func TestChunkLaidOutForMore(t *testing.T) {
 	const small = 2 << 10
 	b := New()
-	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, ChunkSize: TasksPerChunk(8 << 10), FirstChunk: newBase, PreviousChunkSize: 200}
+	r := Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 300, CPUs: 1}, ChunkSize: TasksPerChunk(8 << 10), FirstChunk: rechunkedFirstChunk, PreviousChunkSize: 200}
 	j, _, err := b.ApplyRecord(wire.Marshal(r), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if _, over := b.ended[rec.Spec.ID]; over {
+	if _, over := b.endedIDs[rec.Spec.ID]; over {
 		return nil, false, nil // the watch is behind our own write
 	}
 	j := b.jobs[rec.Spec.ID]
@@ -26,7 +26,7 @@
 	fresh := j == nil
 	if fresh {
 		j = &Job{Spec: rec.Spec, Arrival: rev, SubmittedAt: time.UnixMilli(rec.SubmittedMS),
-			tasks: make([]TaskState, rec.Spec.Tasks), live: map[int]*Attempt{}, chunks: map[int]*chunk{}, unwritten: map[int]uint64{}}
+			tasks: make([]taskState, rec.Spec.Tasks), live: map[int]*Attempt{}, chunks: map[int]*chunk{}, unrecordedEnds: map[int]uint64{}}
 		b.jobs[rec.Spec.ID] = j
 	}
 	if rec.Arrival != 0 {
@@ -34,12 +34,12 @@
 	}
 	newlyCancelled := rec.CancelledMS != 0 && !j.Cancelled
 	if !fresh && rec.ChunkSize != j.record.ChunkSize {
-		b.layOut(j, rec.ChunkSize, j.SubmittedAt) // an unanswered write of ours was applied
+		b.rechunk(j, rec.ChunkSize, j.SubmittedAt) // an unanswered write of ours was applied
 	}
 	j.record, j.Revision = rec, rev
 	if newlyCancelled {
 		j.Cancelled, j.CancelledAt = true, time.UnixMilli(rec.CancelledMS)
-		b.checkEnd(j)
+		b.markDirtyIfReadyToEnd(j)
 	}
 	return j, fresh || newlyCancelled, nil
 }
@@ -53,7 +53,7 @@
 		return nil
 	}
 	j.Cancelled, j.CancelledAt = true, now
-	b.checkEnd(j)
+	b.markDirtyIfReadyToEnd(j)
 	return j
 }
 
@@ -71,28 +71,28 @@
 	first := (n - j.record.FirstChunk) * size
 	if n >= j.record.FirstChunk {
 		n -= j.record.FirstChunk
-		j.chunks[n] = &chunk{n: n, rev: rev}
+		j.chunks[n] = &chunk{index: n, revision: rev}
 	} else {
 		size = j.record.PreviousChunkSize // it stands until the one of the new layout is read
 		first = n * size
-		j.old = append(j.old, n)
+		j.previousChunks = append(j.previousChunks, n)
 	}
 	last := min(first+size, len(j.tasks))
 	for t := first; t < last; t++ {
-		if j.tasks[t] == TaskDone {
-			j.done--
+		if j.tasks[t] == taskDone {
+			j.doneCount--
 		}
-		j.tasks[t] = TaskWaiting
+		j.tasks[t] = taskWaiting
 		delete(j.live, t)
 	}
-	j.sendable = unknown
-	err := eachInRanges(v.Done, func(i int) error {
+	j.gangDispatch = gangDispatchUnknown
+	err := eachInRange(v.Done, func(i int) error {
 		if first+i >= last {
 			return fmt.Errorf("jobstore: chunk %s/%d: task out of range", id, n)
 		}
-		if j.tasks[first+i] != TaskDone {
-			j.tasks[first+i] = TaskDone
-			j.done++
+		if j.tasks[first+i] != taskDone {
+			j.tasks[first+i] = taskDone
+			j.doneCount++
 		}
 		return nil
 	})
@@ -100,11 +100,11 @@
 		return err
 	}
 	for _, a := range v.Live {
-		if a.Task < first || a.Task >= last || j.tasks[a.Task] != TaskWaiting {
+		if a.Task < first || a.Task >= last || j.tasks[a.Task] != taskWaiting {
 			return fmt.Errorf("jobstore: chunk %s/%d: attempt of task %d", id, n, a.Task)
 		}
-		j.tasks[a.Task] = TaskLive
-		j.live[a.Task] = &Attempt{Job: j, Task: a.Task, Number: a.Try, Machine: a.Machine, Incarnation: a.Session, Recorded: true}
+		j.tasks[a.Task] = taskLive
+		j.live[a.Task] = &Attempt{Job: j, Task: a.Task, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation, Recorded: true}
 	}
 	return nil
 }
@@ -114,40 +114,40 @@
 func (b *Store) FinishLoading() {
 	for _, j := range b.jobs {
 		if j.record.FirstChunk != 0 {
-			j.layAll(j.SubmittedAt)
+			j.addMissingChunks(j.SubmittedAt)
 			b.dirty[j] = struct{}{}
 		}
-		if j.IsGang() && j.done > 0 {
+		if j.IsGang() && j.doneCount > 0 {
 			for t, s := range j.tasks {
-				if s == TaskWaiting {
-					j.finish(t)
+				if s == taskWaiting {
+					j.markDone(t)
 				}
 			}
 		}
-		b.checkEnd(j)
+		b.markDirtyIfReadyToEnd(j)
 	}
 }
 
 // RecordFoundDeleted drops a job whose record a read has found deleted: its end was recorded, by a
 // transaction that had no answer. The watch has yet to tell of it.
 func (b *Store) RecordFoundDeleted(id string) *Job {
-	b.ended[id] = struct{}{}
-	return b.dropEnded(id)
+	b.endedIDs[id] = struct{}{}
+	return b.removeEnded(id)
 }
 
 // RecordDeleted drops a job of whose record's deletion the watch tells.
 func (b *Store) RecordDeleted(id string) *Job {
-	delete(b.ended, id)
-	return b.dropEnded(id)
+	delete(b.endedIDs, id)
+	return b.removeEnded(id)
 }
 
-// dropEnded drops a job that has ended. Whether all of its chunks were deleted with it is not
+// removeEnded drops a job that has ended. Whether all of its chunks were deleted with it is not
 // known, so their deletion is left to OrphanOps; otherwise they stayed until another leader
 // read the records (TestLimitsLoweredUnderLoad).
-func (b *Store) dropEnded(id string) *Job {
-	j := b.drop(id)
+func (b *Store) removeEnded(id string) *Job {
+	j := b.remove(id)
 	if j != nil {
-		j.leaveChunks()
+		j.addChunksToGarbage()
 	}
 	return j
 }
--- a/internal/jobstore/outcome.go
+++ b/internal/jobstore/outcome.go
@@ -6,35 +6,35 @@
 // attempts that may now be sent and the jobs that have ended.
 func (b *Store) BatchCommitted(bt *Batch, rev uint64) (starts []*Attempt, ended []*Job) {
 	for _, w := range bt.chunks {
-		w.c.rev = rev
-		w.j.sendable = unknown
+		w.chunk.revision = rev
+		w.job.gangDispatch = gangDispatchUnknown
 		for _, a := range w.starts {
-			if w.j.live[a.Task] == a {
+			if w.job.live[a.Task] == a {
 				a.Recorded = true
 				starts = append(starts, a)
 			}
 		}
-		for t, end := range w.j.unwritten {
-			if end <= w.ends && t/w.j.record.ChunkSize == w.c.n {
-				delete(w.j.unwritten, t)
+		for t, end := range w.job.unrecordedEnds {
+			if end <= w.lastEnd && t/w.job.record.ChunkSize == w.chunk.index {
+				delete(w.job.unrecordedEnds, t)
 			}
 		}
-		b.clean(w.j)
+		b.clearDirtyIfWritten(w.job)
 	}
-	if bt.layout != nil {
-		b.laidOut(bt.layout, rev)
+	if bt.rechunk != nil {
+		b.applyRechunk(bt.rechunk, rev)
 	}
 	for _, w := range bt.ends {
-		for _, n := range w.gone {
-			delete(w.j.chunks, n)
+		for _, n := range w.deletedChunks {
+			delete(w.job.chunks, n)
 		}
-		w.j.leaveChunks()
-		if j := b.drop(w.j.Spec.ID); j != nil && j != w.j {
+		w.job.addChunksToGarbage()
+		if j := b.remove(w.job.Spec.ID); j != nil && j != w.job {
 			ended = append(ended, j)
 		}
-		delete(b.dirty, w.j)
-		b.ended[w.j.Spec.ID] = struct{}{}
-		ended = append(ended, w.j)
+		delete(b.dirty, w.job)
+		b.endedIDs[w.job.Spec.ID] = struct{}{}
+		ended = append(ended, w.job)
 	}
 	return starts, ended
 }
@@ -44,9 +44,9 @@
 // transactions with the same condition at most one is ever applied.
 func (b *Store) BatchFailed(bt *Batch) {
 	for _, w := range bt.chunks {
-		w.c.dirty = true
-		w.c.starts += len(w.starts)
-		b.dirty[w.j] = struct{}{}
+		w.chunk.dirty = true
+		w.chunk.unrecordedStarts += len(w.starts)
+		b.dirty[w.job] = struct{}{}
 	}
 }
 
@@ -55,6 +55,6 @@
 // have written it, so memory is the newer state.
 func (b *Store) SetChunkRevision(id string, n int, rev uint64) {
 	if j := b.jobs[id]; j != nil && j.chunks[n-j.record.FirstChunk] != nil {
-		j.chunks[n-j.record.FirstChunk].rev = rev
+		j.chunks[n-j.record.FirstChunk].revision = rev
 	}
 }
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -10,16 +10,16 @@
 
 // Store is the leader's copy of all unfinished jobs.
 type Store struct {
-	jobs  map[string]*Job
-	dirty map[*Job]struct{}
-	ended map[string]struct{} // until the watch has seen them go
-	seq   uint64
-	ends  uint64 // of attempts, so far
+	jobs            map[string]*Job
+	dirty           map[*Job]struct{}
+	endedIDs        map[string]struct{} // until the watch has seen them go
+	attemptSequence uint64
+	endSequence     uint64 // of attempts, so far
 }
 
 // New returns an empty list.
 func New() *Store {
-	return &Store{jobs: map[string]*Job{}, dirty: map[*Job]struct{}{}, ended: map[string]struct{}{}}
+	return &Store{jobs: map[string]*Job{}, dirty: map[*Job]struct{}{}, endedIDs: map[string]struct{}{}}
 }
 
 // Job returns an unfinished job, or nil.
@@ -35,28 +35,28 @@
 // Len returns how many jobs are unfinished.
 func (b *Store) Len() int { return len(b.jobs) }
 
-func (b *Store) touch(j *Job, task int, now time.Time) *chunk {
+func (b *Store) markDirty(j *Job, task int, now time.Time) *chunk {
 	n := task / j.record.ChunkSize
 	c := j.chunks[n]
 	if c == nil {
-		c = &chunk{n: n}
+		c = &chunk{index: n}
 		j.chunks[n] = c
 	}
 	if !c.dirty {
-		c.dirty, c.since = true, now
+		c.dirty, c.dirtySince = true, now
 	}
 	b.dirty[j] = struct{}{}
 	return c
 }
 
-func (b *Store) checkEnd(j *Job) {
-	if j.over() {
+func (b *Store) markDirtyIfReadyToEnd(j *Job) {
+	if j.readyToEnd() {
 		b.dirty[j] = struct{}{}
 	}
 }
 
-func (b *Store) clean(j *Job) {
-	if j.over() {
+func (b *Store) clearDirtyIfWritten(j *Job) {
+	if j.readyToEnd() {
 		return
 	}
 	for _, c := range j.chunks {
@@ -67,13 +67,13 @@
 	delete(b.dirty, j)
 }
 
-// drop takes the job that stands under an ID out of the list and returns it. It need
+// remove takes the job that stands under an ID out of the list and returns it. It need
 // not be the one that has ended: a read that began before the end and is answered
 // after the watch has told of it brings the job back. Left among what is to be
 // written, such a job was written again and again, each time in vain, and used up the
 // rate that the ends of others waited for (inc-1671: 175 cancelled jobs not ended, 105
 // empty machines not returned).
-func (b *Store) drop(id string) *Job {
+func (b *Store) remove(id string) *Job {
 	j := b.jobs[id]
 	if j != nil {
 		delete(b.jobs, id)
