--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -10,124 +10,185 @@
 	"tulipshelf/internal/wire"
 )
 
-// maxBatchBytes keeps a transaction below the state service's 64 KiB.
-const maxBatchBytes = 48 << 10
+const (
+	// maxBatchBytes keeps a transaction well below the 64 KiB that the key-value store takes.
+	maxBatchBytes = 48 << 10
 
-// Batch is one transaction's worth of changes.
+	// mutationOverheadBytes is about what a mutation takes of a transaction beside its value.
+	mutationOverheadBytes = 200
+
+	// minEndMutations is the least number of mutations for the end of a job: the final state is
+	// put and the record deleted.
+	minEndMutations = 2
+)
+
+// Batch is one transaction's changes. The leader executes it, if Compares hold, and then reports the
+// outcome to Store.BatchCommitted or Store.BatchFailed.
 type Batch struct {
 	Compares  []kvstore.Compare
 	Mutations []kvstore.Mutation
-	chunks    []chunkWrite
-	ends      []endWrite
-	rechunk   *rechunkWrite // nil: of none
-	size      int           // in bytes, about
+
+	chunks  []chunkWrite
+	ends    []endWrite
+	rechunk *rechunkWrite // nil: none
 }
 
+// chunkWrite is the part of a batch that writes a chunk.
 type chunkWrite struct {
 	job     *Job
 	chunk   *chunk
-	starts  []*Attempt
-	lastEnd uint64 // the last end that it records
+	starts  []*Attempt // that it records
+	lastEnd uint64     // it records the ends up to this one in the order of Store.endSequence
 }
 
+// endWrite is the part of a batch that records the end of a job.
 type endWrite struct {
 	job           *Job
-	deletedChunks []int // chunks deleted with it
+	deletedChunks []int // indices of the chunks that it deletes
+}
+
+// batchLimits is what one batch may hold.
+type batchLimits struct {
+	mutations      int // at most
+	spareMutations int // from so many on changes that can wait are left out
+	valueBytes     int // of the largest value that the key-value store takes
 }
 
-// NextBatch builds the most urgent changes into one transaction of at most
-// maxOps changes, fenced by the leader's term, or returns nil. What can wait is
-// left out once there are spareOps, and what is larger than the state service takes for
-// as long as it is. One batch is in flight at a time.
-func (b *Store) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
-	if bt := b.nextRechunk(fence, maxOps, valueBytes); bt != nil {
-		return bt
+// NextBatch builds a transaction of the most urgent changes, of at most maxOps mutations, that is
+// executed only while fence holds, the compare of the leader's term. It returns nil if there is
+// nothing to write. Changes that can wait are left out from spareOps mutations on, and chunks whose
+// value exceeds valueBytes until it fits. The outcome has to be reported before the next call: one
+// batch is in flight at a time.
+func (s *Store) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
+	limits := batchLimits{mutations: maxOps, spareMutations: spareOps, valueBytes: valueBytes}
+	if batch := s.nextRechunk(fence, limits); batch != nil {
+		return batch
 	}
-	candidates := b.candidates(now)
-	if len(candidates) == 0 || maxOps < 1 {
+	candidates := s.candidates(now)
+	if len(candidates) == 0 || limits.mutations < 1 {
 		return nil
 	}
 	slices.SortFunc(candidates, candidate.compare)
-	out := &Batch{Compares: []kvstore.Compare{fence}}
-	for _, k := range candidates {
-		if len(out.Mutations) >= maxOps || out.size > maxBatchBytes || k.urgency < urgencyOverdue && len(out.Mutations) >= spareOps {
-			break
-		}
-		if k.chunk == nil && k.urgency >= urgencyOverdue && maxOps-len(out.Mutations) < minEndMutations {
-			break // less urgent changes would use up what it waits for
-		}
-		if k.chunk == nil {
-			out.addEnd(k.job, maxOps, spareOps)
-			continue
-		}
-		if !out.addChunk(k.job, k.chunk, valueBytes, b.endSequence) {
+	batch := &Batch{Compares: []kvstore.Compare{fence}}
+	builder := batchBuilder{batch: batch, limits: limits, lastEnd: s.endSequence}
+	for _, c := range candidates {
+		if !builder.add(c) {
 			break
 		}
 	}
-	if len(out.Mutations) == 0 {
+	if len(batch.Mutations) == 0 {
 		return nil
 	}
-	return out
+	return batch
+}
+
+// batchBuilder adds candidates to a batch until one of its limits is reached.
+type batchBuilder struct {
+	batch   *Batch
+	limits  batchLimits
+	lastEnd uint64 // Store.endSequence
+	bytes   int    // of the transaction, about
+}
+
+// add adds a candidate, or leaves it out. It returns false if the batch takes no more candidates.
+func (b *batchBuilder) add(c candidate) bool {
+	if b.isFullFor(c) {
+		return false
+	}
+	if c.isEnd() {
+		b.addEnd(c.job)
+		return true
+	}
+	return b.addChunk(c.job, c.chunk)
 }
 
-// mutationOverheadBytes is about what a change takes of a transaction beside its value.
-const mutationOverheadBytes = 200
+// isFullFor reports whether the batch takes neither a candidate nor any less urgent one.
+func (b *batchBuilder) isFullFor(c candidate) bool {
+	if b.mutationsLeft() <= 0 || b.bytes > maxBatchBytes {
+		return true
+	}
+	canWait := c.urgency < urgencyOverdue
+	if canWait && len(b.batch.Mutations) >= b.limits.spareMutations {
+		return true
+	}
+	// An urgent end that does not fit any more must have the next batch, so less urgent changes
+	// must not use up the rate that it waits for.
+	return c.isEnd() && !canWait && b.mutationsLeft() < minEndMutations
+}
 
-// addChunk adds what is to be stored of a chunk, and returns false if the transaction is
-// full. A chunk that was laid out for larger values is left out: it fits once enough of its
-// tasks have ended.
-func (out *Batch) addChunk(j *Job, c *chunk, valueBytes int, ends uint64) bool {
-	v := j.chunkValue(c.index)
-	if v.jsonBytes() > valueBytes {
+func (b *batchBuilder) mutationsLeft() int { return b.limits.mutations - len(b.batch.Mutations) }
+
+// addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A chunk
+// whose value is too large is left out: it fits once enough of its tasks have ended.
+func (b *batchBuilder) addChunk(job *Job, c *chunk) bool {
+	value := job.chunkValue(c.index)
+	if value.jsonBytes() > b.limits.valueBytes {
 		return true
 	}
-	value := wire.Marshal(v)
-	if out.size += len(value) + mutationOverheadBytes; out.size > maxBatchBytes && len(out.Mutations) > 0 {
+	encoded := wire.Marshal(value)
+	b.bytes += len(encoded) + mutationOverheadBytes
+	if b.bytes > maxBatchBytes && len(b.batch.Mutations) > 0 {
 		return false
 	}
-	key := j.chunkKey(c.index)
-	out.Compares = append(out.Compares, kvstore.Compare{Key: key, Revision: c.revision})
-	w := chunkWrite{job: j, chunk: c, lastEnd: ends}
+	key := job.chunkKey(c.index)
+	b.compare(key, c.revision)
+	write := chunkWrite{job: job, chunk: c, lastEnd: b.lastEnd}
 	if c.unrecordedStarts > 0 {
-		// A start is only recorded while its job is not cancelled.
-		out.Compares = append(out.Compares, kvstore.Compare{Key: JobKey(j.Spec.ID), Revision: j.Revision})
-		w.starts = j.unrecordedAttempts(c)
+		// A start must not be recorded once its job is cancelled.
+		b.compare(JobKey(job.Spec.ID), job.Revision)
+		write.starts = job.unrecordedAttempts(c.index)
 	}
-	out.Mutations = append(out.Mutations, kvstore.Mutation{Put: key, Value: value})
-	out.chunks = append(out.chunks, w)
-	c.dirty, c.unrecordedStarts = false, 0 // set again by changes while it is in flight
+	b.mutate(kvstore.Mutation{Put: key, Value: encoded})
+	b.batch.chunks = append(b.batch.chunks, write)
+	c.dirty, c.unrecordedStarts = false, 0 // changes while it is in flight set them again
 	return true
 }
 
-// minEndMutations is the least number of changes that the end of a job takes.
-const minEndMutations = 2
-
-// addEnd adds the end of a job. Its chunks go with it if that does not hold up others:
-// of the five changes that a job of one task costs the fifth can wait.
-func (out *Batch) addEnd(j *Job, maxOps, spareOps int) {
-	out.size += mutationOverheadBytes
-	if maxOps-len(out.Mutations) < minEndMutations {
+// addEnd adds the end of a job, unless it needs more mutations than are left.
+func (b *batchBuilder) addEnd(job *Job) {
+	b.bytes += mutationOverheadBytes
+	if b.mutationsLeft() < minEndMutations {
 		return
 	}
-	status := StatusDone
-	if j.Cancelled {
-		status = StatusCancelled
-	}
-	id := j.Spec.ID
-	w := endWrite{job: j}
-	out.Compares = append(out.Compares, kvstore.Compare{Key: JobKey(id), Revision: j.Revision})
-	out.Mutations = append(out.Mutations,
-		kvstore.Mutation{Put: EndKey(id), Value: wire.Marshal(FinalState{status, j.Spec.Tasks})},
-		kvstore.Mutation{Delete: JobKey(id)})
-	for n, c := range j.chunks {
+	id := job.Spec.ID
+	final := FinalState{Status: job.finalStatus(), Tasks: job.Spec.Tasks}
+	b.compare(JobKey(id), job.Revision)
+	b.mutate(kvstore.Mutation{Put: EndKey(id), Value: wire.Marshal(final)})
+	b.mutate(kvstore.Mutation{Delete: JobKey(id)})
+	b.batch.ends = append(b.batch.ends, endWrite{job: job, deletedChunks: b.deleteChunks(job)})
+}
+
+// deleteChunks adds the deletion of a job's chunks as far as it holds up no other changes, and
+// returns their indices. The rest becomes garbage that is deleted later: of the mutations that a
+// job of one task costs in all, only this one can wait.
+func (b *batchBuilder) deleteChunks(job *Job) []int {
+	var deleted []int
+	limit := min(b.limits.mutations, b.limits.spareMutations)
+	for index, c := range job.chunks {
 		if c.revision == 0 && !c.dirty {
 			continue
 		}
-		if len(out.Mutations) >= min(maxOps, spareOps) {
+		if len(b.batch.Mutations) >= limit {
 			break
 		}
-		out.Mutations = append(out.Mutations, kvstore.Mutation{Delete: j.chunkKey(n)})
-		w.deletedChunks = append(w.deletedChunks, n)
+		b.mutate(kvstore.Mutation{Delete: job.chunkKey(index)})
+		deleted = append(deleted, index)
+	}
+	return deleted
+}
+
+func (b *batchBuilder) compare(key string, revision uint64) {
+	b.batch.Compares = append(b.batch.Compares, kvstore.Compare{Key: key, Revision: revision})
+}
+
+func (b *batchBuilder) mutate(mutation kvstore.Mutation) {
+	b.batch.Mutations = append(b.batch.Mutations, mutation)
+}
+
+// finalStatus returns the FinalState.Status of a job whose end is recorded.
+func (j *Job) finalStatus() string {
+	if j.Cancelled {
+		return StatusCancelled
 	}
-	out.ends = append(out.ends, w)
+	return StatusDone
 }
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -7,68 +7,82 @@
 	"time"
 )
 
-// Completions and losses that finish no job wait for company, and longer while
-// the state service's rate is short. Until they are written the worker still
-// reports them, or they are found out again; nothing is told to anybody on their
-// strength.
+// Completions and losses that finish no job wait for others to share a transaction with. Until
+// they are recorded the worker keeps reporting them, or the next leader finds them again, and no
+// answer to a user or worker relies on them.
 const (
-	deferral    = 2 * time.Second
-	maxDeferral = 12 * time.Second // from then on they are written before what can wait
+	deferral    = 2 * time.Second  // the least wait, after which they use what write rate is to spare
+	maxDeferral = 12 * time.Second // the wait after which they no longer give way to user requests
 )
 
-// Urgencies of changes. The end of a job that is done comes first: its user waits
-// for it, and a stream of starts would hold it back for minutes. The end of a
-// cancelled job is known from its record already; but until it is recorded a new leader
-// takes its tasks for being there, so it becomes overdue like completions (inc-b469: 35
-// ends were not recorded for 50 s, and ten sound machines were returned for them).
+// urgency orders changes: the greatest is written first.
+type urgency int
+
+// Levels of urgency. Those from urgencyOverdue on are written even if no rate is to spare.
 const (
-	urgencyDeferrable   = 0
-	urgencyCancelledEnd = 1
-	urgencyOverdue      = 50
-	urgencyStart        = 200
-	urgencyDoneEnd      = 300
+	urgencyDeferrable urgency = 0 // a completion or loss that finishes no job
+
+	// urgencyCancelledEnd is of the end of a cancelled job. Its user learns of it from the job's
+	// record. But until it is recorded a new leader takes its tasks for running, and returns sound
+	// machines for them, so it becomes overdue as well (docs/incidents/inc-b469.md).
+	urgencyCancelledEnd urgency = 1
+
+	urgencyOverdue urgency = 50  // what has waited for maxDeferral
+	urgencyStart   urgency = 200 // plus the rank of the job's priority
+
+	// urgencyDoneEnd is of the end of a job that is done: its user waits for it, and a stream of
+	// starts would hold it back for minutes.
+	urgencyDoneEnd urgency = 300
 )
 
 // candidate is a change that waits to be written: of a chunk, or the end of a job.
 type candidate struct {
 	job     *Job
 	chunk   *chunk // nil: the job's end
-	urgency int
+	urgency urgency
 
-	// How long it has waited to be written, times the starts that wait with it. By the
-	// jobs' arrival the chunks of a large array that change all the time went before
-	// all that came later (245 small jobs of inc-bc39 were not written for 100 s); by
-	// the wait alone 400 jobs of one task held up as many starts in ten chunks.
+	// weight orders changes of the same urgency: the seconds for which the change has waited,
+	// times the starts that wait with it. By the jobs' arrival the chunks of a large array that
+	// changes all the time would go before all jobs that came later (docs/incidents/inc-bc39.md);
+	// by the wait alone many jobs of one task would hold up as many starts in a few chunks.
 	weight float64
 }
 
-// compare orders candidates: the most urgent first.
-func (k candidate) compare(other candidate) int {
-	if order := cmp.Or(cmp.Compare(other.urgency, k.urgency), cmp.Compare(other.weight, k.weight),
-		cmp.Compare(k.job.Arrival, other.job.Arrival)); order != 0 {
-		return order
+// isEnd reports whether the candidate is the end of its job.
+func (c candidate) isEnd() bool { return c.chunk == nil }
+
+// compare orders candidates, the most urgent first.
+func (c candidate) compare(other candidate) int {
+	if byUrgency := cmp.Compare(other.urgency, c.urgency); byUrgency != 0 {
+		return byUrgency
+	}
+	if byWeight := cmp.Compare(other.weight, c.weight); byWeight != 0 {
+		return byWeight
+	}
+	if byArrival := cmp.Compare(c.job.Arrival, other.job.Arrival); byArrival != 0 {
+		return byArrival
 	}
-	if k.chunk == nil || other.chunk == nil {
+	if c.isEnd() || other.isEnd() {
 		return 0
 	}
-	return k.chunk.index - other.chunk.index
+	return c.chunk.index - other.chunk.index
 }
 
-// candidates returns all changes that may be written now.
-func (b *Store) candidates(now time.Time) (out []candidate) {
-	for j := range b.dirty {
-		if j.readyToEnd() {
-			out = append(out, j.endCandidate(now))
+// candidates returns all changes that may be written now, in unspecified order.
+func (s *Store) candidates(now time.Time) []candidate {
+	var found []candidate
+	for job := range s.dirty {
+		if job.readyToEnd() {
+			found = append(found, job.endCandidate(now))
 			continue
 		}
-		for _, c := range j.chunks {
-			if urgency, due := j.urgency(c, now); due {
-				weight := now.Sub(c.dirtySince).Seconds() * float64(max(1, c.unrecordedStarts))
-				out = append(out, candidate{j, c, urgency, weight})
+		for _, c := range job.chunks {
+			if urgency, due := job.chunkUrgency(c, now); due {
+				found = append(found, candidate{job: job, chunk: c, urgency: urgency, weight: c.weight(now)})
 			}
 		}
 	}
-	return out
+	return found
 }
 
 // endCandidate returns the end of a job as a candidate.
@@ -76,27 +90,33 @@
 	if j.endReadySince.IsZero() {
 		j.endReadySince = now
 	}
-	waited := now.Sub(j.endReadySince)
-	switch {
-	case !j.Cancelled:
+	if !j.Cancelled {
 		return candidate{job: j, urgency: urgencyDoneEnd}
-	case waited < maxDeferral:
+	}
+	waited := now.Sub(j.endReadySince)
+	if waited < maxDeferral {
 		return candidate{job: j, urgency: urgencyCancelledEnd}
 	}
 	return candidate{job: j, urgency: urgencyOverdue, weight: waited.Seconds()}
 }
 
-// urgency returns how urgent it is to write a chunk, and whether it is due at all.
-func (j *Job) urgency(c *chunk, now time.Time) (urgency int, due bool) {
-	switch waited := now.Sub(c.dirtySince); {
-	case !c.dirty:
-		return 0, false
-	case c.unrecordedStarts > 0:
-		// The starts of a cancelled job are about to be taken back, unsent.
-		return urgencyStart + j.Spec.Rank(), !j.Cancelled
-	case waited >= maxDeferral:
+// chunkUrgency returns how urgent it is to write a chunk, and whether it is to be written now at all.
+func (j *Job) chunkUrgency(c *chunk, now time.Time) (level urgency, due bool) {
+	if !c.dirty {
+		return urgencyDeferrable, false
+	}
+	if c.unrecordedStarts > 0 {
+		// The starts of a cancelled job are about to be withdrawn unsent.
+		return urgencyStart + urgency(j.Spec.Rank()), !j.Cancelled
+	}
+	waited := now.Sub(c.dirtySince)
+	if waited >= maxDeferral {
 		return urgencyOverdue, true
-	default:
-		return urgencyDeferrable, waited >= deferral
 	}
+	return urgencyDeferrable, waited >= deferral
+}
+
+// weight returns the candidate.weight of a dirty chunk.
+func (c *chunk) weight(now time.Time) float64 {
+	return now.Sub(c.dirtySince).Seconds() * float64(max(1, c.unrecordedStarts))
 }
--- a/internal/jobstore/capacity.go
+++ b/internal/jobstore/capacity.go
@@ -1,47 +1,42 @@
-// This file says how many tasks may be live in a chunk, as its value is limited in size.
+// This file says how many tasks may start while the values of their chunks are limited in size.
+//
+// That matters only for jobs whose chunks were made for larger values than the key-value store
+// takes by now: of such a chunk no more tasks are live at once than fit.
 
 package jobstore
 
-// StartableTasks returns how many of the waiting tasks may start now: those whose chunks have
-// room for their attempts. All have, but in jobs whose chunks were laid out for larger
-// values than the state service takes by now: as many as fit are live at once, and what
-// is stored larger is written again once it fits. It takes the bytes of a value.
+// StartableTasks returns how many of the waiting tasks may start now, if the key-value store takes
+// values of so many bytes: those whose chunks have room for their attempts.
 func (j *Job) StartableTasks(valueBytes int) int {
-	if j.record.ChunkSize <= TasksPerChunk(valueBytes) {
+	limit := TasksPerChunk(valueBytes)
+	if j.record.ChunkSize <= limit {
 		return j.WaitingTasks()
 	}
-	n := 0
-	for first := 0; first < len(j.tasks); first += j.record.ChunkSize {
-		n += min(j.freeSlots(first/j.record.ChunkSize, valueBytes), j.waitingTasksIn(first))
+	startable := 0
+	for index := range j.chunkCount() {
+		waiting := j.tasks.count(j.chunkTasks(index), taskWaiting)
+		startable += min(j.freeSlots(index, limit), waiting)
 	}
-	return min(n, j.WaitingTasks())
+	return min(startable, j.WaitingTasks())
 }
 
-// NextStartable returns the first task at or after from that may start, or -1.
+// NextStartable returns the first task at or after from that may start if the key-value store
+// takes values of so many bytes, or -1.
 func (j *Job) NextStartable(from, valueBytes int) int {
-	t := j.nextWaiting(from)
-	for t >= 0 && j.record.ChunkSize > TasksPerChunk(valueBytes) && j.freeSlots(t/j.record.ChunkSize, valueBytes) == 0 {
-		t = j.nextWaiting((t/j.record.ChunkSize + 1) * j.record.ChunkSize)
+	limit := TasksPerChunk(valueBytes)
+	task := j.tasks.nextWaiting(from)
+	if j.record.ChunkSize <= limit {
+		return task
 	}
-	return t
-}
-
-// freeSlots returns for how many more live attempts a chunk's value has room.
-func (j *Job) freeSlots(n, valueBytes int) int {
-	live := 0
-	for t := n * j.record.ChunkSize; t < min((n+1)*j.record.ChunkSize, len(j.tasks)); t++ {
-		if j.tasks[t] == taskLive {
-			live++
-		}
+	for task >= 0 && j.freeSlots(j.chunkOf(task), limit) == 0 {
+		firstOfNextChunk := j.chunkTasks(j.chunkOf(task) + 1).first
+		task = j.tasks.nextWaiting(firstOfNextChunk)
 	}
-	return max(0, TasksPerChunk(valueBytes)-live)
+	return task
 }
 
-func (j *Job) waitingTasksIn(first int) (n int) {
-	for _, s := range j.tasks[first:min(first+j.record.ChunkSize, len(j.tasks))] {
-		if s == taskWaiting {
-			n++
-		}
-	}
-	return n
+// freeSlots returns how many more attempts may be live in a chunk where at most limit may be.
+func (j *Job) freeSlots(index, limit int) int {
+	live := j.tasks.count(j.chunkTasks(index), taskLive)
+	return max(0, limit-live)
 }
--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -1,63 +1,80 @@
-// This file keeps the state of one chunk of a job's tasks, and builds its value.
+// This file divides the tasks of a job into chunks, each stored under a key of its own, and builds the
+// value of a chunk.
+//
+// A chunk has an index, its position in the job, and a number, which stands in its key and counts
+// on from Record.FirstChunk.
 
 package jobstore
 
-import (
-	"strconv"
-	"strings"
-	"time"
-)
+import "time"
 
+// chunk is what is known of the stored record of a chunk's tasks, and of changes that it lacks.
 type chunk struct {
 	index            int
-	revision         uint64
+	revision         uint64 // of its key; 0: not stored
 	dirty            bool
-	dirtySince       time.Time // when it became dirty
-	unrecordedStarts int       // that it holds and that are not yet recorded
+	dirtySince       time.Time
+	unrecordedStarts int // starts of its tasks that no batch holds yet
 }
 
-// chunkKey returns the key of a chunk.
-func (j *Job) chunkKey(n int) string { return chunkKey(j.Spec.ID, j.record.FirstChunk+n) }
+// chunkOf returns the index of a task's chunk.
+func (j *Job) chunkOf(task int) int { return task / j.record.ChunkSize }
 
-func (j *Job) chunkValue(n int) *chunkValue {
-	first := n * j.record.ChunkSize
-	last := min(first+j.record.ChunkSize, len(j.tasks))
-	var v chunkValue
-	var sb strings.Builder
-	for t := first; t < last; t++ {
-		if j.tasks[t] != taskDone {
-			continue
-		}
-		end := t
-		for end+1 < last && j.tasks[end+1] == taskDone {
-			end++
-		}
-		if sb.Len() > 0 {
-			sb.WriteByte(',')
-		}
-		sb.WriteString(strconv.Itoa(t - first))
-		if end > t {
-			sb.WriteByte('-')
-			sb.WriteString(strconv.Itoa(end - first))
+// chunkCount returns how many chunks the tasks take.
+func (j *Job) chunkCount() int {
+	size := j.record.ChunkSize
+	return (len(j.tasks.states) + size - 1) / size
+}
+
+// chunkTasks returns the tasks of the chunk with an index.
+func (j *Job) chunkTasks(index int) taskRange {
+	return j.tasks.slice(index, j.record.ChunkSize)
+}
+
+// chunkNumber returns the number in the key of the chunk with an index.
+func (j *Job) chunkNumber(index int) int { return j.record.FirstChunk + index }
+
+// chunkKey returns the key of the chunk with an index.
+func (j *Job) chunkKey(index int) string { return chunkKey(j.Spec.ID, j.chunkNumber(index)) }
+
+// chunkValue returns what is to be stored of the chunk with an index.
+func (j *Job) chunkValue(index int) *chunkValue {
+	tasks := j.chunkTasks(index)
+	var value chunkValue
+	value.Done = j.doneRanges(tasks)
+	for task := tasks.first; task < tasks.end; task++ {
+		if a := j.tasks.live[task]; a != nil {
+			value.Live = append(value.Live, attemptValue{Task: task, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation})
 		}
-		t = end
 	}
-	v.Done = sb.String()
-	for t := first; t < last; t++ {
-		if a := j.live[t]; a != nil {
-			v.Live = append(v.Live, attemptValue{Task: t, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation})
+	return &value
+}
+
+// doneRanges returns which of the tasks are done, as ranges that count from the first of them.
+func (j *Job) doneRanges(tasks taskRange) string {
+	var ranges rangeWriter
+	for task := tasks.first; task < tasks.end; task++ {
+		if j.tasks.states[task] != taskDone {
+			continue
+		}
+		last := task
+		for last+1 < tasks.end && j.tasks.states[last+1] == taskDone {
+			last++
 		}
+		ranges.add(task-tasks.first, last-tasks.first)
+		task = last
 	}
-	return &v
+	return ranges.String()
 }
 
 // unrecordedAttempts returns the attempts of a chunk's tasks that are not recorded, by task.
-func (j *Job) unrecordedAttempts(c *chunk) (out []*Attempt) {
-	first := c.index * j.record.ChunkSize
-	for t := first; t < first+j.record.ChunkSize; t++ {
-		if a := j.live[t]; a != nil && !a.Recorded {
-			out = append(out, a)
+func (j *Job) unrecordedAttempts(index int) []*Attempt {
+	var unrecorded []*Attempt
+	tasks := j.chunkTasks(index)
+	for task := tasks.first; task < tasks.end; task++ {
+		if attempt := j.tasks.live[task]; attempt != nil && !attempt.Recorded {
+			unrecorded = append(unrecorded, attempt)
 		}
 	}
-	return out
+	return unrecorded
 }
--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -1,116 +1,117 @@
-// This file encodes and decodes the values of records. The names on the wire stand here alone.
+// This file encodes and decodes the values of records. Their names on the wire stand here alone:
+// older versions read and write the same values, so no tag may change (docs/upgrades.md).
 
 package jobstore
 
 import (
+	"errors"
 	"fmt"
-	"strconv"
-	"strings"
 
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
 
+// ErrMalformed is wrapped by errors of values that are not what their keys stand for.
+var ErrMalformed = errors.New("malformed value")
+
 // Record is the value under a job's key.
 type Record struct {
 	Spec              *job.Spec `cbor:"spec"`
-	SubmittedMS       int64     `cbor:"at_ms"`                  // submission, time of day
-	Arrival           uint64    `cbor:"arrival,omitempty"`      // first revision, kept when cancelled
-	CancelledMS       int64     `cbor:"cancelled_ms,omitempty"` // 0: not cancelled
+	SubmittedMS       int64     `cbor:"at_ms"`                  // submission, in Unix milliseconds
+	Arrival           uint64    `cbor:"arrival,omitempty"`      // revision of the first record; 0: this is the first
+	CancelledMS       int64     `cbor:"cancelled_ms,omitempty"` // cancellation, in Unix milliseconds; 0: not cancelled
 	ChunkSize         int       `cbor:"chunk"`                  // tasks in one chunk
-	FirstChunk        int       `cbor:"base,omitempty"`         // number of the first chunk; not 0: laid out anew
-	PreviousChunkSize int       `cbor:"was,omitempty"`          // tasks in one chunk before that
+	FirstChunk        int       `cbor:"base,omitempty"`         // number of the first chunk; 0: never rechunked
+	PreviousChunkSize int       `cbor:"was,omitempty"`          // tasks in one chunk before it was rechunked
 }
 
-// DecodeRecord reads the value of a job's key.
+// rechunkedFirstChunk is Record.FirstChunk of a job that was rechunked. It is beyond the numbers of
+// all earlier chunks, of which there are at most as many as tasks.
+const rechunkedFirstChunk = job.MaxTasks
+
+// DecodeRecord decodes the value of a job's key. The error wraps ErrMalformed.
 func DecodeRecord(value []byte) (Record, error) {
-	var r Record
-	if err := wire.Unmarshal(value, &r); err != nil || r.Spec == nil || r.ChunkSize < 1 {
-		return r, fmt.Errorf("jobstore: job record: %w", err)
+	var record Record
+	if err := wire.Unmarshal(value, &record); err != nil {
+		return record, fmt.Errorf("jobstore: job record: %w: %w", ErrMalformed, err)
+	}
+	if record.Spec == nil || record.ChunkSize < 1 {
+		return record, fmt.Errorf("jobstore: job record: %w: no description or chunk size", ErrMalformed)
 	}
-	return r, nil
+	return record, nil
 }
 
-// DecodeRecordSummary reads from the value of a job's key whether it is cancelled, and the number of
-// the first chunk that counts.
-func DecodeRecordSummary(value []byte) (cancelled bool, base int, err error) {
-	var r struct {
+// DecodeRecordSummary decodes of the value of a job's key only whether the job is cancelled, and the
+// number of the first chunk that is valid: chunks with lower numbers are from before it was
+// rechunked. The error wraps ErrMalformed.
+func DecodeRecordSummary(value []byte) (cancelled bool, firstChunk int, err error) {
+	var summary struct {
 		CancelledMS int64 `cbor:"cancelled_ms"`
-		Base        int   `cbor:"base"`
+		FirstChunk  int   `cbor:"base"`
 	}
-	if err := wire.Unmarshal(value, &r); err != nil {
-		return false, 0, fmt.Errorf("jobstore: job record: %w", err)
+	if err := wire.Unmarshal(value, &summary); err != nil {
+		return false, 0, fmt.Errorf("jobstore: job record: %w: %w", ErrMalformed, err)
 	}
-	return r.CancelledMS != 0, r.Base, nil
+	return summary.CancelledMS != 0, summary.FirstChunk, nil
 }
 
 // FinalState is the value under a finished job's key.
 type FinalState struct {
-	Status string `cbor:"status"` // Done or Cancelled
+	Status string `cbor:"status"` // StatusDone or StatusCancelled
 	Tasks  int    `cbor:"tasks"`
 }
 
-// Final states, in the protocol's words since users are told them verbatim.
+// Final states, in the words of the users' protocol, as users read them verbatim.
 const (
 	StatusDone      = "done"
 	StatusCancelled = "withdrawn"
 )
 
-// chunkValue is the value of one chunk. An attempt is a list of task number,
-// attempt, machine and session.
+// chunkValue is the value of one chunk.
 type chunkValue struct {
-	Done string         `cbor:"done"` // ranges such as "0-5,9", from the chunk's first task
+	Done string         `cbor:"done"` // ranges (eachInRanges) that count from the chunk's first task
 	Live []attemptValue `cbor:"live"`
 }
 
+// attemptValue is a live attempt in the value of a chunk, encoded as a list in this order.
 type attemptValue struct {
 	_           struct{} `cbor:",toarray"`
-	Task        int
+	Task        int      // index in the job
 	Number      uint64
 	Machine     string
 	Incarnation uint64
 }
 
-// Location is a live attempt by its record.
+// decodeChunkValue decodes the value of a chunk. The error wraps ErrMalformed.
+func decodeChunkValue(value []byte) (chunkValue, error) {
+	var decoded chunkValue
+	if err := wire.Unmarshal(value, &decoded); err != nil {
+		return chunkValue{}, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	return decoded, nil
+}
+
+// Location is where a live attempt runs, according to its record.
 type Location struct {
 	Attempt     job.AttemptID
 	Machine     string
 	Incarnation uint64 // of the worker agent
 }
 
-// DecodeChunk returns how many tasks a chunk's value says are done, and its live attempts.
+// DecodeChunk decodes the value of a chunk of the job with an ID: how many tasks are done, and where
+// the live attempts run. The error wraps ErrMalformed.
 func DecodeChunk(id string, value []byte) (done int, live []Location, err error) {
-	var v chunkValue
-	if err := wire.Unmarshal(value, &v); err != nil {
+	decoded, err := decodeChunkValue(value)
+	if err != nil {
 		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
 	}
-	for _, a := range v.Live {
-		live = append(live, Location{job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Number}, a.Machine, a.Incarnation})
-	}
-	err = eachInRange(v.Done, func(int) error { done++; return nil })
-	return done, live, err
-}
-
-// eachInRange calls f for each number of a text such as "0-5,9".
-func eachInRange(s string, f func(int) error) error {
-	if s == "" {
-		return nil
+	for _, a := range decoded.Live {
+		attempt := job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Number}
+		live = append(live, Location{Attempt: attempt, Machine: a.Machine, Incarnation: a.Incarnation})
 	}
-	for _, part := range strings.Split(s, ",") {
-		from, to, pair := strings.Cut(part, "-")
-		a, err := strconv.Atoi(from)
-		b := a
-		if err == nil && pair {
-			b, err = strconv.Atoi(to)
-		}
-		if err != nil || a < 0 || b < a || b > job.MaxTasks {
-			return fmt.Errorf("jobstore: bad range %q", part)
-		}
-		for i := a; i <= b; i++ {
-			if err := f(i); err != nil {
-				return err
-			}
-		}
+	err = eachInRanges(decoded.Done, func(int) error { done++; return nil })
+	if err != nil {
+		return done, live, fmt.Errorf("jobstore: chunk: %w", err)
 	}
-	return nil
+	return done, live, nil
 }
--- a/internal/jobstore/garbage.go
+++ b/internal/jobstore/garbage.go
@@ -4,21 +4,23 @@
 
 import "tulipshelf/internal/kvstore"
 
-// addChunksToGarbage leaves what is stored of a job's chunks for deletion.
+// addChunksToGarbage adds to the garbage what may be stored of the job's chunks, once its end is
+// recorded.
 func (j *Job) addChunksToGarbage() {
-	for n := range j.chunks {
-		j.garbageChunks = append(j.garbageChunks, j.record.FirstChunk+n)
+	for index := range j.chunks {
+		j.garbageChunks = append(j.garbageChunks, j.chunkNumber(index))
 	}
 	j.garbageChunks = append(j.garbageChunks, j.previousChunks...)
 }
 
-// GarbageMutations returns deletions of an ended job's remaining chunks, at most n.
-func (j *Job) GarbageMutations(n int) []kvstore.Mutation {
-	n = min(n, len(j.garbageChunks))
-	var ops []kvstore.Mutation
-	for _, c := range j.garbageChunks[:n] {
-		ops = append(ops, kvstore.Mutation{Delete: chunkKey(j.Spec.ID, c)})
+// GarbageMutations takes at most limit chunks of an ended job out of its garbage and returns their
+// deletions.
+func (j *Job) GarbageMutations(limit int) []kvstore.Mutation {
+	limit = min(limit, len(j.garbageChunks))
+	var deletions []kvstore.Mutation
+	for _, number := range j.garbageChunks[:limit] {
+		deletions = append(deletions, kvstore.Mutation{Delete: chunkKey(j.Spec.ID, number)})
 	}
-	j.garbageChunks = j.garbageChunks[n:]
-	return ops
+	j.garbageChunks = j.garbageChunks[limit:]
+	return deletions
 }
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -1,4 +1,4 @@
-// This file keeps the state of one job in memory: which tasks wait, are live or done.
+// This file holds a job and what can be asked about its progress.
 
 package jobstore
 
@@ -8,82 +8,67 @@
 	"tulipshelf/internal/job"
 )
 
-// taskState of a task.
-type taskState uint8
-
-// States of a task.
-const (
-	taskWaiting taskState = iota
-	taskLive
-	taskDone
-)
-
-// Job is an unfinished job.
+// Job is an unfinished job. Like its Store it is for the leader's event loop alone; the exported
+// fields are read only outside this package.
 type Job struct {
 	Spec        *job.Spec
-	Revision    uint64 // of its record
-	Arrival     uint64
+	Revision    uint64 // of its record, as last read or written
+	Arrival     uint64 // revision of its first record: jobs that were submitted earlier have smaller ones
 	SubmittedAt time.Time
 	Cancelled   bool
-	CancelledAt time.Time
+	CancelledAt time.Time // zero unless Cancelled
 
-	record            Record
-	tasks             []taskState
-	live              map[int]*Attempt
-	doneCount         int
-	firstMaybeWaiting int // no waiting task below it
-	chunks            map[int]*chunk
-	previousChunks    []int // numbers of the chunks of the layout before
-	garbageChunks     []int // numbers of chunks to delete after the end is recorded
+	record Record // as last read or written; the chunks in memory are divided as it says
+	tasks  taskTable
 
-	gangDispatch gangDispatchState // whether all of a gang is recorded, as its attempts are
+	chunks         map[int]*chunk // by index
+	previousChunks []int          // numbers of stored chunks from before the job was rechunked
+	garbageChunks  []int          // numbers of stored chunks to delete now that the end is recorded
 
-	unrecordedEnds map[int]uint64 // tasks whose last end is not yet recorded, with its number
-	endReadySince  time.Time      // since when its end waits to be recorded
+	// unrecordedEnds has, for each task whose last end is not recorded yet, that end's number in
+	// the order of Store.endSequence.
+	unrecordedEnds map[int]uint64
+	endReadySince  time.Time // when the end was first found to be ready; zero: not yet
+
+	gangDispatch gangDispatchState
 }
 
 // DoneTasks returns how many tasks are done.
-func (j *Job) DoneTasks() int { return j.doneCount }
+func (j *Job) DoneTasks() int { return j.tasks.done }
 
 // LiveTasks returns how many tasks have an attempt that is not proven gone.
-func (j *Job) LiveTasks() int { return len(j.live) }
+func (j *Job) LiveTasks() int { return len(j.tasks.live) }
 
-// WaitingTasks returns how many tasks wait for a machine.
+// WaitingTasks returns how many tasks wait for a machine; none of a cancelled job do.
 func (j *Job) WaitingTasks() int {
 	if j.Cancelled {
 		return 0
 	}
-	return len(j.tasks) - j.doneCount - len(j.live)
+	return j.tasks.waiting()
 }
 
-// nextWaiting returns the first waiting task at or after from, or -1.
-func (j *Job) nextWaiting(from int) int {
-	for t := max(from, j.firstMaybeWaiting); t < len(j.tasks); t++ {
-		if j.tasks[t] == taskWaiting {
-			return t
-		}
-	}
-	return -1
-}
-
-// EachAttempt calls f for each live attempt.
+// EachAttempt calls f for each live attempt, in unspecified order.
 func (j *Job) EachAttempt(f func(*Attempt)) {
-	for _, a := range j.live {
-		f(a)
+	for _, attempt := range j.tasks.live {
+		f(attempt)
 	}
 }
 
-// LiveAttempt returns the live attempt of a task, or nil.
-func (j *Job) LiveAttempt(task int) *Attempt { return j.live[task] }
-
-func (j *Job) markDone(task int) {
-	j.tasks[task] = taskDone
-	j.doneCount++
+// ResultDurable reports whether the last end of a task is recorded. It is kept for each task, as a
+// whole chunk is hardly ever clean while a large array runs: by the chunk, machines that had run
+// all of their tasks could not be returned until the array ended.
+func (j *Job) ResultDurable(task int) bool {
+	_, unrecorded := j.unrecordedEnds[task]
+	stored := j.chunks[j.chunkOf(task)]
+	return !unrecorded && stored != nil && stored.revision != 0
 }
 
-// readyToEnd tells whether a job's end can be recorded: all tasks done, or cancelled
-// and no attempt left. It is worked out anew each time: a new leader reads a
-// cancelled job before the attempts that are still live.
+// readyToEnd reports whether the end of the job can be recorded: all of its tasks are done, or it is
+// cancelled and has no live attempt. It is computed each time: a new leader reads a cancelled job
+// before the attempts that are still live.
 func (j *Job) readyToEnd() bool {
-	return j.doneCount == len(j.tasks) || j.Cancelled && len(j.live) == 0
+	if j.tasks.done == len(j.tasks.states) {
+		return true
+	}
+	return j.Cancelled && len(j.tasks.live) == 0
 }
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -101,7 +101,7 @@
 	if k.LiveTasks() != 1 || b.Job("wk-000001") == nil {
 		t.Fatalf("%d live attempts", k.LiveTasks())
 	}
-	b.EndAttempt(k.LiveAttempt(0), false, t0)
+	b.EndAttempt(k.tasks.live[0], false, t0)
 	bt := b.NextBatch(fence, 8, 8, 8<<10, t0)
 	if bt == nil || len(bt.Mutations) != 3 || bt.Mutations[0].Put != "end/wk-000001" {
 		t.Fatalf("end is not recorded: %+v", bt)
@@ -216,7 +216,7 @@
 		t.Fatalf("done %d, live %v, %v", done, live, err)
 	}
 	for _, bad := range []string{"x", "3-1", "-1", "1-", "0-999999999"} {
-		if eachInRange(bad, func(int) error { return nil }) == nil {
+		if eachInRanges(bad, func(int) error { return nil }) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -10,29 +10,31 @@
 	"tulipshelf/internal/job"
 )
 
-// Prefixes of the keys of this slice.
-const (
-	JobPrefix = "job/"
-	endPrefix = "end/"
-)
+// JobPrefix is the prefix of the keys of unfinished jobs and of their chunks.
+const JobPrefix = "job/"
+
+// endPrefix is the prefix of the keys of finished jobs.
+const endPrefix = "end/"
 
-// JobKey returns the key of an unfinished job.
+// JobKey returns the key of an unfinished job's Record.
 func JobKey(id string) string { return JobPrefix + id }
 
-// EndKey returns the key of a finished job's state.
+// EndKey returns the key of a finished job's FinalState.
 func EndKey(id string) string { return endPrefix + id }
 
-func chunkKey(id string, n int) string { return fmt.Sprintf("%s%s/%06d", JobPrefix, id, n) }
+// chunkKey returns the key of the chunk with a number.
+func chunkKey(id string, number int) string { return fmt.Sprintf("%s%s/%06d", JobPrefix, id, number) }
 
-// SplitKey takes apart a key under JobPrefix; chunk is -1 for the job itself.
+// SplitKey parses a key under JobPrefix into the job's ID and the chunk's number, which is -1 for the
+// job's own record. It reports whether the key is one.
 func SplitKey(key string) (id string, chunk int, ok bool) {
-	id, rest, found := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
+	id, chunkText, isChunk := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
 	if !job.ValidID(id) {
 		return "", 0, false
 	}
-	if !found {
+	if !isChunk {
 		return id, -1, true
 	}
-	n, err := strconv.Atoi(rest)
-	return id, n, err == nil
+	chunk, err := strconv.Atoi(chunkText)
+	return id, chunk, err == nil
 }
--- a/internal/jobstore/layout_test.go
+++ b/internal/jobstore/layout_test.go
@@ -160,7 +160,7 @@
 			}
 			commit(8<<10, t0)
 			now := t0.Add(time.Minute)
-			b.EndAttempt(j.LiveAttempt(50), false, now)
+			b.EndAttempt(j.tasks.live[50], false, now)
 			if j.StartableTasks(small) != 0 {
 				t.Fatal("it may start before there is room for it")
 			}
@@ -188,7 +188,7 @@
 				b.BatchCommitted(bt, rev)
 			case "changes meanwhile":
 				rev, _ := s.apply(bt)
-				b.EndAttempt(j.LiveAttempt(7), false, now)
+				b.EndAttempt(j.tasks.live[7], false, now)
 				b.BatchCommitted(bt, rev)
 			case "not applied":
 				b.BatchFailed(bt)
@@ -210,12 +210,12 @@
 			}
 			again := s.read(t).Job("wk-000001")
 			for task := range replicas {
-				mine, kept := j.LiveAttempt(task), again.LiveAttempt(task)
+				mine, kept := j.tasks.live[task], again.tasks.live[task]
 				if mine == nil || kept == nil || !mine.Recorded || mine.Number != kept.Number || mine.Machine != kept.Machine {
 					t.Fatalf("task %d: %+v, kept %+v", task, mine, kept)
 				}
 			}
-			b.EndAttempt(j.LiveAttempt(0), false, now)
+			b.EndAttempt(j.tasks.live[0], false, now)
 			if _, _, err := b.ApplyRecord(wire.Marshal(func() Record { r := j.record; r.CancelledMS = 1; return r }()), s.rev+1); err != nil {
 				t.Fatal(err)
 			}
@@ -254,7 +254,7 @@
 	}
 	write(8 << 10)
 	for task := range 20 {
-		b.EndAttempt(j.LiveAttempt(task), task < 10, now)
+		b.EndAttempt(j.tasks.live[task], task < 10, now)
 	}
 	now = now.Add(time.Minute)
 	write(small)
@@ -269,7 +269,7 @@
 		b.StartAttempt(j, task, b.NextAttemptNumber(1), "vm-000002", 1, now)
 	}
 	for task := range 300 {
-		if a := j.LiveAttempt(task); a != nil {
+		if a := j.tasks.live[task]; a != nil {
 			b.EndAttempt(a, true, now)
 		}
 		if task%50 == 0 {
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -1,153 +1,86 @@
-// This file applies what is read from the key-value store: records, chunks and deletions.
+// This file loads the chunks of jobs, as a new leader reads them.
 
 package jobstore
 
 import (
+	"errors"
 	"fmt"
-	"time"
-
-	"tulipshelf/internal/wire"
 )
 
-// ApplyRecord takes a job's record as read at rev. It returns the job and whether
-// it is new or newly cancelled.
-func (b *Store) ApplyRecord(value []byte, rev uint64) (*Job, bool, error) {
-	rec, err := DecodeRecord(value)
+// ErrNoJob is wrapped by errors of chunks without a record of their job.
+var ErrNoJob = errors.New("no such job")
+
+// LoadChunk applies the value of the chunk with a number, as a new leader reads it after the record
+// of its job and in ascending order of keys. The error wraps ErrNoJob or ErrMalformed; after one the
+// Store must not be used.
+func (s *Store) LoadChunk(id string, number int, value []byte, revision uint64) error {
+	job := s.jobs[id]
+	if job == nil {
+		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, ErrNoJob)
+	}
+	stored, err := decodeChunkValue(value)
 	if err != nil {
-		return nil, false, err
-	}
-	if _, over := b.endedIDs[rec.Spec.ID]; over {
-		return nil, false, nil // the watch is behind our own write
-	}
-	j := b.jobs[rec.Spec.ID]
-	if j != nil && rev <= j.Revision {
-		return j, false, nil
-	}
-	fresh := j == nil
-	if fresh {
-		j = &Job{Spec: rec.Spec, Arrival: rev, SubmittedAt: time.UnixMilli(rec.SubmittedMS),
-			tasks: make([]taskState, rec.Spec.Tasks), live: map[int]*Attempt{}, chunks: map[int]*chunk{}, unrecordedEnds: map[int]uint64{}}
-		b.jobs[rec.Spec.ID] = j
-	}
-	if rec.Arrival != 0 {
-		j.Arrival = rec.Arrival
+		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, err)
 	}
-	newlyCancelled := rec.CancelledMS != 0 && !j.Cancelled
-	if !fresh && rec.ChunkSize != j.record.ChunkSize {
-		b.rechunk(j, rec.ChunkSize, j.SubmittedAt) // an unanswered write of ours was applied
+	tasks := job.addStoredChunk(number, revision)
+	job.gangDispatch = gangDispatchUnknown
+	if err := job.loadTasks(tasks, &stored); err != nil {
+		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, err)
 	}
-	j.record, j.Revision = rec, rev
-	if newlyCancelled {
-		j.Cancelled, j.CancelledAt = true, time.UnixMilli(rec.CancelledMS)
-		b.markDirtyIfReadyToEnd(j)
-	}
-	return j, fresh || newlyCancelled, nil
+	return nil
 }
 
-// MarkCancelled takes the word of another node that a job is cancelled, durably, and returns
-// the job if that is news. The revision of its record is learnt later: until then what is
-// written of the job meets a conflict.
-func (b *Store) MarkCancelled(id string, now time.Time) *Job {
-	j := b.jobs[id]
-	if j == nil || j.Cancelled {
-		return nil
-	}
-	j.Cancelled, j.CancelledAt = true, now
-	b.markDirtyIfReadyToEnd(j)
-	return j
+// addStoredChunk notes that the chunk with a number is stored, and returns its tasks.
+func (j *Job) addStoredChunk(number int, revision uint64) taskRange {
+	if number < j.record.FirstChunk {
+		// From before the job was rechunked. It is valid until the chunk with the same
+		// tasks that has replaced it is read.
+		j.previousChunks = append(j.previousChunks, number)
+		return j.tasks.slice(number, j.record.PreviousChunkSize)
+	}
+	index := number - j.record.FirstChunk
+	j.chunks[index] = &chunk{index: index, revision: revision}
+	return j.chunkTasks(index)
 }
 
-// LoadChunk takes a chunk's value as a new leader reads it.
-func (b *Store) LoadChunk(id string, n int, value []byte, rev uint64) error {
-	j := b.jobs[id]
-	if j == nil {
-		return fmt.Errorf("jobstore: chunk %s/%d without a job", id, n)
-	}
-	var v chunkValue
-	if err := wire.Unmarshal(value, &v); err != nil {
-		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, n, err)
-	}
-	size := j.record.ChunkSize
-	first := (n - j.record.FirstChunk) * size
-	if n >= j.record.FirstChunk {
-		n -= j.record.FirstChunk
-		j.chunks[n] = &chunk{index: n, revision: rev}
-	} else {
-		size = j.record.PreviousChunkSize // it stands until the one of the new layout is read
-		first = n * size
-		j.previousChunks = append(j.previousChunks, n)
-	}
-	last := min(first+size, len(j.tasks))
-	for t := first; t < last; t++ {
-		if j.tasks[t] == taskDone {
-			j.doneCount--
-		}
-		j.tasks[t] = taskWaiting
-		delete(j.live, t)
-	}
-	j.gangDispatch = gangDispatchUnknown
-	err := eachInRange(v.Done, func(i int) error {
-		if first+i >= last {
-			return fmt.Errorf("jobstore: chunk %s/%d: task out of range", id, n)
+// loadTasks replaces the states of a chunk's tasks by those in its value. The error wraps
+// ErrMalformed.
+func (j *Job) loadTasks(tasks taskRange, stored *chunkValue) error {
+	j.tasks.reset(tasks)
+	err := eachInRanges(stored.Done, func(offset int) error {
+		task := tasks.first + offset
+		if task >= tasks.end {
+			return fmt.Errorf("%w: task %d is out of range", ErrMalformed, task)
 		}
-		if j.tasks[first+i] != taskDone {
-			j.tasks[first+i] = taskDone
-			j.doneCount++
+		if j.tasks.states[task] != taskDone {
+			j.tasks.markDone(task)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	for _, a := range v.Live {
-		if a.Task < first || a.Task >= last || j.tasks[a.Task] != taskWaiting {
-			return fmt.Errorf("jobstore: chunk %s/%d: attempt of task %d", id, n, a.Task)
+	for _, a := range stored.Live {
+		inRange := tasks.first <= a.Task && a.Task < tasks.end
+		if !inRange || j.tasks.states[a.Task] != taskWaiting {
+			return fmt.Errorf("%w: attempt of task %d", ErrMalformed, a.Task)
 		}
-		j.tasks[a.Task] = taskLive
-		j.live[a.Task] = &Attempt{Job: j, Task: a.Task, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation, Recorded: true}
+		j.tasks.load(&Attempt{Job: j, Task: a.Task, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation, Recorded: true})
 	}
 	return nil
 }
 
-// FinishLoading is called once a new leader has read everything; it ends jobs of
-// which nothing is left to do.
-func (b *Store) FinishLoading() {
-	for _, j := range b.jobs {
-		if j.record.FirstChunk != 0 {
-			j.addMissingChunks(j.SubmittedAt)
-			b.dirty[j] = struct{}{}
+// FinishLoading is called once a new leader has read all records and chunks. It marks as dirty what
+// its predecessor left to be written: ends of jobs, and chunks of rechunked ones.
+func (s *Store) FinishLoading() {
+	for _, job := range s.jobs {
+		if job.record.FirstChunk != 0 {
+			job.addMissingChunks()
+			s.dirty[job] = struct{}{}
 		}
-		if j.IsGang() && j.doneCount > 0 {
-			for t, s := range j.tasks {
-				if s == taskWaiting {
-					j.markDone(t)
-				}
-			}
+		if job.gangHasCompleted() {
+			job.tasks.eachWaiting(job.tasks.markDone)
 		}
-		b.markDirtyIfReadyToEnd(j)
-	}
-}
-
-// RecordFoundDeleted drops a job whose record a read has found deleted: its end was recorded, by a
-// transaction that had no answer. The watch has yet to tell of it.
-func (b *Store) RecordFoundDeleted(id string) *Job {
-	b.endedIDs[id] = struct{}{}
-	return b.removeEnded(id)
-}
-
-// RecordDeleted drops a job of whose record's deletion the watch tells.
-func (b *Store) RecordDeleted(id string) *Job {
-	delete(b.endedIDs, id)
-	return b.removeEnded(id)
-}
-
-// removeEnded drops a job that has ended. Whether all of its chunks were deleted with it is not
-// known, so their deletion is left to OrphanOps; otherwise they stayed until another leader
-// read the records (TestLimitsLoweredUnderLoad).
-func (b *Store) removeEnded(id string) *Job {
-	j := b.remove(id)
-	if j != nil {
-		j.addChunksToGarbage()
+		s.markDirtyIfReadyToEnd(job)
 	}
-	return j
 }
--- a/internal/jobstore/outcome.go
+++ b/internal/jobstore/outcome.go
@@ -2,59 +2,86 @@
 
 package jobstore
 
-// BatchCommitted takes the news that the batch was applied at rev. It returns the
-// attempts that may now be sent and the jobs that have ended.
-func (b *Store) BatchCommitted(bt *Batch, rev uint64) (starts []*Attempt, ended []*Job) {
-	for _, w := range bt.chunks {
-		w.chunk.revision = rev
-		w.job.gangDispatch = gangDispatchUnknown
-		for _, a := range w.starts {
-			if w.job.live[a.Task] == a {
-				a.Recorded = true
-				starts = append(starts, a)
-			}
-		}
-		for t, end := range w.job.unrecordedEnds {
-			if end <= w.lastEnd && t/w.job.record.ChunkSize == w.chunk.index {
-				delete(w.job.unrecordedEnds, t)
-			}
-		}
-		b.clearDirtyIfWritten(w.job)
+// BatchCommitted applies that a batch was executed, at a revision. It returns the attempts that it has
+// recorded, whose starts may now be sent (Attempt.Dispatchable), and the jobs that have ended.
+func (s *Store) BatchCommitted(batch *Batch, revision uint64) (starts []*Attempt, ended []*Job) {
+	for _, write := range batch.chunks {
+		starts = write.recordStarts(starts)
+		write.recordEnds()
+		write.chunk.revision = revision
+		write.job.gangDispatch = gangDispatchUnknown
+		s.clearDirtyIfWritten(write.job)
 	}
-	if bt.rechunk != nil {
-		b.applyRechunk(bt.rechunk, rev)
+	if batch.rechunk != nil {
+		s.applyRechunk(batch.rechunk, revision)
 	}
-	for _, w := range bt.ends {
-		for _, n := range w.deletedChunks {
-			delete(w.job.chunks, n)
+	for _, write := range batch.ends {
+		if duplicate := s.applyEnd(write); duplicate != nil {
+			ended = append(ended, duplicate)
 		}
-		w.job.addChunksToGarbage()
-		if j := b.remove(w.job.Spec.ID); j != nil && j != w.job {
-			ended = append(ended, j)
-		}
-		delete(b.dirty, w.job)
-		b.endedIDs[w.job.Spec.ID] = struct{}{}
-		ended = append(ended, w.job)
+		ended = append(ended, write.job)
 	}
 	return starts, ended
 }
 
-// BatchFailed takes the news that the batch was not applied, or may not have been.
-// Everything in it is written again, under the same conditions: of two
-// transactions with the same condition at most one is ever applied.
-func (b *Store) BatchFailed(bt *Batch) {
-	for _, w := range bt.chunks {
-		w.chunk.dirty = true
-		w.chunk.unrecordedStarts += len(w.starts)
-		b.dirty[w.job] = struct{}{}
+// recordStarts marks the attempts as recorded whose starts the write holds, and appends those that
+// are still live to recorded.
+func (w *chunkWrite) recordStarts(recorded []*Attempt) []*Attempt {
+	for _, attempt := range w.starts {
+		if w.job.tasks.live[attempt.Task] == attempt {
+			attempt.Recorded = true
+			recorded = append(recorded, attempt)
+		}
+	}
+	return recorded
+}
+
+// recordEnds forgets the ends of attempts that the write holds. Later ones are not in it.
+func (w *chunkWrite) recordEnds() {
+	for task, end := range w.job.unrecordedEnds {
+		if end <= w.lastEnd && w.job.chunkOf(task) == w.chunk.index {
+			delete(w.job.unrecordedEnds, task)
+		}
+	}
+}
+
+// applyEnd removes a job whose end is recorded. If another object stands under its ID, as a late read
+// has brought the job back (Store.remove), it returns that one.
+func (s *Store) applyEnd(write endWrite) (duplicate *Job) {
+	ended := write.job
+	for _, index := range write.deletedChunks {
+		delete(ended.chunks, index)
+	}
+	ended.addChunksToGarbage()
+	current := s.remove(ended.Spec.ID)
+	delete(s.dirty, ended)
+	s.endedIDs[ended.Spec.ID] = struct{}{}
+	if current == ended {
+		return nil
+	}
+	return current
+}
+
+// BatchFailed applies that a batch was not executed, or that this is not known. All of it is written
+// again under the same compares: of two transactions that compare the same revision of a key and
+// change it at most one is ever executed.
+func (s *Store) BatchFailed(batch *Batch) {
+	for _, write := range batch.chunks {
+		write.chunk.dirty = true
+		write.chunk.unrecordedStarts += len(write.starts)
+		s.dirty[write.job] = struct{}{}
 	}
 }
 
-// SetChunkRevision takes the revision found when a chunk's condition has failed: an
-// unanswered write of ours was applied after all. Only this leader's term can
-// have written it, so memory is the newer state.
-func (b *Store) SetChunkRevision(id string, n int, rev uint64) {
-	if j := b.jobs[id]; j != nil && j.chunks[n-j.record.FirstChunk] != nil {
-		j.chunks[n-j.record.FirstChunk].revision = rev
+// SetChunkRevision applies the revision of a chunk's key that was found when its compare had failed,
+// because an unanswered batch was executed after all. Only the leader of this term can have written
+// it, so the state in memory is the newer one.
+func (s *Store) SetChunkRevision(id string, number int, revision uint64) {
+	job := s.jobs[id]
+	if job == nil {
+		return
+	}
+	if stored := job.chunks[number-job.record.FirstChunk]; stored != nil {
+		stored.revision = revision
 	}
 }
--- a/internal/jobstore/rechunk.go
+++ b/internal/jobstore/rechunk.go
@@ -1,96 +1,115 @@
-// This file divides the tasks of a job into smaller chunks once its values have become too large.
+// This file rechunks a job: it divides its tasks into smaller chunks once the key-value store takes
+// only smaller values than those for which the chunks were made.
+//
+// Otherwise such a chunk could be written again only once most of its tasks had ended: a lost replica
+// of a service would never start again, and most tasks of a large array would wait for minutes
+// while machines have room.
+//
+// Only the job's record is written for that. The new chunks have numbers beyond those of the old ones
+// and are written as any other that has changed; until one is, the old ones stay valid for its
+// tasks (Store.LoadChunk). A job is rechunked once at most.
 
 package jobstore
 
 import (
-	"time"
-
-	"tulipshelf/internal/job"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
-// rechunkedFirstChunk is where the numbers of a job's chunks begin once it is laid out anew: beyond
-// those of any layout before.
-const rechunkedFirstChunk = job.MaxTasks
-
-// rechunkWrite is a job's record with a new layout.
+// rechunkWrite is the batch that rechunks a job.
 type rechunkWrite struct {
 	job    *Job
-	record Record
+	record Record // with the new size of chunks
 }
 
-// nextRechunk returns a transaction that lays out a job for smaller values, if there is one
-// with a chunk that is to be written and is too large. Only the record is written: the
-// chunks of the new layout have numbers of their own and are written like any other that
-// has changed, and until one is, what the old ones say of its tasks stands (PutChunk).
-//
-// It guards against jobs that were laid out for larger values than the state service takes
-// by now: a chunk of theirs could be written again only once most of its tasks had ended. A
-// replica that was lost would never start again, and of a large array most tasks waited
-// for minutes while machines had room (an upgrade day of our own on omaruru-fares-next).
-func (b *Store) nextRechunk(fence kvstore.Compare, maxOps, valueBytes int) *Batch {
-	size := TasksPerChunk(valueBytes)
-	var next *Job
-	for j := range b.dirty {
-		if j.record.ChunkSize > size && j.record.FirstChunk == 0 && !j.Cancelled && !j.readyToEnd() && j.hasOversizedChunk(valueBytes) &&
-			(next == nil || j.Arrival < next.Arrival) {
-			next = j
-		}
-	}
-	if next == nil || maxOps < 1 {
+// nextRechunk returns a batch that rechunks the job that arrived first of those that need it, or nil.
+func (s *Store) nextRechunk(fence kvstore.Compare, limits batchLimits) *Batch {
+	job := s.firstToRechunk(limits.valueBytes)
+	if job == nil || limits.mutations < 1 {
 		return nil
 	}
-	w := &rechunkWrite{job: next, record: next.record}
-	w.record.ChunkSize, w.record.FirstChunk, w.record.PreviousChunkSize, w.record.Arrival = size, rechunkedFirstChunk, next.record.ChunkSize, next.Arrival
-	key := JobKey(next.Spec.ID)
+	write := &rechunkWrite{job: job, record: job.record}
+	write.record.ChunkSize = TasksPerChunk(limits.valueBytes)
+	write.record.FirstChunk = rechunkedFirstChunk
+	write.record.PreviousChunkSize = job.record.ChunkSize
+	write.record.Arrival = job.Arrival
+	key := JobKey(job.Spec.ID)
 	return &Batch{
-		Compares:  []kvstore.Compare{fence, {Key: key, Revision: next.Revision}},
-		Mutations: []kvstore.Mutation{{Put: key, Value: wire.Marshal(w.record)}},
-		rechunk:   w,
+		Compares:  []kvstore.Compare{fence, {Key: key, Revision: job.Revision}},
+		Mutations: []kvstore.Mutation{{Put: key, Value: wire.Marshal(write.record)}},
+		rechunk:   write,
+	}
+}
+
+// firstToRechunk returns the job that arrived first of those that need to be rechunked, or nil.
+func (s *Store) firstToRechunk(valueBytes int) *Job {
+	var first *Job
+	for job := range s.dirty {
+		if !job.needsRechunk(valueBytes) {
+			continue
+		}
+		if first == nil || job.Arrival < first.Arrival {
+			first = job
+		}
+	}
+	return first
+}
+
+// needsRechunk reports whether a chunk that is to be written exceeds valueBytes and smaller chunks
+// would help.
+func (j *Job) needsRechunk(valueBytes int) bool {
+	wasRechunked := j.record.FirstChunk != 0
+	if wasRechunked || j.record.ChunkSize <= TasksPerChunk(valueBytes) {
+		return false
 	}
+	if j.Cancelled || j.readyToEnd() {
+		return false
+	}
+	return j.hasOversizedChunk(valueBytes)
 }
 
+// hasOversizedChunk reports whether the value of a dirty chunk exceeds valueBytes.
 func (j *Job) hasOversizedChunk(valueBytes int) bool {
-	for n, c := range j.chunks {
-		if c.dirty && j.chunkValue(n).jsonBytes() > valueBytes {
+	for index, c := range j.chunks {
+		if c.dirty && j.chunkValue(index).jsonBytes() > valueBytes {
 			return true
 		}
 	}
 	return false
 }
 
-// rechunk takes a new layout, of which no chunk is known to be written yet.
-func (b *Store) rechunk(j *Job, size int, since time.Time) {
-	for n := range j.chunks {
-		j.previousChunks = append(j.previousChunks, n)
-	}
-	j.record.ChunkSize = size
-	j.chunks = map[int]*chunk{}
-	j.addMissingChunks(since)
-	for _, a := range j.live {
-		if !a.Recorded {
-			j.chunks[a.Task/size].unrecordedStarts++
-		}
+// applyRechunk applies that a batch has rechunked a job, at a revision.
+func (s *Store) applyRechunk(write *rechunkWrite, revision uint64) {
+	job := write.job
+	if job.Revision >= revision {
+		return // the watch has reported it first
 	}
-	b.dirty[j] = struct{}{}
+	s.rechunk(job, write.record.ChunkSize)
+	job.record, job.Revision = write.record, revision
 }
 
-// addMissingChunks sees to it that every chunk is written.
-func (j *Job) addMissingChunks(since time.Time) {
-	for n := range (len(j.tasks) + j.record.ChunkSize - 1) / j.record.ChunkSize {
-		if j.chunks[n] == nil {
-			j.chunks[n] = &chunk{index: n, dirty: true, dirtySince: since}
+// rechunk divides a job into chunks of chunkSize tasks, none of which is known to be stored yet.
+func (s *Store) rechunk(job *Job, chunkSize int) {
+	for index := range job.chunks {
+		job.previousChunks = append(job.previousChunks, index)
+	}
+	job.record.ChunkSize = chunkSize
+	job.chunks = map[int]*chunk{}
+	job.addMissingChunks()
+	for _, attempt := range job.tasks.live {
+		if !attempt.Recorded {
+			job.chunks[job.chunkOf(attempt.Task)].unrecordedStarts++
 		}
 	}
+	s.dirty[job] = struct{}{}
 }
 
-// applyRechunk takes the news that a layout was written at rev.
-func (b *Store) applyRechunk(w *rechunkWrite, rev uint64) {
-	j := w.job
-	if j.Revision >= rev {
-		return // the watch was first
+// addMissingChunks adds the chunks that are not known to be stored, as dirty since the job was
+// submitted.
+func (j *Job) addMissingChunks() {
+	for index := range j.chunkCount() {
+		if j.chunks[index] == nil {
+			j.chunks[index] = &chunk{index: index, dirty: true, dirtySince: j.SubmittedAt}
+		}
 	}
-	b.rechunk(j, w.record.ChunkSize, j.SubmittedAt)
-	j.record, j.Revision = w.record, rev
 }
