--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -240,8 +240,8 @@
 		}
 	})
 	l.jobs.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
-	starts, chunks, ends := l.jobs.Backlog()
-	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
+	backlog := l.jobs.Backlog()
+	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
 	slog.Debug("fleet", "machines", all, "spot", spot, "up", up, "empty", empty, "cpus", cpus, "free", free, "waiting", waiting, "rent", d.ScaleOut, "return", len(d.ScaleIn))
 }
 
--- a/internal/controller/write.go
+++ b/internal/controller/write.go
@@ -163,8 +163,9 @@
 		}
 		l.post(func() {
 			l.writing = false
-			l.jobs.RenumberUnrecorded(l.term.Number(), func(a *jobstore.Attempt, was uint64) {
-				l.machine(a.Machine, time.Now()).Renumber(a, was)
+			l.jobs.RenumberUnrecorded(l.term.Number(), func(renumbered jobstore.Renumbered) {
+				attempt := renumbered.Attempt
+				l.machine(attempt.Machine, time.Now()).Renumber(attempt, renumbered.PreviousNumber)
 			})
 		})
 	})
--- a/internal/jobstore/backlog.go
+++ b/internal/jobstore/backlog.go
@@ -2,17 +2,26 @@
 
 package jobstore
 
-// Backlog returns how many starts wait to be written and in how many chunks, and how many ends of jobs.
-func (s *Store) Backlog() (starts, chunks, ends int) {
+// Backlog counts the changes that wait to be written.
+type Backlog struct {
+	Starts      int // of attempts
+	StartChunks int // chunks with such starts
+	Ends        int // of jobs
+}
+
+// Backlog counts the changes that wait to be written. Starts in a batch in flight count among
+// Starts, but their chunks do not.
+func (s *Store) Backlog() Backlog {
+	var backlog Backlog
 	for job := range s.dirty {
 		if job.readyToEnd() {
-			ends++
+			backlog.Ends++
 			continue
 		}
-		chunks += job.chunksWithStarts()
-		starts += job.unrecordedStarts()
+		backlog.StartChunks += job.chunksWithStarts()
+		backlog.Starts += job.unrecordedStarts()
 	}
-	return starts, chunks, ends
+	return backlog
 }
 
 // chunksWithStarts returns how many chunks have starts that no batch holds.
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -326,9 +326,9 @@
 	try := b.NextAttemptNumber(1)
 	one, two := b.StartAttempt(j, 1, try, "vm-1", 1, t0), b.StartAttempt(j, 2, try, "vm-2", 1, t0)
 	told := 0
-	b.RenumberUnrecorded(5, func(a *Attempt, was uint64) {
-		if told++; was != try {
-			t.Errorf("number was %d, told %d", was, try)
+	b.RenumberUnrecorded(5, func(r Renumbered) {
+		if told++; r.PreviousNumber != try {
+			t.Errorf("number was %d, told %d", r.PreviousNumber, try)
 		}
 	})
 	if told != 2 || one.ID().Term() != 5 || one.Number != two.Number || recorded.ID().Term() != 1 {
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -21,11 +21,17 @@
 	return attempt
 }
 
+// Renumbered is an attempt that has a new number.
+type Renumbered struct {
+	Attempt        *Attempt // with its new number
+	PreviousNumber uint64
+}
+
 // RenumberUnrecorded gives the attempts that are not recorded, and so were never sent, numbers of
 // a new term, and calls onRenumbered for each. Starts that wait to be written while the leader
 // advances its term would never be sent under their old numbers, and would hold resources until
 // that is noticed (docs/incidents/inc-bc39.md).
-func (s *Store) RenumberUnrecorded(term uint64, onRenumbered func(attempt *Attempt, previous uint64)) {
+func (s *Store) RenumberUnrecorded(term uint64, onRenumbered func(Renumbered)) {
 	for job := range s.dirty {
 		job.gangDispatch = gangDispatchUnknown
 		newNumbers := map[uint64]uint64{} // by the old one, which members of a gang share
@@ -38,7 +44,7 @@
 				newNumbers[previous] = s.NextAttemptNumber(term)
 			}
 			attempt.Number = newNumbers[previous]
-			onRenumbered(attempt, previous)
+			onRenumbered(Renumbered{attempt, previous})
 		}
 	}
 }
