--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -118,8 +118,8 @@
 
 func (b *batchBuilder) mutationsLeft() int { return b.limits.mutations - len(b.batch.Mutations) }
 
-// addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A chunk
-// whose value is too large is left out: it fits once enough of its tasks have ended.
+// addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A
+// chunk whose value is too large is left out: it fits once enough of its tasks have ended.
 func (b *batchBuilder) addChunk(job *Job, c *chunk) bool {
 	value := job.chunkValue(c.index)
 	if value.jsonBytes() > b.limits.valueBytes {
--- a/internal/jobstore/outcome.go
+++ b/internal/jobstore/outcome.go
@@ -2,8 +2,9 @@
 
 package jobstore
 
-// BatchCommitted applies that a batch was executed, at a revision. It returns the attempts that it has
-// recorded, whose starts may now be sent (Attempt.Dispatchable), and the jobs that have ended.
+// BatchCommitted applies that a batch was executed, at a revision. It returns the attempts that
+// it has recorded, whose starts may now be sent (Attempt.Dispatchable), and the jobs that have
+// ended.
 func (s *Store) BatchCommitted(batch *Batch, revision uint64) (starts []*Attempt, ended []*Job) {
 	for _, write := range batch.chunks {
 		starts = write.recordStarts(starts)
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -2,9 +2,9 @@
 // copy in memory, and the batches of conditional writes that make it durable.
 //
 // It does no input or output of its own. The leader's event loop feeds a Store with what it reads
-// from the key-value store (Store.ApplyRecord, Store.LoadChunk), starts and ends attempts, which marks
-// chunks of tasks as dirty, takes one batch at a time (Store.NextBatch) and reports its outcome
-// (Store.BatchCommitted, Store.BatchFailed).
+// from the key-value store (Store.ApplyRecord, Store.LoadChunk), starts and ends attempts, which
+// marks chunks of tasks as dirty, takes one batch at a time (Store.NextBatch) and reports its
+// outcome (Store.BatchCommitted, Store.BatchFailed).
 //
 // Keys, whose use of the store's write rate docs/records.md explains:
 //
