--- /dev/null
+++ b/internal/jobstore/batch_test.go
@@ -0,0 +1,308 @@
+package jobstore
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/wire"
+)
+
+// A start that a deposed leader records, or one of a cancelled job, would run beside another or
+// against its user's will: it is written under the compares of the term, of the job's record as
+// known, which a cancellation changes, and of the chunk's last revision.
+func TestStartIsConditional(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 6, 10)
+	attempt := store.StartAttempt(j, 5, store.NextAttemptNumber(3), "vm-1", 2, startTime)
+	batch := nextBatch(store, startTime)
+	if !hasCompare(batch, fence.Key, 7) || !hasCompare(batch, "job/wk-000001", 10) || !hasCompare(batch, "job/wk-000001/000001", 0) {
+		t.Fatalf("compares %v", batch.Compares)
+	}
+	if attempt.Recorded {
+		t.Fatal("recorded before the batch was committed")
+	}
+	if attempt.ID().Term() != 3 {
+		t.Fatalf("attempt of term %d", attempt.ID().Term())
+	}
+	store.BatchFailed(batch)
+	if again := nextBatch(store, startTime); again == nil || !hasCompare(again, "job/wk-000001/000001", 0) {
+		t.Fatal("a start whose write failed is not written again under the same compare")
+	}
+}
+
+// A batch that was executed without an answer must not hold up its chunk for ever: once the
+// revision is read the chunk is written again.
+func TestUnansweredWriteDoesNotBlockChunk(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 4, 10)
+	attempt := start(store, j, 0, startTime)
+	store.BatchFailed(nextBatch(store, startTime))
+	store.SetChunkRevision(testID, 0, 11)
+	store.SetChunkRevision(testID, 3, 11)      // no such chunk
+	store.SetChunkRevision("wk-000009", 0, 11) // no such job
+	batch := nextBatch(store, startTime)
+	if batch == nil || !hasCompare(batch, "job/wk-000001/000000", 11) {
+		t.Fatalf("not written again: %+v", batch)
+	}
+	if starts, _ := store.BatchCommitted(batch, 12); len(starts) != 1 || starts[0] != attempt {
+		t.Errorf("recorded: %v", starts)
+	}
+}
+
+// An end that is written without its job's record, or without the compare of its revision, could be
+// taken back.
+func TestEndIsOneTransaction(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 1, 10)
+	attempt := startRecorded(t, store, j, 0, 11)
+	store.EndAttempt(attempt, true, startTime)
+	batch := nextBatch(store, startTime)
+	if batch == nil || !hasCompare(batch, "job/wk-000001", 10) {
+		t.Fatal("end is not conditional on the job as known")
+	}
+	var final FinalState
+	if err := wire.Unmarshal(batch.Mutations[0].Value, &final); err != nil || final.Status != StatusDone {
+		t.Fatalf("%+v %v", final, err)
+	}
+	_, ended := store.BatchCommitted(batch, 12)
+	if len(ended) != 1 || store.Len() != 0 {
+		t.Fatal("job has not ended")
+	}
+	// The watch is behind and reports the job's own record once more.
+	again, news, err := store.ApplyRecord(arrayRecord(testID, 1, false), 10)
+	if err != nil || news {
+		t.Fatalf("news %v, %v", news, err)
+	}
+	if again != nil {
+		t.Fatal("an ended job comes back")
+	}
+}
+
+// The deletion of an ended job's chunks must not hold up other changes: with no rate to spare it
+// is left for later.
+func TestChunkDeletionsDoNotHoldUpEnds(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 1, 10)
+	store.EndAttempt(startRecorded(t, store, j, 0, 11), true, startTime)
+	batch := store.NextBatch(fence, 8, 1, largeValue, startTime)
+	if batch == nil || len(batch.Mutations) != 2 {
+		t.Fatalf("%+v", batch)
+	}
+	if _, ended := store.BatchCommitted(batch, 12); len(ended) != 1 {
+		t.Fatal("job has not ended")
+	}
+	if deletions := j.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
+		t.Errorf("left to delete: %+v", deletions)
+	}
+	if deletions := j.GarbageMutations(8); len(deletions) != 0 {
+		t.Errorf("deleted twice: %+v", deletions)
+	}
+}
+
+// The largest job's records respect the limits on values and transactions.
+func TestLargestJobStaysWithinTransactionLimits(t *testing.T) {
+	store := New()
+	record := Record{Spec: testSpec(testID, job.Array, job.MaxTasks), ChunkSize: TasksPerChunk(largeValue)}
+	j := mustApply(t, store, wire.Marshal(record), 1)
+	for task := range 1000 {
+		store.StartAttempt(j, task, store.NextAttemptNumber(1<<20), "vm-000000001", 1<<30, startTime)
+	}
+	revision := uint64(1)
+	for batch := nextBatch(store, startTime); batch != nil; batch = nextBatch(store, startTime) {
+		revision++
+		if len(batch.Mutations) > 8 || len(batch.Compares) > 32 {
+			t.Fatalf("%d mutations, %d compares", len(batch.Mutations), len(batch.Compares))
+		}
+		checkValueSizes(t, batch, largeValue)
+		size := 0
+		for _, mutation := range batch.Mutations {
+			size += len(mutation.Value)
+		}
+		if size > 60<<10 {
+			t.Fatalf("transaction of %d bytes", size)
+		}
+		store.BatchCommitted(batch, revision)
+	}
+	recorded := 0
+	j.EachAttempt(func(attempt *Attempt) {
+		if attempt.Recorded {
+			recorded++
+		}
+	})
+	if recorded != 1000 {
+		t.Fatalf("%d starts recorded", recorded)
+	}
+}
+
+// A machine whose tasks' results are durable may be returned, whatever else goes on in their
+// chunks; an end that comes while a write is in flight is not in it, so its result would be lost.
+func TestResultIsDurableByTask(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 3, 10)
+	first, second := startRecorded(t, store, j, 0, 11), startRecorded(t, store, j, 1, 12)
+	mustBatch := func() *Batch {
+		batch := nextBatch(store, startTime.Add(time.Minute))
+		if batch == nil {
+			t.Fatal("nothing to write")
+		}
+		return batch
+	}
+	store.EndAttempt(first, true, startTime)
+	batch := mustBatch()
+	store.EndAttempt(second, true, startTime)
+	if j.ResultDurable(0) {
+		t.Error("durable before the write is answered")
+	}
+	store.BatchCommitted(batch, 13)
+	if !j.ResultDurable(0) || j.ResultDurable(1) {
+		t.Errorf("durable: %v %v, want only the first", j.ResultDurable(0), j.ResultDurable(1))
+	}
+	batch = mustBatch()
+	store.BatchFailed(batch)
+	if j.ResultDurable(1) {
+		t.Error("durable though the write failed")
+	}
+	store.BatchCommitted(mustBatch(), 14)
+	if !j.ResultDurable(1) {
+		t.Error("second not durable in the end")
+	}
+}
+
+// A large array of which something changes all the time must not hold up the jobs that came after
+// it: what has waited longest, counted for each start, is written first.
+func TestLargeArrayDoesNotHoldUpSmallJobs(t *testing.T) {
+	store := New()
+	large, small := addArray(t, store, "wk-000001", 100, 10), addArray(t, store, "wk-000002", 1, 11)
+	for task := range 4 {
+		start(store, large, task, startTime)
+	}
+	start(store, small, 0, startTime.Add(time.Second))
+	for i := range 4 {
+		start(store, large, 4+4*i, startTime.Add(2*time.Second))
+	}
+	for i, want := range []string{"job/wk-000001/000000", "job/wk-000002/000000", "job/wk-000001/000001"} {
+		batch := store.NextBatch(fence, 1, 1, largeValue, startTime.Add(2*time.Second))
+		if batch == nil || batch.Mutations[0].Put != want {
+			t.Fatalf("write %d: %+v, want %s", i, batch, want)
+		}
+		store.BatchCommitted(batch, uint64(20+i))
+	}
+}
+
+// Many small jobs must not hold up the starts of a large one, of which one change records many.
+func TestSmallJobsDoNotHoldUpLargeArray(t *testing.T) {
+	store := New()
+	for i := range 6 {
+		small := addArray(t, store, fmt.Sprintf("wk-%06d", 10+i), 1, uint64(10+i))
+		start(store, small, 0, startTime)
+	}
+	large := addArray(t, store, "wk-000002", 100, 30)
+	for task := range 4 {
+		start(store, large, task, startTime.Add(2*time.Second))
+	}
+	batch := store.NextBatch(fence, 1, 1, largeValue, startTime.Add(5*time.Second))
+	if batch == nil || batch.Mutations[0].Put != "job/wk-000002/000000" {
+		t.Fatalf("four starts that waited for 3 s are behind one that waited for 5 s: %+v", batch)
+	}
+}
+
+// The end of a cancelled job waits for what is more urgent, but not for ever: with maxDeferral it
+// gets its turn among completions that have waited as long, two changes at once.
+func TestEndOfCancelledJobIsNotStarved(t *testing.T) {
+	store := New()
+	large := addArray(t, store, "wk-000002", 400, 10)
+	for i := range 100 {
+		// A completion in each chunk.
+		attempt := startRecorded(t, store, large, 4*i, uint64(20+i))
+		store.EndAttempt(attempt, true, startTime.Add(time.Duration(i+1)*100*time.Millisecond))
+	}
+	cancelled := addArray(t, store, "wk-000001", 1, 11)
+	store.MarkCancelled("wk-000001", startTime)
+	for second := range 40 {
+		now := startTime.Add(time.Duration(second) * time.Second)
+		batch := store.NextBatch(fence, 2, 0, largeValue, now) // two changes at a time, and none to spare
+		if batch == nil {
+			continue
+		}
+		_, ended := store.BatchCommitted(batch, uint64(1000+second))
+		if len(ended) == 0 {
+			continue
+		}
+		waited := now.Sub(startTime)
+		if ended[0] != cancelled || waited < maxDeferral || waited > maxDeferral+5*time.Second {
+			t.Errorf("%s recorded after %v", ended[0].Spec.ID, waited)
+		}
+		return
+	}
+	t.Error("not recorded")
+}
+
+// A change that is written out of its turn holds up users who wait. The order is: the end of a
+// job that is done, starts, what is overdue, the ends of cancelled jobs, what can wait; with no
+// rate to spare only the first three are written.
+func TestChangesAreWrittenByUrgency(t *testing.T) {
+	store := New()
+	ended := addArray(t, store, "wk-000001", 1, 14)
+	completed := addArray(t, store, "wk-000003", 12, 12)
+	last := startRecorded(t, store, ended, 0, 20)
+	overdue := startRecorded(t, store, completed, 0, 21)
+	due := startRecorded(t, store, completed, 4, 22)
+	notDue := startRecorded(t, store, completed, 8, 23)
+	now := startTime.Add(maxDeferral)
+	store.EndAttempt(last, true, now)
+	store.EndAttempt(overdue, true, startTime)
+	store.EndAttempt(due, true, now.Add(-deferral))
+	store.EndAttempt(notDue, true, now.Add(-deferral+1))
+	start(store, addArray(t, store, "wk-000002", 4, 13), 0, now)
+	addCancelledArray(t, store, "wk-000004", 1, 11)
+
+	urgent := []string{"put end/wk-000001", "delete job/wk-000001", "put job/wk-000002/000000", "put job/wk-000003/000000"}
+	batch := store.NextBatch(fence, 9, 0, largeValue, now)
+	if got := describeMutations(batch); !slices.Equal(got, urgent) {
+		t.Errorf("none to spare: %q, want %q", got, urgent)
+	}
+	store.BatchFailed(batch)
+	all := []string{"put end/wk-000001", "delete job/wk-000001", "delete job/wk-000001/000000", "put job/wk-000002/000000",
+		"put job/wk-000003/000000", "put end/wk-000004", "delete job/wk-000004", "put job/wk-000003/000001"}
+	batch = store.NextBatch(fence, 9, 9, largeValue, now)
+	if got := describeMutations(batch); !slices.Equal(got, all) {
+		t.Errorf("enough to spare: %q, want %q", got, all)
+	}
+}
+
+func describeMutations(batch *Batch) []string {
+	var lines []string
+	for _, mutation := range batch.Mutations {
+		if mutation.Put != "" {
+			lines = append(lines, "put "+mutation.Put)
+		} else {
+			lines = append(lines, "delete "+mutation.Delete)
+		}
+	}
+	return lines
+}
+
+// The backlog sizes the write rate that is asked for: it must count what is not durable, also
+// while it is in flight.
+func TestBacklog(t *testing.T) {
+	store := New()
+	j := addArray(t, store, "wk-000001", 8, 10)
+	start(store, j, 0, startTime)
+	start(store, j, 1, startTime)
+	start(store, j, 4, startTime)
+	addCancelledArray(t, store, "wk-000002", 1, 11)
+	if got, want := store.Backlog(), (Backlog{Starts: 3, StartChunks: 2, Ends: 1}); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	batch := nextBatch(store, startTime)
+	if got, want := store.Backlog(), (Backlog{Starts: 3, StartChunks: 0, Ends: 1}); got != want {
+		t.Errorf("in flight: %+v, want %+v", got, want)
+	}
+	store.BatchCommitted(batch, 12)
+	if got := store.Backlog(); got != (Backlog{}) {
+		t.Errorf("after it was committed: %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/jobstore/codec_test.go
@@ -0,0 +1,221 @@
+package jobstore
+
+import (
+	"errors"
+	"maps"
+	"slices"
+	"testing"
+
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/wire"
+)
+
+// Older versions read and write the same values: their encodings must not change by a byte.
+func TestEncodingsStayAsOlderVersionsReadThem(t *testing.T) {
+	attempt := attemptValue{Task: 6, Number: 1<<24 | 2, Machine: "vm-1", Incarnation: 7}
+	firstRecord := Record{Spec: testSpec(testID, job.Array, 3), SubmittedMS: 1, ChunkSize: 4}
+	for _, test := range []struct {
+		name  string
+		value any
+		want  string
+	}{
+		{"record", firstRecord, "\xa3dspec\xb4cuidiwk-000001dlane`dcrew`eshapeearraydrankhstandard" +
+			"gtickets\x03dcpus\xfb?\xf0\x00\x00\x00\x00\x00\x00dgpus\xfb\x00\x00\x00\x00\x00\x00\x00\x00" +
+			"fram_gb\xfb\x00\x00\x00\x00\x00\x00\x00\x00fbundle`himage_gb\xfb\x00\x00\x00\x00\x00\x00\x00\x00" +
+			"fbuilds\xf6edepot`jsame_place\xf4eapart\xf4gloaners\xf4hexpect_s\xfb\x00\x00\x00\x00\x00\x00\x00\x00" +
+			"mstash_every_s\xfb\x00\x00\x00\x00\x00\x00\x00\x00gstash_s\xfb\x00\x00\x00\x00\x00\x00\x00\x00" +
+			"edue_s\xfb\x00\x00\x00\x00\x00\x00\x00\x00eat_ms\x01echunk\x04"},
+		{"final state", FinalState{Status: StatusCancelled, Tasks: 3}, "\xa2fstatusiwithdrawnetasks\x03"},
+		{"chunk", chunkValue{Done: "0-5,9", Live: []attemptValue{attempt}},
+			"\xa2ddonee0-5,9dlive\x81\x84\x06\x1a\x01\x00\x00\x02dvm-1\a"},
+		{"chunk that is empty", chunkValue{}, "\xa2ddone`dlive\xf6"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := string(wire.Marshal(test.value)); got != test.want {
+				t.Errorf("%q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+// The names under which a job's record is stored: older versions read them.
+func TestRecordFieldNames(t *testing.T) {
+	var fields map[string]any
+	full := Record{Spec: &job.Spec{}, SubmittedMS: 1, Arrival: 2, CancelledMS: 3, ChunkSize: 4, FirstChunk: 5, PreviousChunkSize: 6}
+	if err := wire.Unmarshal(wire.Marshal(full), &fields); err != nil {
+		t.Fatal(err)
+	}
+	want := []string{"arrival", "at_ms", "base", "cancelled_ms", "chunk", "spec", "was"}
+	if got := slices.Sorted(maps.Keys(fields)); !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+}
+
+func TestMalformedRecordIsRefused(t *testing.T) {
+	spec := testSpec(testID, job.Array, 1)
+	for name, value := range map[string][]byte{
+		"empty":          nil,
+		"not a map":      {0x01},
+		"no description": wire.Marshal(Record{ChunkSize: 4}),
+		"no chunk size":  wire.Marshal(Record{Spec: spec}),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := DecodeRecord(value); !errors.Is(err, ErrMalformed) {
+				t.Errorf("decoded with %v", err)
+			}
+			if _, _, err := New().ApplyRecord(value, 1); !errors.Is(err, ErrMalformed) {
+				t.Errorf("applied with %v", err)
+			}
+		})
+	}
+	if _, _, err := DecodeRecordSummary([]byte{0x01}); !errors.Is(err, ErrMalformed) {
+		t.Errorf("summary decoded with %v", err)
+	}
+	if _, _, err := DecodeChunk(testID, []byte{0x01}); !errors.Is(err, ErrMalformed) {
+		t.Errorf("chunk decoded with %v", err)
+	}
+}
+
+// Users are answered from summaries: a rechunked job's old chunks must not count.
+func TestRecordSummaryHasFirstValidChunk(t *testing.T) {
+	record := Record{Spec: testSpec(testID, job.Array, 1), CancelledMS: 1, ChunkSize: 4, FirstChunk: rechunkedFirstChunk}
+	cancelled, firstChunk, err := DecodeRecordSummary(wire.Marshal(record))
+	if err != nil || !cancelled || firstChunk != rechunkedFirstChunk {
+		t.Errorf("cancelled %v, first chunk %d, %v", cancelled, firstChunk, err)
+	}
+}
+
+func TestChunkValueHasDoneTasksAndLiveAttempts(t *testing.T) {
+	store := New()
+	j := addArray(t, store, testID, 4, 10)
+	for task := range 4 {
+		attempt := startRecorded(t, store, j, task, uint64(11+task))
+		if task != 1 {
+			store.EndAttempt(attempt, true, startTime)
+		}
+	}
+	value := j.chunkValue(0)
+	if value.Done != "0,2-3" {
+		t.Errorf("done: %q", value.Done)
+	}
+	done, live, err := DecodeChunk(testID, wire.Marshal(value))
+	if err != nil || done != 3 || len(live) != 1 {
+		t.Fatalf("done %d, live %v, %v", done, live, err)
+	}
+	want := Location{job.AttemptID{Task: "wk-000001/1", Number: 1<<24 | 2}, "vm-000001", 1}
+	if live[0] != want {
+		t.Errorf("live %v, want %v", live[0], want)
+	}
+}
+
+func TestMalformedRangesAreRefused(t *testing.T) {
+	for _, text := range []string{"x", "3-1", "-1", "1-", "0-999999999", "1,", ",", "1-2-3", "0x1"} {
+		err := eachInRanges(text, func(int) error { return nil })
+		if !errors.Is(err, ErrMalformed) {
+			t.Errorf("%q is read with %v", text, err)
+		}
+	}
+}
+
+func TestRangesAreReadInOrder(t *testing.T) {
+	for text, want := range map[string][]int{"": nil, "0": {0}, "0-2,9": {0, 1, 2, 9}, "100000": {job.MaxTasks}} {
+		var numbers []int
+		err := eachInRanges(text, func(number int) error { numbers = append(numbers, number); return nil })
+		if err != nil || !slices.Equal(numbers, want) {
+			t.Errorf("%q: %v, %v", text, numbers, err)
+		}
+	}
+	stop := errors.New("stop")
+	visits := 0
+	err := eachInRanges("0-9", func(int) error { visits++; return stop })
+	if err != stop || visits != 1 {
+		t.Errorf("%d visits, %v", visits, err)
+	}
+}
+
+// What a chunk's ranges are written from is read from them again.
+func FuzzRangesRoundTrip(f *testing.F) {
+	f.Add([]byte{0b0011_1111, 0b0000_0010})
+	f.Add([]byte{})
+	f.Add([]byte{0xff, 0xff})
+	f.Fuzz(func(t *testing.T, bits []byte) {
+		j := &Job{record: Record{ChunkSize: 1 + len(bits)*8}, tasks: newTaskTable(len(bits) * 8)}
+		var want []int
+		for task := range len(bits) * 8 {
+			if bits[task/8]>>(task%8)&1 == 1 {
+				j.tasks.markDone(task)
+				want = append(want, task)
+			}
+		}
+		var got []int
+		text := j.doneRanges(j.chunkTasks(0))
+		err := eachInRanges(text, func(number int) error { got = append(got, number); return nil })
+		if err != nil || !slices.Equal(got, want) {
+			t.Errorf("%v written as %q, read as %v, %v", want, text, got, err)
+		}
+	})
+}
+
+// Whatever stands under a chunk's key, a new leader either refuses it or has consistent counts of
+// tasks.
+func FuzzLoadChunk(f *testing.F) {
+	attempt := attemptValue{Task: 6, Number: 3, Machine: "vm-1", Incarnation: 7}
+	f.Add(1, wire.Marshal(chunkValue{Done: "0-1", Live: []attemptValue{attempt}}))
+	f.Add(0, wire.Marshal(chunkValue{Done: "0,0-1"}))
+	f.Add(900, wire.Marshal(chunkValue{Live: []attemptValue{attempt}}))
+	f.Add(0, []byte{0xa0})
+	f.Fuzz(func(t *testing.T, number int, value []byte) {
+		if number < 0 || number > job.MaxTasks {
+			t.Skip("no number of a chunk")
+		}
+		store := New()
+		j := addArray(t, store, testID, 10, 1)
+		err := store.LoadChunk(testID, number, value, 2)
+		if err != nil {
+			if !errors.Is(err, ErrMalformed) {
+				t.Errorf("refused with %v", err)
+			}
+			return
+		}
+		all := taskRange{0, 10}
+		counts := []int{j.tasks.count(all, taskWaiting), j.tasks.count(all, taskLive), j.tasks.count(all, taskDone)}
+		if want := []int{j.WaitingTasks(), j.LiveTasks(), j.DoneTasks()}; !slices.Equal(counts, want) {
+			t.Errorf("tasks that wait, are live, are done: %v, counted as %v", counts, want)
+		}
+	})
+}
+
+func TestSplitKey(t *testing.T) {
+	for _, test := range []struct {
+		key, id string
+		chunk   int
+		ok      bool
+	}{
+		{JobKey(testID), testID, -1, true},
+		{chunkKey(testID, 2), testID, 2, true},
+		{chunkKey(testID, rechunkedFirstChunk), testID, rechunkedFirstChunk, true},
+		{"job/wk-1", "", 0, false},
+		{"job/wk-000001/", testID, 0, false},
+		{"job/wk-000001/x", testID, 0, false},
+		{"job/wk-000001/000001/3", testID, 0, false},
+		{EndKey(testID), "", 0, false},
+		{"", "", 0, false},
+	} {
+		id, chunk, ok := SplitKey(test.key)
+		if id != test.id || chunk != test.chunk || ok != test.ok {
+			t.Errorf("%q: %q, %d, %v", test.key, id, chunk, ok)
+		}
+	}
+	if key := chunkKey(testID, 2); key != "job/wk-000001/000002" {
+		t.Errorf("key of a chunk: %q", key)
+	}
+}
+
+// Chunks that were made for too many tasks could not be written (docs/records.md has the two sizes).
+func TestTasksPerChunk(t *testing.T) {
+	for valueBytes, want := range map[int]int{0: 1, 120: 1, 2 << 10: 35, 8 << 10: 145, 64 << 10: 1024, 1 << 20: 1024} {
+		if tasks := TasksPerChunk(valueBytes); tasks != want {
+			t.Errorf("%d tasks in %d bytes, want %d", tasks, valueBytes, want)
+		}
+	}
+}
