--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -102,26 +102,26 @@
 	return b.addChunk(c.job, c.chunk)
 }
 
-// isFullFor reports whether the batch takes neither a candidate nor any less urgent one.
-func (b *batchBuilder) isFullFor(c candidate) bool {
+// isFullFor reports whether the batch takes neither the next candidate nor any less urgent one.
+func (b *batchBuilder) isFullFor(next candidate) bool {
 	if b.mutationsLeft() <= 0 || b.bytes > maxBatchBytes {
 		return true
 	}
-	canWait := c.urgency < urgencyOverdue
+	canWait := next.urgency < urgencyOverdue
 	if canWait && len(b.batch.Mutations) >= b.limits.spareMutations {
 		return true
 	}
 	// An urgent end that does not fit any more must have the next batch, so less urgent changes
 	// must not use up the rate that it waits for.
-	return c.isEnd() && !canWait && b.mutationsLeft() < minEndMutations
+	return next.isEnd() && !canWait && b.mutationsLeft() < minEndMutations
 }
 
 func (b *batchBuilder) mutationsLeft() int { return b.limits.mutations - len(b.batch.Mutations) }
 
 // addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A
 // chunk whose value is too large is left out: it fits once enough of its tasks have ended.
-func (b *batchBuilder) addChunk(job *Job, c *chunk) bool {
-	value := job.chunkValue(c.index)
+func (b *batchBuilder) addChunk(job *Job, changed *chunk) bool {
+	value := job.chunkValue(changed.index)
 	if value.jsonBytes() > b.limits.valueBytes {
 		return true
 	}
@@ -130,17 +130,17 @@
 	if b.bytes > maxBatchBytes && len(b.batch.Mutations) > 0 {
 		return false
 	}
-	key := job.chunkKey(c.index)
-	b.compare(key, c.revision)
-	write := chunkWrite{job: job, chunk: c, lastEnd: b.lastEnd}
-	if c.unrecordedStarts > 0 {
+	key := job.chunkKey(changed.index)
+	b.compare(key, changed.revision)
+	write := chunkWrite{job: job, chunk: changed, lastEnd: b.lastEnd}
+	if changed.unrecordedStarts > 0 {
 		// A start must not be recorded once its job is cancelled.
 		b.compare(JobKey(job.Spec.ID), job.Revision)
-		write.starts = job.unrecordedAttempts(c.index)
+		write.starts = job.unrecordedAttempts(changed.index)
 	}
 	b.mutate(kvstore.Mutation{Put: key, Value: encoded})
 	b.batch.chunks = append(b.batch.chunks, write)
-	c.dirty, c.unrecordedStarts = false, 0 // changes while it is in flight set them again
+	changed.dirty, changed.unrecordedStarts = false, 0 // changes while it is in flight set them again
 	return true
 }
 
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -11,8 +11,8 @@
 // they are recorded the worker keeps reporting them, or the next leader finds them again, and no
 // answer to a user or worker relies on them.
 const (
-	deferral    = 2 * time.Second  // the least wait, after which they use what write rate is to spare
-	maxDeferral = 12 * time.Second // the wait after which they no longer give way to user requests
+	deferral    = 2 * time.Second  // the least wait; then they use what write rate is to spare
+	maxDeferral = 12 * time.Second // the wait after which they use as much of the rate as starts do
 )
 
 // urgency orders changes: the greatest is written first.
--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -1,8 +1,8 @@
 // This file divides the tasks of a job into chunks, each stored under a key of its own, and
 // builds the value of a chunk.
 //
-// A chunk has an index, its position in the job, and a number, which stands in its key and counts
-// on from Record.FirstChunk.
+// A chunk has an index, its position in the job counted from 0, and a number, which stands in its
+// key and is counted from Record.FirstChunk.
 
 package jobstore
 
--- a/internal/jobstore/ranges.go
+++ b/internal/jobstore/ranges.go
@@ -60,8 +60,8 @@
 	if err == nil && isPair {
 		last, err = strconv.Atoi(lastText)
 	}
-	inOrder := 0 <= first && first <= last && last <= job.MaxTasks
-	if err != nil || !inOrder {
+	isValid := 0 <= first && first <= last && last <= job.MaxTasks
+	if err != nil || !isValid {
 		return numberRange{}, fmt.Errorf("%w: range %q", ErrMalformed, text)
 	}
 	return numberRange{first, last}, nil
