--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -273,6 +273,21 @@
 	}
 }
 
+// An end takes two mutations. If just one is left, less urgent changes must not take it: as long
+// as there were some, the end would never be written.
+func TestEndIsNotStarvedBySingleMutations(t *testing.T) {
+	store := New()
+	for i, id := range []string{"wk-000001", "wk-000002"} {
+		j := addArray(t, store, id, 1, uint64(10+i))
+		store.EndAttempt(start(store, j, 0, startTime), true, startTime)
+	}
+	start(store, addArray(t, store, "wk-000003", 1, 12), 0, startTime)
+	batch := store.NextBatch(fence, 3, 0, largeValue, startTime)
+	if got, want := describeMutations(batch), []string{"put end/wk-000001", "delete job/wk-000001"}; !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
 func describeMutations(batch *Batch) []string {
 	var lines []string
 	for _, mutation := range batch.Mutations {
--- a/internal/jobstore/gang_test.go
+++ b/internal/jobstore/gang_test.go
@@ -76,6 +76,9 @@
 		t.Errorf("%d done, %d wait", gang.DoneTasks(), gang.WaitingTasks())
 	}
 	store.EndAttempt(attempts[0], false, startTime)
+	if gang.DoneTasks() != 3 || gang.WaitingTasks() != 0 {
+		t.Errorf("after one more was lost: %d done, %d wait", gang.DoneTasks(), gang.WaitingTasks())
+	}
 	store.EndAttempt(attempts[3], true, startTime)
 	if batch := nextBatch(store, startTime); gang.DoneTasks() != 4 || len(batch.ends) != 1 {
 		t.Errorf("%d of 4 done, %d ends", gang.DoneTasks(), len(batch.ends))
--- a/internal/jobstore/rechunk_test.go
+++ b/internal/jobstore/rechunk_test.go
@@ -271,6 +271,62 @@
 	}
 }
 
+// Starts that wait to be written as their job is rechunked are still starts: written under the
+// compare of the job's record, and sent once they are recorded.
+func TestRechunkKeepsUnrecordedStarts(t *testing.T) {
+	leader := serviceThatNeedsRechunk(t)
+	attempt := start(leader.store, leader.job, 50, leader.now)
+	rechunk := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now)
+	if rechunk == nil || rechunk.rechunk == nil {
+		t.Fatalf("not rechunked: %+v", rechunk)
+	}
+	revision, _ := leader.backend.execute(rechunk)
+	leader.store.BatchCommitted(rechunk, revision)
+	batch := leader.store.NextBatch(fence, 1, 1, smallValue, leader.now)
+	if !hasCompare(batch, JobKey(testID), revision) {
+		t.Errorf("compares %v", batch.Compares)
+	}
+	if starts, _ := leader.store.BatchCommitted(batch, revision+1); len(starts) != 1 || starts[0] != attempt {
+		t.Errorf("recorded: %v", starts)
+	}
+}
+
+// The answer to a rechunk that arrives after a newer record was read must not undo that: a
+// cancellation would be forgotten, and the revision would be one that conflicts.
+func TestLateAnswerToRechunkDoesNotUndoCancellation(t *testing.T) {
+	leader := serviceThatNeedsRechunk(t)
+	batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
+	revision, _ := leader.backend.execute(batch)
+	record := batch.rechunk.record
+	record.CancelledMS = startTime.UnixMilli()
+	leader.backend.put(JobKey(testID), wire.Marshal(record))
+	leader.readRecord()
+	leader.store.BatchCommitted(batch, revision)
+	if !leader.job.Cancelled || leader.job.record.CancelledMS == 0 || leader.job.Revision != leader.backend.revision {
+		t.Errorf("cancelled %v, revision %d of %d", leader.job.Cancelled, leader.job.Revision, leader.backend.revision)
+	}
+}
+
+// A leader that ends once a job's record names smaller chunks leaves it to the next one to write
+// them. Otherwise old chunks would stay among the new ones until each of their tasks changes.
+func TestNewLeaderFinishesRechunk(t *testing.T) {
+	leader := serviceThatNeedsRechunk(t)
+	batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
+	leader.backend.execute(batch)
+	successor := leader.backend.load(t)
+	successor.FinishLoading()
+	leader.store, leader.job = successor, successor.Job(testID)
+	leader.now = leader.now.Add(time.Minute)
+	if n, want := leader.commitAll(smallValue), leader.job.chunkCount(); n != want {
+		t.Errorf("%d of %d chunks written", n, want)
+	}
+	for index := range leader.job.chunkCount() {
+		if leader.backend.items[leader.job.chunkKey(index)].Revision == 0 {
+			t.Errorf("chunk %d is not stored", index)
+		}
+	}
+}
+
 // An array whose chunks are too large by now is rechunked as soon as one of them can't be
 // written. Otherwise what was lost would not start again; and nothing of it may be left stored in
 // the end.
