--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -15,8 +15,8 @@
 // known, which a cancellation changes, and of the chunk's last revision.
 func TestStartIsConditional(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 6, 10)
-	attempt := store.StartAttempt(j, 5, store.NextAttemptNumber(3), "vm-1", 2, startTime)
+	array := addArray(t, store, testID, 6, 10)
+	attempt := store.StartAttempt(array, 5, store.NextAttemptNumber(3), "vm-1", 2, startTime)
 	batch := nextBatch(store, startTime)
 	if !hasCompare(batch, fence.Key, 7) || !hasCompare(batch, "job/wk-000001", 10) || !hasCompare(batch, "job/wk-000001/000001", 0) {
 		t.Fatalf("compares %v", batch.Compares)
@@ -37,8 +37,8 @@
 // revision is read the chunk is written again.
 func TestUnansweredWriteDoesNotBlockChunk(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 4, 10)
-	attempt := start(store, j, 0, startTime)
+	array := addArray(t, store, testID, 4, 10)
+	attempt := start(store, array, 0, startTime)
 	store.BatchFailed(nextBatch(store, startTime))
 	store.SetChunkRevision(testID, 0, 11)
 	store.SetChunkRevision(testID, 3, 11)      // no such chunk
@@ -56,8 +56,8 @@
 // taken back.
 func TestEndIsOneTransaction(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 1, 10)
-	attempt := startRecorded(t, store, j, 0, 11)
+	array := addArray(t, store, testID, 1, 10)
+	attempt := startRecorded(t, store, array, 0, 11)
 	store.EndAttempt(attempt, true, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil || !hasCompare(batch, "job/wk-000001", 10) {
@@ -85,8 +85,8 @@
 // is left for later.
 func TestChunkDeletionsDoNotHoldUpEnds(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 1, 10)
-	store.EndAttempt(startRecorded(t, store, j, 0, 11), true, startTime)
+	array := addArray(t, store, testID, 1, 10)
+	store.EndAttempt(startRecorded(t, store, array, 0, 11), true, startTime)
 	batch := store.NextBatch(fence, 8, 1, largeValue, startTime)
 	if batch == nil || len(batch.Mutations) != 2 {
 		t.Fatalf("%+v", batch)
@@ -94,10 +94,10 @@
 	if _, ended := store.BatchCommitted(batch, 12); len(ended) != 1 {
 		t.Fatal("job has not ended")
 	}
-	if deletions := j.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
+	if deletions := array.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
 		t.Errorf("left to delete: %+v", deletions)
 	}
-	if deletions := j.GarbageMutations(8); len(deletions) != 0 {
+	if deletions := array.GarbageMutations(8); len(deletions) != 0 {
 		t.Errorf("deleted twice: %+v", deletions)
 	}
 }
@@ -106,9 +106,9 @@
 func TestLargestJobStaysWithinTransactionLimits(t *testing.T) {
 	store := New()
 	record := Record{Spec: testSpec(testID, job.Array, job.MaxTasks), ChunkSize: TasksPerChunk(largeValue)}
-	j := mustApply(t, store, wire.Marshal(record), 1)
+	array := mustApply(t, store, wire.Marshal(record), 1)
 	for task := range 1000 {
-		store.StartAttempt(j, task, store.NextAttemptNumber(1<<20), "vm-000000001", 1<<30, startTime)
+		store.StartAttempt(array, task, store.NextAttemptNumber(1<<20), "vm-000000001", 1<<30, startTime)
 	}
 	revision := uint64(1)
 	for batch := nextBatch(store, startTime); batch != nil; batch = nextBatch(store, startTime) {
@@ -127,7 +127,7 @@
 		store.BatchCommitted(batch, revision)
 	}
 	recorded := 0
-	j.EachAttempt(func(attempt *Attempt) {
+	array.EachAttempt(func(attempt *Attempt) {
 		if attempt.Recorded {
 			recorded++
 		}
@@ -141,8 +141,8 @@
 // chunks; an end that comes while a write is in flight is not in it, so its result would be lost.
 func TestResultIsDurableByTask(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 3, 10)
-	first, second := startRecorded(t, store, j, 0, 11), startRecorded(t, store, j, 1, 12)
+	array := addArray(t, store, testID, 3, 10)
+	first, second := startRecorded(t, store, array, 0, 11), startRecorded(t, store, array, 1, 12)
 	mustBatch := func() *Batch {
 		batch := nextBatch(store, startTime.Add(time.Minute))
 		if batch == nil {
@@ -153,20 +153,20 @@
 	store.EndAttempt(first, true, startTime)
 	batch := mustBatch()
 	store.EndAttempt(second, true, startTime)
-	if j.ResultDurable(0) {
+	if array.ResultDurable(0) {
 		t.Error("durable before the write is answered")
 	}
 	store.BatchCommitted(batch, 13)
-	if !j.ResultDurable(0) || j.ResultDurable(1) {
-		t.Errorf("durable: %v %v, want only the first", j.ResultDurable(0), j.ResultDurable(1))
+	if !array.ResultDurable(0) || array.ResultDurable(1) {
+		t.Errorf("durable: %v %v, want only the first", array.ResultDurable(0), array.ResultDurable(1))
 	}
 	batch = mustBatch()
 	store.BatchFailed(batch)
-	if j.ResultDurable(1) {
+	if array.ResultDurable(1) {
 		t.Error("durable though the write failed")
 	}
 	store.BatchCommitted(mustBatch(), 14)
-	if !j.ResultDurable(1) {
+	if !array.ResultDurable(1) {
 		t.Error("second not durable in the end")
 	}
 }
@@ -278,8 +278,8 @@
 func TestEndIsNotStarvedBySingleMutations(t *testing.T) {
 	store := New()
 	for i, id := range []string{"wk-000001", "wk-000002"} {
-		j := addArray(t, store, id, 1, uint64(10+i))
-		store.EndAttempt(start(store, j, 0, startTime), true, startTime)
+		array := addArray(t, store, id, 1, uint64(10+i))
+		store.EndAttempt(start(store, array, 0, startTime), true, startTime)
 	}
 	start(store, addArray(t, store, "wk-000003", 1, 12), 0, startTime)
 	batch := store.NextBatch(fence, 3, 0, largeValue, startTime)
@@ -304,10 +304,10 @@
 // while it is in flight.
 func TestBacklog(t *testing.T) {
 	store := New()
-	j := addArray(t, store, "wk-000001", 8, 10)
-	start(store, j, 0, startTime)
-	start(store, j, 1, startTime)
-	start(store, j, 4, startTime)
+	array := addArray(t, store, "wk-000001", 8, 10)
+	start(store, array, 0, startTime)
+	start(store, array, 1, startTime)
+	start(store, array, 4, startTime)
 	addCancelledArray(t, store, "wk-000002", 1, 11)
 	if got, want := store.Backlog(), (Backlog{Starts: 3, StartChunks: 2, Ends: 1}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
--- a/internal/jobstore/codec_test.go
+++ b/internal/jobstore/codec_test.go
@@ -87,14 +87,14 @@
 
 func TestChunkValueHasDoneTasksAndLiveAttempts(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 4, 10)
+	array := addArray(t, store, testID, 4, 10)
 	for task := range 4 {
-		attempt := startRecorded(t, store, j, task, uint64(11+task))
+		attempt := startRecorded(t, store, array, task, uint64(11+task))
 		if task != 1 {
 			store.EndAttempt(attempt, true, startTime)
 		}
 	}
-	value := j.chunkValue(0)
+	value := array.chunkValue(0)
 	if value.Done != "0,2-3" {
 		t.Errorf("done: %q", value.Done)
 	}
@@ -139,16 +139,16 @@
 	f.Add([]byte{})
 	f.Add([]byte{0xff, 0xff})
 	f.Fuzz(func(t *testing.T, bits []byte) {
-		j := &Job{record: Record{ChunkSize: 1 + len(bits)*8}, tasks: newTaskTable(len(bits) * 8)}
+		array := &Job{record: Record{ChunkSize: 1 + len(bits)*8}, tasks: newTaskTable(len(bits) * 8)}
 		var want []int
 		for task := range len(bits) * 8 {
 			if bits[task/8]>>(task%8)&1 == 1 {
-				j.tasks.markDone(task)
+				array.tasks.markDone(task)
 				want = append(want, task)
 			}
 		}
 		var got []int
-		text := j.doneRanges(j.chunkTasks(0))
+		text := array.doneRanges(array.chunkTasks(0))
 		err := eachInRanges(text, func(number int) error { got = append(got, number); return nil })
 		if err != nil || !slices.Equal(got, want) {
 			t.Errorf("%v written as %q, read as %v, %v", want, text, got, err)
@@ -169,7 +169,7 @@
 			t.Skip("no number of a chunk")
 		}
 		store := New()
-		j := addArray(t, store, testID, 10, 1)
+		array := addArray(t, store, testID, 10, 1)
 		err := store.LoadChunk(testID, number, value, 2)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
@@ -178,8 +178,8 @@
 			return
 		}
 		all := taskRange{0, 10}
-		counts := []int{j.tasks.count(all, taskWaiting), j.tasks.count(all, taskLive), j.tasks.count(all, taskDone)}
-		if want := []int{j.WaitingTasks(), j.LiveTasks(), j.DoneTasks()}; !slices.Equal(counts, want) {
+		counts := []int{array.tasks.count(all, taskWaiting), array.tasks.count(all, taskLive), array.tasks.count(all, taskDone)}
+		if want := []int{array.WaitingTasks(), array.LiveTasks(), array.DoneTasks()}; !slices.Equal(counts, want) {
 			t.Errorf("tasks that wait, are live, are done: %v, counted as %v", counts, want)
 		}
 	})
--- a/internal/jobstore/gang_test.go
+++ b/internal/jobstore/gang_test.go
@@ -24,9 +24,9 @@
 	return attempts
 }
 
-func dispatchableTasks(j *Job) int {
+func dispatchableTasks(gang *Job) int {
 	n := 0
-	j.EachAttempt(func(attempt *Attempt) {
+	gang.EachAttempt(func(attempt *Attempt) {
 		if attempt.Dispatchable() {
 			n++
 		}
--- a/internal/jobstore/helpers_test.go
+++ b/internal/jobstore/helpers_test.go
@@ -59,14 +59,14 @@
 }
 
 // start starts a task under a number of its own.
-func start(store *Store, j *Job, task int, now time.Time) *Attempt {
-	return store.StartAttempt(j, task, store.NextAttemptNumber(1), "vm-000001", 1, now)
+func start(store *Store, target *Job, task int, now time.Time) *Attempt {
+	return store.StartAttempt(target, task, store.NextAttemptNumber(1), "vm-000001", 1, now)
 }
 
 // startRecorded starts a task and records the start, as a leader does before it sends it.
-func startRecorded(t *testing.T, store *Store, j *Job, task int, revision uint64) *Attempt {
+func startRecorded(t *testing.T, store *Store, target *Job, task int, revision uint64) *Attempt {
 	t.Helper()
-	attempt := start(store, j, task, startTime)
+	attempt := start(store, target, task, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil {
 		t.Fatal("start is not written")
--- a/internal/jobstore/lifecycle_test.go
+++ b/internal/jobstore/lifecycle_test.go
@@ -11,14 +11,14 @@
 	done := addArray(t, store, "wk-000002", 2, 11)
 	store.EndAttempt(start(store, done, 0, startTime), true, startTime)
 	cancelled := addCancelledArray(t, store, "wk-000003", 2, 12)
-	for name, j := range map[string]*Job{"live": running, "done": done, "cancelled": cancelled} {
+	for name, array := range map[string]*Job{"live": running, "done": done, "cancelled": cancelled} {
 		t.Run(name, func(t *testing.T) {
 			defer func() {
 				if recover() == nil {
 					t.Error("task started")
 				}
 			}()
-			start(store, j, 0, startTime)
+			start(store, array, 0, startTime)
 		})
 	}
 }
@@ -27,11 +27,11 @@
 // that are recorded keep their numbers, as they may have been sent.
 func TestUnrecordedStartsSurviveNewTerm(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 4, 10)
-	recorded := startRecorded(t, store, j, 0, 11)
+	array := addArray(t, store, testID, 4, 10)
+	recorded := startRecorded(t, store, array, 0, 11)
 	shared := store.NextAttemptNumber(1)
-	first := store.StartAttempt(j, 1, shared, "vm-1", 1, startTime)
-	second := store.StartAttempt(j, 2, shared, "vm-2", 1, startTime)
+	first := store.StartAttempt(array, 1, shared, "vm-1", 1, startTime)
+	second := store.StartAttempt(array, 2, shared, "vm-2", 1, startTime)
 	calls := 0
 	store.RenumberUnrecorded(5, func(renumbered Renumbered) {
 		calls++
@@ -54,52 +54,52 @@
 // they are gone; those that may have been sent stay live until there is one.
 func TestCancelledJobKeepsAttemptsThatMayRun(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 3, 10)
-	recorded := startRecorded(t, store, j, 0, 11)
-	unrecorded := start(store, j, 1, startTime)
-	if store.MarkCancelled(testID, startTime) != j {
+	array := addArray(t, store, testID, 3, 10)
+	recorded := startRecorded(t, store, array, 0, 11)
+	unrecorded := start(store, array, 1, startTime)
+	if store.MarkCancelled(testID, startTime) != array {
 		t.Fatal("cancellation is no news")
 	}
 	if store.MarkCancelled(testID, startTime) != nil {
 		t.Error("cancellation is news twice")
 	}
-	withdrawn := store.WithdrawUnrecorded(j, startTime)
+	withdrawn := store.WithdrawUnrecorded(array, startTime)
 	if len(withdrawn) != 1 || withdrawn[0] != unrecorded {
 		t.Errorf("withdrawn: %v", withdrawn)
 	}
-	if j.LiveTasks() != 1 || j.tasks.live[0] != recorded {
-		t.Errorf("%d live attempts", j.LiveTasks())
+	if array.LiveTasks() != 1 || array.tasks.live[0] != recorded {
+		t.Errorf("%d live attempts", array.LiveTasks())
 	}
 }
 
 // An attempt that ends twice, as two proofs of it arrive, must not end the task's next attempt.
 func TestSecondProofDoesNotEndNextAttempt(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 1, 10)
-	lost := startRecorded(t, store, j, 0, 11)
+	array := addArray(t, store, testID, 1, 10)
+	lost := startRecorded(t, store, array, 0, 11)
 	store.EndAttempt(lost, false, startTime)
-	next := start(store, j, 0, startTime)
+	next := start(store, array, 0, startTime)
 	store.EndAttempt(lost, true, startTime)
-	if j.tasks.live[0] != next || j.DoneTasks() != 0 {
-		t.Errorf("live attempt %v, %d done", j.tasks.live[0], j.DoneTasks())
+	if array.tasks.live[0] != next || array.DoneTasks() != 0 {
+		t.Errorf("live attempt %v, %d done", array.tasks.live[0], array.DoneTasks())
 	}
 }
 
 // A task that waits again is found, also if it is below those that were started since.
 func TestLostTaskStartsAgain(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 6, 10)
+	array := addArray(t, store, testID, 6, 10)
 	var attempts []*Attempt
 	for task := range 6 {
-		attempts = append(attempts, start(store, j, task, startTime))
+		attempts = append(attempts, start(store, array, task, startTime))
 	}
-	if task := j.NextStartable(0, largeValue); task != -1 {
+	if task := array.NextStartable(0, largeValue); task != -1 {
 		t.Errorf("task %d may start where none waits", task)
 	}
 	store.EndAttempt(attempts[3], false, startTime)
 	store.EndAttempt(attempts[1], false, startTime)
 	for _, test := range []struct{ from, want int }{{0, 1}, {1, 1}, {2, 3}, {4, -1}} {
-		if task := j.NextStartable(test.from, largeValue); task != test.want {
+		if task := array.NextStartable(test.from, largeValue); task != test.want {
 			t.Errorf("next task from %d: %d, want %d", test.from, task, test.want)
 		}
 	}
--- a/internal/jobstore/rechunk_test.go
+++ b/internal/jobstore/rechunk_test.go
@@ -157,37 +157,40 @@
 	return attempts
 }
 
+// rechunkOutcomes are the ways in which a batch that rechunks a job ends.
+var rechunkOutcomes = map[string]func(*testLeader, *Batch){
+	"answered": func(l *testLeader, batch *Batch) {
+		revision, _ := l.backend.execute(batch)
+		l.store.BatchCommitted(batch, revision)
+	},
+	"answer lost": func(l *testLeader, batch *Batch) {
+		l.backend.execute(batch)
+		l.store.BatchFailed(batch)
+		l.readRecord()
+	},
+	"the watch is first": func(l *testLeader, batch *Batch) {
+		revision, _ := l.backend.execute(batch)
+		l.readRecord()
+		l.store.BatchCommitted(batch, revision)
+	},
+	"changes meanwhile": func(l *testLeader, batch *Batch) {
+		revision, _ := l.backend.execute(batch)
+		l.store.EndAttempt(l.job.tasks.live[7], false, l.now)
+		l.store.BatchCommitted(batch, revision)
+	},
+	"not executed": func(l *testLeader, batch *Batch) {
+		l.store.BatchFailed(batch)
+		l.now = l.now.Add(time.Minute)
+		l.commit(smallValue)
+		l.now = l.now.Add(-time.Minute)
+	},
+}
+
 // A service whose chunks are too large by now is rechunked when a replica of it has to start
 // again: it would never start otherwise. No attempt may be lost, also if the answer to that is
 // lost, or more changes meanwhile, or the leader ends in the middle of it.
 func TestRechunkedServiceLosesNoAttempt(t *testing.T) {
-	for name, finishRechunk := range map[string]func(*testLeader, *Batch){
-		"answered": func(l *testLeader, batch *Batch) {
-			revision, _ := l.backend.execute(batch)
-			l.store.BatchCommitted(batch, revision)
-		},
-		"answer lost": func(l *testLeader, batch *Batch) {
-			l.backend.execute(batch)
-			l.store.BatchFailed(batch)
-			l.readRecord()
-		},
-		"the watch is first": func(l *testLeader, batch *Batch) {
-			revision, _ := l.backend.execute(batch)
-			l.readRecord()
-			l.store.BatchCommitted(batch, revision)
-		},
-		"changes meanwhile": func(l *testLeader, batch *Batch) {
-			revision, _ := l.backend.execute(batch)
-			l.store.EndAttempt(l.job.tasks.live[7], false, l.now)
-			l.store.BatchCommitted(batch, revision)
-		},
-		"not executed": func(l *testLeader, batch *Batch) {
-			l.store.BatchFailed(batch)
-			l.now = l.now.Add(time.Minute)
-			l.commit(smallValue)
-			l.now = l.now.Add(-time.Minute)
-		},
-	} {
+	for name, finishRechunk := range rechunkOutcomes {
 		t.Run(name, func(t *testing.T) {
 			leader := serviceThatNeedsRechunk(t)
 			batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -18,7 +18,7 @@
 	value := wire.Marshal(before.chunkValue(0))
 
 	store := New()
-	j := addCancelledArray(t, store, testID, 2, 12)
+	array := addCancelledArray(t, store, testID, 2, 12)
 	if err := store.LoadChunk(testID, 0, value, 11); err != nil {
 		t.Fatal(err)
 	}
@@ -26,10 +26,10 @@
 	if batch := nextBatch(store, startTime.Add(time.Minute)); batch != nil {
 		t.Fatalf("job with a live attempt is ended: %+v", batch.Mutations)
 	}
-	if j.LiveTasks() != 1 || store.Job(testID) == nil {
-		t.Fatalf("%d live attempts", j.LiveTasks())
+	if array.LiveTasks() != 1 || store.Job(testID) == nil {
+		t.Fatalf("%d live attempts", array.LiveTasks())
 	}
-	store.EndAttempt(j.tasks.live[0], false, startTime)
+	store.EndAttempt(array.tasks.live[0], false, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil || len(batch.Mutations) != 3 || batch.Mutations[0].Put != "end/wk-000001" {
 		t.Fatalf("end is not recorded: %+v", batch)
@@ -59,12 +59,12 @@
 // behind, must not bring it back, and its chunks must not stay.
 func TestJobFoundDeletedDoesNotComeBack(t *testing.T) {
 	store := New()
-	j := addArray(t, store, testID, 1, 10)
-	startRecorded(t, store, j, 0, 11)
-	if store.RecordFoundDeleted(testID) != j || store.Len() != 0 {
+	array := addArray(t, store, testID, 1, 10)
+	startRecorded(t, store, array, 0, 11)
+	if store.RecordFoundDeleted(testID) != array || store.Len() != 0 {
 		t.Fatal("job is not removed")
 	}
-	if deletions := j.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
+	if deletions := array.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
 		t.Errorf("left to delete: %+v", deletions)
 	}
 	if again := addCancelledArray(t, store, testID, 1, 12); again != nil {
@@ -81,12 +81,12 @@
 // Older revisions, which a slow read returns, must not undo a cancellation.
 func TestOlderRecordIsNoNews(t *testing.T) {
 	store := New()
-	j, news, err := store.ApplyRecord(arrayRecord(testID, 2, true), 12)
-	if err != nil || !news || !j.Cancelled || !j.CancelledAt.Equal(startTime) {
-		t.Fatalf("%+v, news %v, %v", j, news, err)
+	array, news, err := store.ApplyRecord(arrayRecord(testID, 2, true), 12)
+	if err != nil || !news || !array.Cancelled || !array.CancelledAt.Equal(startTime) {
+		t.Fatalf("%+v, news %v, %v", array, news, err)
 	}
 	again, news, err := store.ApplyRecord(arrayRecord(testID, 2, false), 11)
-	if err != nil || news || again != j || !j.Cancelled || j.Revision != 12 {
+	if err != nil || news || again != array || !array.Cancelled || array.Revision != 12 {
 		t.Errorf("%+v, news %v, %v", again, news, err)
 	}
 }
