--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -28,7 +28,7 @@
 
 // chunkTasks returns the tasks of the chunk with an index.
 func (j *Job) chunkTasks(index int) taskRange {
-	return j.tasks.slice(index, j.record.ChunkSize)
+	return j.tasks.rangeAt(index, j.record.ChunkSize)
 }
 
 // chunkNumber returns the number in the key of the chunk with an index.
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -36,7 +36,7 @@
 		// From before the job was rechunked. It is valid until the chunk with the same
 		// tasks that has replaced it is read.
 		j.previousChunks = append(j.previousChunks, number)
-		return j.tasks.slice(number, j.record.PreviousChunkSize)
+		return j.tasks.rangeAt(number, j.record.PreviousChunkSize)
 	}
 	index := number - j.record.FirstChunk
 	j.chunks[index] = &chunk{index: index, revision: revision}
--- a/internal/jobstore/tasks.go
+++ b/internal/jobstore/tasks.go
@@ -26,8 +26,8 @@
 	return taskTable{states: make([]taskState, tasks), live: map[int]*Attempt{}}
 }
 
-// slice returns the tasks of the part with an index, if each part has size tasks.
-func (t *taskTable) slice(index, size int) taskRange {
+// rangeAt returns the range with an index, if the tasks are divided into ranges of size tasks.
+func (t *taskTable) rangeAt(index, size int) taskRange {
 	first := index * size
 	return taskRange{first, min(first+size, len(t.states))}
 }
