--- /dev/null
+++ b/internal/jobstore/keys.go
@@ -0,0 +1,40 @@
+// This file forms and parses the keys of records.
+
+package jobstore
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"tulipshelf/internal/job"
+)
+
+// JobPrefix is the prefix of the keys of unfinished jobs and of their chunks.
+const JobPrefix = "job/"
+
+// endPrefix is the prefix of the keys of finished jobs.
+const endPrefix = "end/"
+
+// JobKey returns the key of an unfinished job's Record.
+func JobKey(id string) string { return JobPrefix + id }
+
+// EndKey returns the key of a finished job's FinalState.
+func EndKey(id string) string { return endPrefix + id }
+
+// chunkKey returns the key of the chunk with a number.
+func chunkKey(id string, number int) string { return fmt.Sprintf("%s%s/%06d", JobPrefix, id, number) }
+
+// SplitKey parses a key under JobPrefix into the job's ID and the chunk's number, which is -1 for the
+// job's own record. It reports whether the key is one.
+func SplitKey(key string) (id string, chunk int, ok bool) {
+	id, chunkText, isChunk := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
+	if !job.ValidID(id) {
+		return "", 0, false
+	}
+	if !isChunk {
+		return id, -1, true
+	}
+	chunk, err := strconv.Atoi(chunkText)
+	return id, chunk, err == nil
+}
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -255,8 +255,8 @@
 	use := s.clusterUse(now)
 	waiting := 0
 	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
-	starts, chunks, ends := s.jobs.store.Backlog()
-	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
+	backlog := s.jobs.store.Backlog()
+	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
 	slog.Debug("cluster", "machines", use.machines, "spot", use.spot, "up", use.up, "empty", use.empty, "cpus", use.cpus,
 		"free", use.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
 }
