--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -98,29 +98,45 @@
 
 // retireReason returns why a machine is to be given up, or agent.NotRetired.
 func (h *machineHealth) retireReason(machine *agent.Machine, silence clusterSilence, now time.Time) agent.RetireReason {
-	inUse := machine.Registered || len(machine.Assignments) > 0
-	noticeOver := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
-	unusable := machine.Type == unknownIndex || machine.Zone == unknownIndex
-	unresponsive := !machine.UnresponsiveSince.IsZero() && now.Sub(machine.UnresponsiveSince) >= unresponsivePatience
 	switch {
 	case machine.Failed:
 		return agent.RetireFailed
 	case machine.Quarantined:
 		return agent.RetireQuarantined
-	case !inUse && now.Sub(machine.Created) > h.bootLimit(machine):
+	case !inUse(machine) && now.Sub(machine.Created) > h.bootLimit(machine):
 		return agent.RetireNeverBooted
-	case inUse && h.lost(machine, silence, now):
+	case inUse(machine) && h.lost(machine, silence, now):
 		return agent.RetireSilent
-	case noticeOver && h.silentFor(machine, now) >= h.Operator.UnhealthyAfter:
+	case h.reclaimed(machine, now):
 		return agent.RetireReclaimed
-	case machine.Registered && len(machine.Assignments) == 0 && unusable:
+	case unusable(machine):
 		return agent.RetireUnknownType
-	case unresponsive:
+	case unresponsive(machine, now):
 		return agent.RetireUnresponsive
 	}
 	return agent.NotRetired
 }
 
+// inUse reports whether a machine has sent a heartbeat to this leader, or holds tasks by the records.
+func inUse(machine *agent.Machine) bool { return machine.Registered || len(machine.Assignments) > 0 }
+
+// reclaimed reports whether the cloud has taken a machine, as its termination notice said.
+func (h *machineHealth) reclaimed(machine *agent.Machine, now time.Time) bool {
+	noticeEnded := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
+	return noticeEnded && h.silentFor(machine, now) >= h.Operator.UnhealthyAfter
+}
+
+// unusable reports whether a machine is empty and nothing can be placed on it.
+func unusable(machine *agent.Machine) bool {
+	unknown := machine.Type == unknownIndex || machine.Zone == unknownIndex
+	return unknown && machine.Registered && len(machine.Assignments) == 0
+}
+
+// unresponsive reports whether nothing has reached a machine for too long.
+func unresponsive(machine *agent.Machine, now time.Time) bool {
+	return !machine.UnresponsiveSince.IsZero() && now.Sub(machine.UnresponsiveSince) >= unresponsivePatience
+}
+
 // silentFor returns for how long this leader has not heard from a machine.
 func (h *machineHealth) silentFor(machine *agent.Machine, now time.Time) time.Duration {
 	if machine.Registered {
@@ -148,7 +164,7 @@
 	zones := len(h.topology.zones)
 	silence := clusterSilence{byZone: make([]silentCount, zones), lastHeard: make([]time.Time, zones)}
 	h.registry.Each(func(machine *agent.Machine) {
-		if !machine.Registered && len(machine.Assignments) == 0 {
+		if !inUse(machine) {
 			return
 		}
 		silent := 0
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -115,13 +115,9 @@
 func (l *Leader) loadRecords(ctx context.Context) (revision uint64, err error) {
 	lastKey := ""
 	for {
-		page, err := l.Store.List(ctx, jobstore.JobPrefix, lastKey, recordsPage, kvstore.PriorityLease)
+		page, err := l.readPage(ctx, lastKey)
 		if err != nil {
-			slog.Debug("records not read", "err", err)
-			if !clock.Sleep(ctx, loadRetryInterval) {
-				return 0, ctx.Err()
-			}
-			continue
+			return 0, err
 		}
 		if revision == 0 {
 			revision = page.Revision
@@ -138,6 +134,20 @@
 	}
 }
 
+// readPage reads the records behind a key, again and again until it succeeds or ctx ends.
+func (l *Leader) readPage(ctx context.Context, lastKey string) (kvstore.Page, error) {
+	for {
+		page, err := l.Store.List(ctx, jobstore.JobPrefix, lastKey, recordsPage, kvstore.PriorityLease)
+		if err == nil {
+			return page, nil
+		}
+		slog.Debug("records not read", "err", err)
+		if !clock.Sleep(ctx, loadRetryInterval) {
+			return kvstore.Page{}, ctx.Err()
+		}
+	}
+}
+
 var errUnexpectedKey = errors.New("leader: unexpected key")
 
 func (l *Leader) loadRecord(item kvstore.Item) error {
