--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -48,8 +48,10 @@
 // their turn when others are done, or with their next heartbeat.
 func (d *dispatcher) sendUrgent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
-		silent := now.Sub(machine.LastHeartbeat) >= d.Operator.UnhealthyAfter
-		if !machine.Urgent() || silent || d.sending >= d.maxInFlight() {
+		if !machine.Urgent() || d.sending >= d.maxInFlight() {
+			return
+		}
+		if now.Sub(machine.LastHeartbeat) >= d.Operator.UnhealthyAfter {
 			return
 		}
 		if commands := d.commands.forMachine(machine, now); len(commands) > 0 {
@@ -124,10 +126,12 @@
 	if machine.Registered {
 		heardAt = machine.LastHeartbeat
 	}
-	suspect := now.Sub(heardAt) >= d.heartbeatOverdue() || !machine.UnresponsiveSince.IsZero()
+	if now.Sub(heardAt) < d.heartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
+		return false
+	}
 	direct := machine.Addr != "" && machine.RelayedBy == "" && !machine.RequestInFlight
 	staying := machine.RetireReason == agent.NotRetired && !machine.Booting
-	return suspect && direct && staying && now.Sub(machine.LastProbe) >= probeInterval
+	return direct && staying && now.Sub(machine.LastProbe) >= probeInterval
 }
 
 func (d *dispatcher) probe(machine *agent.Machine, now time.Time) {
