--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -104,7 +104,7 @@
 			resp.RetryAfter = s
 		}
 	}
-	if status == 204 || status == 304 {
+	if status == StatusNoContent || status == StatusNotModified {
 		return resp, n, nil
 	}
 	body, m, err := readBody(buf[n:], f, limit)
@@ -241,7 +241,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(resp.Status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reason(resp.Status)...)
+	dst = append(dst, reasonPhrase(resp.Status)...)
 	dst = append(dst, "\r\n"...)
 	if len(resp.Body) > 0 {
 		dst = append(dst, "Content-Type: application/cbor\r\n"...)
@@ -277,29 +277,3 @@
 	dst = append(dst, "\r\n\r\n"...)
 	return append(dst, body...)
 }
-
-func reason(status int) string {
-	switch status {
-	case 200:
-		return "OK"
-	case 201:
-		return "Created"
-	case 400:
-		return "Bad Request"
-	case 404:
-		return "Not Found"
-	case 405:
-		return "Method Not Allowed"
-	case 409:
-		return "Conflict"
-	case 421:
-		return "Misdirected Request"
-	case 422:
-		return "Unprocessable Content"
-	case 429:
-		return "Too Many Requests"
-	case 503:
-		return "Service Unavailable"
-	}
-	return "Status"
-}
