--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -15,109 +16,165 @@
 
 // Each line of a trace's input is
 //
-//	start TASK TERM SESSION       an attempt is recorded under the term
+//	start TASK TERM SESSION       an attempt is recorded under the term, for an incarnation
 //	decide TASK TERM SESSION      the same, but the record is not yet durable
 //	stop TASK                     its halt is wanted
 //	report SESSION TICK TOKEN [TASK=STATE[/CAUSE]]...
-//	orders TOKEN                  what would be sent
-//	answer TOKEN                  the last report is answered
-//	pass SECONDS
+//	                              a heartbeat with its incarnation and sequence number
+//	orders TOKEN                  the commands that would be sent
+//	answer TOKEN                  the last heartbeat is answered
+//	pass SECONDS                  time passes, besides the second before each line
 func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
+const (
+	traceLease  = 26 * time.Second
+	traceJob    = "wk-000001"
+	maxCommands = 10
+)
+
 func replay(t *testing.T, trace []byte) []byte {
-	now := time.Unix(0, 0)
-	f := NewRegistry()
-	m := f.Add("vm-1", now)
-	book := jobstore.New()
-	rec := jobstore.Record{Spec: &job.Spec{ID: "wk-000001", Shape: job.Array, Priority: "standard", Tasks: 9}, ChunkSize: 9}
-	j, _, err := book.ApplyRecord(wire.Marshal(rec), 1)
+	replayer := newTraceReplayer(t)
+	return golden.Replay(trace, replayer.line)
+}
+
+// traceReplayer plays a trace on one machine with an array of nine tasks.
+type traceReplayer struct {
+	t        *testing.T
+	now      time.Time
+	machine  *Machine
+	jobs     *jobstore.Store
+	job      *jobstore.Job
+	attempts map[string]uint64 // newest attempt number by the trace's name of the task
+}
+
+func newTraceReplayer(t *testing.T) *traceReplayer {
+	start := time.Unix(0, 0)
+	jobs := jobstore.New()
+	record := jobstore.Record{Spec: &job.Spec{ID: traceJob, Shape: job.Array, Priority: "standard", Tasks: 9}, ChunkSize: 9}
+	added, _, err := jobs.ApplyRecord(wire.Marshal(record), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tries := map[string]uint64{}
-	return golden.Replay(trace, func(out *bytes.Buffer, line string, word []string) {
-		number := func(i int) (n uint64) {
-			if _, err := fmt.Sscan(word[i], &n); err != nil {
-				t.Fatalf("%q: %v", line, err)
-			}
-			return n
+	return &traceReplayer{
+		t:        t,
+		now:      start,
+		machine:  NewRegistry().Add("vm-1", start),
+		jobs:     jobs,
+		job:      added,
+		attempts: map[string]uint64{},
+	}
+}
+
+func (r *traceReplayer) line(out *bytes.Buffer, line string, words []string) {
+	r.now = r.now.Add(time.Second)
+	number := func(i int) uint64 {
+		n, err := strconv.ParseUint(words[i], 10, 64)
+		if err != nil {
+			r.t.Fatalf("%q: %v", line, err)
 		}
-		name := func(task string) string { return "wk-000001/" + task }
-		now = now.Add(time.Second)
-		switch word[0] {
-		case "start", "decide":
-			a := book.StartAttempt(j, int(number(1)), book.NextAttemptNumber(number(2)), m.Name, number(3), now)
-			a.Recorded = word[0] == "start"
-			tries[word[1]] = a.Number
-			m.Assign(a, now)
-		case "stop":
-			m.Stop(m.Assignments[job.AttemptID{Task: name(word[1]), Number: tries[word[1]]}], 0)
-		case "report":
-			r := &Heartbeat{Machine: m.Name, Incarnation: number(1), Sequence: number(2), FencingToken: number(3)}
-			for _, w := range word[4:] {
-				task, state, _ := strings.Cut(w, "=")
-				status, cause, _ := strings.Cut(state, "/")
-				r.Tasks = append(r.Tasks, ReportedTask{Task: name(task), Attempt: tries[task], Status: TaskStatus(status), Cause: ExitCause(cause)})
-			}
-			outcomes, fresh := m.ApplyHeartbeat(r, 26*time.Second, now)
-			if !fresh {
-				fmt.Fprintln(out, "> stale, ignored")
-			}
-			for _, o := range outcomes {
-				cause := o.Cause
-				if cause == CauseLost {
-					cause = "gone"
-				}
-				fmt.Fprintf(out, "> task %d: %s\n", o.Assignment.Task, cause)
-				book.EndAttempt(o.Assignment.Attempt, o.Cause == CauseDone, now)
-			}
-			if fresh && len(outcomes) == 0 {
-				fmt.Fprintln(out, "> proves nothing")
-			}
-			if !m.UnresponsiveSince.IsZero() {
-				fmt.Fprintln(out, "> seems deaf")
-			}
-		case "answer":
-			m.HeartbeatAnswered(number(1), 26*time.Second, now)
-		case "pass":
-			now = now.Add(time.Duration(number(1)) * time.Second)
-		case "orders":
-			orders := m.PendingCommands(number(1), 10, func(string) bool { return true }, now)
-			for _, o := range orders {
-				fmt.Fprintf(out, "> %s %s\n", o.Verb, strings.TrimPrefix(o.Task, "wk-000001/"))
-			}
-			if len(orders) == 0 {
-				fmt.Fprintln(out, "> none")
-			}
-		default:
-			t.Fatalf("%q", line)
+		return n
+	}
+	switch words[0] {
+	case "start", "decide":
+		attempt := r.assign(int(number(1)), number(2), number(3))
+		attempt.Recorded = words[0] == "start"
+	case "stop":
+		id := job.AttemptID{Task: traceJob + "/" + words[1], Number: r.attempts[words[1]]}
+		r.machine.Stop(r.machine.Assignments[id], 0)
+	case "report":
+		heartbeat := &Heartbeat{Machine: r.machine.Name, Incarnation: number(1), Sequence: number(2), FencingToken: number(3)}
+		for _, task := range words[4:] {
+			heartbeat.Tasks = append(heartbeat.Tasks, r.reportedTask(task))
+		}
+		r.heartbeat(out, heartbeat)
+	case "answer":
+		r.machine.HeartbeatAnswered(number(1), traceLease, r.now)
+	case "pass":
+		r.now = r.now.Add(time.Duration(number(1)) * time.Second)
+	case "orders":
+		r.commands(out, number(1))
+	default:
+		r.t.Fatalf("%q", line)
+	}
+}
+
+func (r *traceReplayer) assign(task int, term, incarnation uint64) *jobstore.Attempt {
+	number := r.jobs.NextAttemptNumber(term)
+	attempt := r.jobs.StartAttempt(r.job, task, number, r.machine.Name, incarnation, r.now)
+	r.attempts[strconv.Itoa(task)] = attempt.Number
+	r.machine.Assign(attempt, r.now)
+	return attempt
+}
+
+// reportedTask reads TASK=STATE[/CAUSE].
+func (r *traceReplayer) reportedTask(word string) ReportedTask {
+	task, state, _ := strings.Cut(word, "=")
+	status, cause, _ := strings.Cut(state, "/")
+	return ReportedTask{
+		Task:    traceJob + "/" + task,
+		Attempt: r.attempts[task],
+		Status:  TaskStatus(status),
+		Cause:   ExitCause(cause),
+	}
+}
+
+func (r *traceReplayer) heartbeat(out *bytes.Buffer, heartbeat *Heartbeat) {
+	outcomes, fresh := r.machine.ApplyHeartbeat(heartbeat, traceLease, r.now)
+	if !fresh {
+		fmt.Fprintln(out, "> stale, ignored")
+	}
+	for _, outcome := range outcomes {
+		cause := outcome.Cause
+		if cause == CauseLost {
+			cause = "gone"
 		}
-	})
+		fmt.Fprintf(out, "> task %d: %s\n", outcome.Assignment.Task, cause)
+		r.jobs.EndAttempt(outcome.Assignment.Attempt, outcome.Cause == CauseDone, r.now)
+	}
+	if fresh && len(outcomes) == 0 {
+		fmt.Fprintln(out, "> proves nothing")
+	}
+	if !r.machine.UnresponsiveSince.IsZero() {
+		fmt.Fprintln(out, "> seems deaf")
+	}
+}
+
+func (r *traceReplayer) commands(out *bytes.Buffer, token uint64) {
+	settled := func(string) bool { return true }
+	commands := r.machine.PendingCommands(token, maxCommands, settled, r.now)
+	for _, command := range commands {
+		fmt.Fprintf(out, "> %s %s\n", command.Verb, strings.TrimPrefix(command.Task, traceJob+"/"))
+	}
+	if len(commands) == 0 {
+		fmt.Fprintln(out, "> none")
+	}
 }
 
-// A machine that was returned stays gone, however late a list or a report of it
+// A machine that was returned stays gone, however late a list of the cloud or a heartbeat of it
 // arrives; its dense index is given to the next one.
 func TestReturnedStaysGone(t *testing.T) {
 	now := time.Unix(0, 0)
-	f := NewRegistry()
-	a, b := f.Add("vm-1", now), f.Add("vm-2", now)
-	f.Remove("vm-1", now)
-	if f.Add("vm-1", now) != nil {
+	registry := NewRegistry()
+	first, second := registry.Add("vm-1", now), registry.Add("vm-2", now)
+	registry.Remove("vm-1", now)
+	if registry.Add("vm-1", now) != nil {
 		t.Error("vm-1 is back")
 	}
-	if c := f.Add("vm-3", now); c.Index != a.Index || f.Size() != 2 || b.Index == c.Index {
-		t.Errorf("index %d, size %d", c.Index, f.Size())
+	third := registry.Add("vm-3", now)
+	if third.Index != first.Index || registry.Size() != 2 || second.Index == third.Index {
+		t.Errorf("index %d, size %d", third.Index, registry.Size())
 	}
 }
 
+// Where images exceed the disk, the one used least recently is evicted.
 func TestImagesForgetOldest(t *testing.T) {
-	var x Images
-	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	x.Use("a", 4, 10, at(1))
-	x.Use("b", 4, 10, at(2))
-	x.Use("a", 4, 10, at(3))
-	x.Use("c", 4, 10, at(4))
-	if !x.Has("a") || x.Has("b") || !x.Has("c") {
-		t.Errorf("a %v, b %v, c %v", x.Has("a"), x.Has("b"), x.Has("c"))
+	var images Images
+	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
+	images.Use("a", 4, 10, at(1))
+	images.Use("b", 4, 10, at(2))
+	images.Use("a", 4, 10, at(3))
+	images.Use("c", 4, 10, at(4))
+	if !images.Has("a") || images.Has("b") || !images.Has("c") {
+		t.Errorf("a %v, b %v, c %v", images.Has("a"), images.Has("b"), images.Has("c"))
 	}
 }
--- a/internal/agent/assignment.go
+++ b/internal/agent/assignment.go
@@ -1,5 +1,7 @@
 package agent
 
+// Assignments: the attempts that the leader has placed on a machine.
+
 import (
 	"cmp"
 	"slices"
@@ -9,82 +11,88 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// Assignment is an attempt on a machine, from its start being decided until there is
-// proof that it is gone.
+// Assignment is an attempt on a machine, from the decision to start it until there is proof that it
+// is gone.
 type Assignment struct {
 	*jobstore.Attempt
-	AssignedAt       time.Time // decided, or found by a new leader
-	RunningSince     time.Time // first reported running; zero: not yet
-	FirstSent        time.Time // first sent; zero: never by this leader
+	AssignedAt       time.Time // when the start was decided, or a new leader found the attempt
+	RunningSince     time.Time // when it was first reported past waiting; zero: not yet
+	FirstSent        time.Time // when this leader first sent the start; zero: never
 	Stopping         bool      // a halt is wanted
-	GracePeriodS     float64
-	MissedHeartbeats int // newer reports in a row that do not list it
-}
-
-// Assign books an attempt on its machine.
-func (m *Machine) Assign(a *jobstore.Attempt, now time.Time) *Assignment {
-	h := &Assignment{Attempt: a, AssignedAt: now}
-	m.Assignments[a.ID()] = h
-	m.Version++
-	return h
+	GracePeriodS     float64   // seconds that the halt leaves the task to end; the shortest asked for
+	MissedHeartbeats int       // heartbeats in a row that do not list it and prove nothing
 }
 
-// Release forgets an attempt that was never sent.
-func (m *Machine) Release(a *jobstore.Attempt) {
-	k := a.ID()
-	delete(m.Assignments, k)
-	if s, listed := m.Reported[k]; listed && s.Status != StatusExited {
-		m.hasUnknownTask = true
-	}
-	m.Version++
+// compareAssignments orders by attempt number, which the tasks of a gang share, then by task.
+func compareAssignments(a, b *Assignment) int {
+	return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
 }
 
-// Renumber books an attempt that was never sent under its new number.
-func (m *Machine) Renumber(a *jobstore.Attempt, was uint64) {
-	old := job.AttemptID{Task: a.TaskName(), Number: was}
-	if h := m.Assignments[old]; h != nil {
-		delete(m.Assignments, old)
-		m.Assignments[a.ID()] = h
-		m.Version++
+// SortedAssignments returns the assignments in a fixed order, so that runs repeat.
+func (m *Machine) SortedAssignments() []*Assignment {
+	sorted := make([]*Assignment, 0, len(m.Assignments))
+	for _, assignment := range m.Assignments {
+		sorted = append(sorted, assignment)
 	}
+	slices.SortFunc(sorted, compareAssignments)
+	return sorted
 }
 
 // AssignmentOf returns the assignment of an attempt, or nil.
-func (m *Machine) AssignmentOf(a *jobstore.Attempt) *Assignment {
-	return m.Assignments[a.ID()]
+func (m *Machine) AssignmentOf(attempt *jobstore.Attempt) *Assignment {
+	return m.Assignments[attempt.ID()]
 }
 
-// RunsService tells whether a service's task is booked on the machine.
+// RunsService reports whether a task of a service is assigned to the machine.
 func (m *Machine) RunsService() bool {
-	for _, h := range m.Assignments {
-		if h.Job.Spec.Shape == job.Service {
+	for _, assignment := range m.Assignments {
+		if assignment.Job.Spec.Shape == job.Service {
 			return true
 		}
 	}
 	return false
 }
 
-// SortedAssignments returns the assignments in a fixed order, so that runs repeat.
-func (m *Machine) SortedAssignments() []*Assignment {
-	out := make([]*Assignment, 0, len(m.Assignments))
-	for _, h := range m.Assignments {
-		out = append(out, h)
+// Assign places an attempt on the machine.
+func (m *Machine) Assign(attempt *jobstore.Attempt, now time.Time) *Assignment {
+	assignment := &Assignment{Attempt: attempt, AssignedAt: now}
+	m.Assignments[attempt.ID()] = assignment
+	m.Version++
+	return assignment
+}
+
+// Release removes the assignment of an attempt whose start was never sent. If the agent reports the
+// attempt as live all the same, it counts as an unknown task from then on.
+func (m *Machine) Release(attempt *jobstore.Attempt) {
+	id := attempt.ID()
+	delete(m.Assignments, id)
+	if state, listed := m.Reported[id]; listed && state.Status != StatusExited {
+		m.hasUnknownTask = true
 	}
-	slices.SortFunc(out, compare)
-	return out
+	m.Version++
 }
 
-func compare(a, b *Assignment) int {
-	// The tasks of a gang share a try.
-	return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
+// Renumber keeps the assignment of an attempt whose start was never sent under the number that it
+// has been given instead of previousNumber, as happens when another term has begun.
+func (m *Machine) Renumber(attempt *jobstore.Attempt, previousNumber uint64) {
+	previousID := job.AttemptID{Task: attempt.TaskName(), Number: previousNumber}
+	assignment := m.Assignments[previousID]
+	if assignment == nil {
+		return
+	}
+	delete(m.Assignments, previousID)
+	m.Assignments[attempt.ID()] = assignment
+	m.Version++
 }
 
-// Stop asks for an assigned attempt to be halted.
-func (m *Machine) Stop(h *Assignment, windDown float64) {
-	if h.Stopping && h.GracePeriodS <= windDown {
+// Stop asks for an assigned attempt to be halted after a grace period in seconds. A halt that is
+// already wanted at least as soon stays as it is.
+func (m *Machine) Stop(assignment *Assignment, gracePeriodS float64) {
+	if assignment.Stopping && assignment.GracePeriodS <= gracePeriodS {
 		return
 	}
-	h.Stopping, h.GracePeriodS = true, windDown
+	assignment.Stopping = true
+	assignment.GracePeriodS = gracePeriodS
 	m.Version++
 	m.urgent = true
 }
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -1,5 +1,7 @@
 package agent
 
+// The client of worker agents, for requests that do not wait for the next heartbeat.
+
 import (
 	"context"
 	"fmt"
@@ -7,14 +9,25 @@
 	"tulipshelf/internal/wire"
 )
 
-// Call makes a direct request to a worker and returns its report.
-func Call(ctx context.Context, c *wire.Client, method, path string, body []byte) (r Heartbeat, err error) {
-	resp, err := c.Do(ctx, method, path, body)
+// StatusError is a response of an agent with a status that carries no heartbeat.
+type StatusError struct{ Status int }
+
+// Error returns the status as a text.
+func (e StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+
+// Call makes a direct request to an agent and returns the heartbeat that it responds with, also if
+// it refuses the commands (status 409: its incarnation is another, or it has seen a higher token).
+// The error is a StatusError for any other status but 200; otherwise it is one of the client, which
+// wraps wire.ErrNotSent if the request had no effect, or of the codec. It may be called from any
+// goroutine.
+func Call(ctx context.Context, client *wire.Client, method, path string, body []byte) (Heartbeat, error) {
+	var heartbeat Heartbeat
+	resp, err := client.Do(ctx, method, path, body)
 	if err != nil {
-		return r, err
+		return heartbeat, err
 	}
-	if resp.Status != 200 && resp.Status != 409 {
-		return r, fmt.Errorf("status %d", resp.Status)
+	if resp.Status != wire.StatusOK && resp.Status != wire.StatusConflict {
+		return heartbeat, StatusError{resp.Status}
 	}
-	return r, wire.Unmarshal(resp.Body, &r)
+	return heartbeat, wire.Unmarshal(resp.Body, &heartbeat)
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -1,104 +1,173 @@
 package agent
 
+// Heartbeats: taking one over into the machine, and what it proves about the attempts assigned there.
+
 import (
 	"slices"
 	"time"
 )
 
-// TaskState is what the newest report says of one attempt.
+// TaskState is what the newest heartbeat says of one attempt.
 type TaskState struct {
 	Status TaskStatus
-	Cause  ExitCause
+	Cause  ExitCause // meaningful once Status is StatusExited
 }
 
-// Outcome is the proof that an assignment has ended.
+// Outcome is the proof that an assigned attempt has ended.
 type Outcome struct {
 	Assignment *Assignment
 	Cause      ExitCause
 }
 
-// ApplyHeartbeat takes a report and returns what it proves. It returns false for a
-// report that is older than one already taken.
-//
-// An attempt is proven gone by a newer session, by its exit, or by its absence
-// from a report of a worker that has seen a higher token than the attempt's:
-// such a worker executes no late copy of the start. Absence under the same
-// token proves nothing, since the start may still be on its way.
-func (m *Machine) ApplyHeartbeat(r *Heartbeat, lease time.Duration, now time.Time) (out []Outcome, fresh bool) {
-	if r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence {
+// heartbeatState is what a machine's heartbeats had shown before the one that is being applied.
+type heartbeatState struct {
+	registered   bool
+	incarnation  uint64
+	fencingToken uint64
+}
+
+// ApplyHeartbeat takes over a heartbeat and returns what it proves, in the order of
+// SortedAssignments; the assignments that have ended are removed. It returns fresh as false, and
+// changes nothing, for a heartbeat that is older than one already applied. The lease is the time
+// for which an agent keeps its tasks without a response.
+func (m *Machine) ApplyHeartbeat(heartbeat *Heartbeat, lease time.Duration, now time.Time) (outcomes []Outcome, fresh bool) {
+	if m.supersedes(heartbeat) {
 		return nil, false
 	}
-	known, session, token := m.Registered, m.Incarnation, m.FencingToken
-	m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, r.Sequence, r.FencingToken
-	m.Addr, m.Spot, m.Registered, m.Booting, m.LastHeartbeat, m.ProbeFailed = r.Addr, r.Spot, true, false, now, false
+	previous := heartbeatState{m.Registered, m.Incarnation, m.FencingToken}
+	m.recordHeartbeat(heartbeat, now)
+	outcomes = m.removeEnded(now)
+	m.updateUnknownTask()
+	m.detectUnresponsive(heartbeat, previous, lease, now)
+	slices.SortFunc(outcomes, func(a, b Outcome) int { return compareAssignments(a.Assignment, b.Assignment) })
+	return outcomes, true
+}
+
+// supersedes reports whether a heartbeat at least as new as this one has been applied.
+func (m *Machine) supersedes(heartbeat *Heartbeat) bool {
+	if heartbeat.Incarnation != m.Incarnation {
+		return heartbeat.Incarnation < m.Incarnation
+	}
+	return heartbeat.Sequence <= m.Sequence
+}
+
+// recordHeartbeat takes over the content of a heartbeat.
+func (m *Machine) recordHeartbeat(heartbeat *Heartbeat, now time.Time) {
+	m.Addr = heartbeat.Addr
+	m.Spot = heartbeat.Spot
+	m.Incarnation = heartbeat.Incarnation
+	m.Sequence = heartbeat.Sequence
+	m.FencingToken = heartbeat.FencingToken
+	m.LastHeartbeat = now
+	m.Registered = true
+	m.Booting = false
+	m.ProbeFailed = false
 	m.TerminationAt = time.Time{}
-	if r.TerminationNoticeS != nil {
-		m.TerminationAt = now.Add(time.Duration(*r.TerminationNoticeS * float64(time.Second)))
+	if notice := heartbeat.TerminationNoticeS; notice != nil {
+		m.TerminationAt = now.Add(time.Duration(*notice * float64(time.Second)))
 	}
 	clear(m.Reported)
-	for _, t := range r.Tasks {
-		m.Reported[t.ID()] = TaskState{t.Status, t.Cause}
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
+		m.Reported[task.ID()] = TaskState{task.Status, task.Cause}
 	}
-	for k, h := range m.Assignments {
-		s, listed := m.Reported[k]
+}
+
+// removeEnded removes the assignments that the newest heartbeat proves gone and returns their
+// outcomes, and records the progress of the others.
+func (m *Machine) removeEnded(now time.Time) []Outcome {
+	var outcomes []Outcome
+	for id, assignment := range m.Assignments {
+		state, listed := m.Reported[id]
+		cause, ended := m.endOf(assignment, state, listed)
 		switch {
-		case h.Incarnation < r.Incarnation:
-			out = append(out, Outcome{h, CauseLost})
-		case listed && s.Status == StatusExited:
-			out = append(out, Outcome{h, s.Cause})
+		case ended:
+			outcomes = append(outcomes, Outcome{assignment, cause})
+			delete(m.Assignments, id)
+			m.Version++
 		case listed:
-			h.MissedHeartbeats = 0
-			if s.Status != StatusPulling && s.Status != StatusWaiting && h.RunningSince.IsZero() {
-				h.RunningSince = now
-			}
-			continue
-		case h.ID().Term() < r.FencingToken:
-			out = append(out, Outcome{h, CauseLost})
+			assignment.recordProgress(state.Status, now)
 		default:
-			h.MissedHeartbeats++
-			continue
+			assignment.MissedHeartbeats++
 		}
-		delete(m.Assignments, k)
-		m.Version++
 	}
-	foreign := false
-	for k, s := range m.Reported {
-		foreign = foreign || s.Status != StatusExited && m.Assignments[k] == nil
+	return outcomes
+}
+
+// endOf reports whether the newest heartbeat, which lists the attempt in a state or does not list
+// it, proves that it has ended, and why. Three things prove that:
+//
+//   - a newer incarnation of the agent, which has none of the tasks of the one before,
+//   - the attempt's exit,
+//   - its absence from a heartbeat of an agent that has seen a higher token than the attempt's:
+//     such an agent executes no late copy of the start.
+//
+// Absence under the same token proves nothing, since the start may still be on its way.
+// Heartbeat.ConfirmsGone applies the same rule to one heartbeat alone.
+func (m *Machine) endOf(assignment *Assignment, state TaskState, listed bool) (cause ExitCause, ended bool) {
+	switch {
+	case assignment.Incarnation < m.Incarnation:
+		return CauseLost, true
+	case listed:
+		return state.Cause, state.Status == StatusExited
+	default:
+		return CauseLost, assignment.ID().Term() < m.FencingToken
 	}
-	if foreign != m.hasUnknownTask {
-		m.hasUnknownTask = foreign
-		m.Version++
+}
+
+// recordProgress takes over the status of an attempt that the newest heartbeat lists as live.
+func (a *Assignment) recordProgress(status TaskStatus, now time.Time) {
+	a.MissedHeartbeats = 0
+	preparing := status == StatusPulling || status == StatusWaiting
+	if !preparing && a.RunningSince.IsZero() {
+		a.RunningSince = now
 	}
-	m.detectUnresponsive(r, known, session, token, lease, now)
-	slices.SortFunc(out, func(a, b Outcome) int { return compare(a.Assignment, b.Assignment) })
-	return out, true
 }
 
-// ExitedTasks returns how many exited attempts the worker still reports.
-func (m *Machine) ExitedTasks() int {
-	n := 0
-	for _, s := range m.Reported {
-		if s.Status == StatusExited {
-			n++
+// updateUnknownTask finds out anew whether a live attempt is reported that is not assigned.
+func (m *Machine) updateUnknownTask() {
+	unknown := false
+	for id, state := range m.Reported {
+		if state.Status != StatusExited && m.Assignments[id] == nil {
+			unknown = true
+			break
 		}
 	}
-	return n
+	if unknown != m.hasUnknownTask {
+		m.hasUnknownTask = unknown
+		m.Version++
+	}
 }
 
-// LatestHeartbeat returns the newest report, but for its type, zone and notice.
+// LatestHeartbeat returns the newest heartbeat without its type, zone and termination notice. The
+// order of its tasks is arbitrary.
 func (m *Machine) LatestHeartbeat() Heartbeat {
-	r := Heartbeat{Machine: m.Name, Addr: m.Addr, Spot: m.Spot, Incarnation: m.Incarnation, Sequence: m.Sequence, FencingToken: m.FencingToken}
-	for id, s := range m.Reported {
-		r.Tasks = append(r.Tasks, ReportedTask{id.Task, id.Number, s.Status, s.Cause})
+	heartbeat := Heartbeat{
+		Machine:      m.Name,
+		Addr:         m.Addr,
+		Spot:         m.Spot,
+		Incarnation:  m.Incarnation,
+		Sequence:     m.Sequence,
+		FencingToken: m.FencingToken,
+	}
+	for id, state := range m.Reported {
+		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{id.Task, id.Number, state.Status, state.Cause})
 	}
-	return r
+	return heartbeat
+}
+
+// ExitedTasks returns how many exited attempts the agent still reports.
+func (m *Machine) ExitedTasks() int {
+	exited := 0
+	m.EachExited(func(string) { exited++ })
+	return exited
 }
 
-// EachExited calls fn for each exited task that the worker still reports.
-func (m *Machine) EachExited(fn func(task string)) {
-	for id, s := range m.Reported {
-		if s.Status == StatusExited {
-			fn(id.Task)
+// EachExited calls visit with the task's name for each exited attempt that the agent still reports.
+func (m *Machine) EachExited(visit func(task string)) {
+	for id, state := range m.Reported {
+		if state.Status == StatusExited {
+			visit(id.Task)
 		}
 	}
 }
--- a/internal/agent/image_cache.go
+++ b/internal/agent/image_cache.go
@@ -1,53 +1,72 @@
 package agent
 
+// The image cache: which container images a machine is thought to have on its disk.
+
 import "time"
 
-// Images is what a machine is thought to have cached: a machine keeps the
-// images used most recently.
+// Images is what a machine's image cache is thought to hold: agents do not report it, but keep the
+// images used most recently. The zero value is an empty cache. The event loop that owns the machine
+// alone uses it.
 type Images struct {
-	gb   map[string]float64
-	used map[string]time.Time
-	here map[string]bool // fetched: a task that needs it has run
+	sizeGB   map[string]float64
+	lastUsed map[string]time.Time
+	fetched  map[string]bool // a task that needs the image has run here
+}
+
+// Use records that a task with the image is, or soon will be, on the machine, and evicts the images
+// used least recently until the rest fit into capacityGB. The image itself stays in any case.
+func (c *Images) Use(image string, sizeGB, capacityGB float64, now time.Time) {
+	if c.sizeGB == nil {
+		c.sizeGB, c.lastUsed = map[string]float64{}, map[string]time.Time{}
+	}
+	c.sizeGB[image] = sizeGB
+	c.lastUsed[image] = now
+	for {
+		totalGB, oldest := c.usage(image)
+		if totalGB <= capacityGB || oldest == image {
+			return
+		}
+		c.evict(oldest)
+	}
 }
 
-// Fetched notes that a task with the image runs.
-func (x *Images) Fetched(name string) {
-	if _, ok := x.gb[name]; ok && !x.here[name] {
-		if x.here == nil {
-			x.here = map[string]bool{}
+// usage returns the size of all images and the one used least recently; newest is the one used
+// last.
+func (c *Images) usage(newest string) (totalGB float64, oldest string) {
+	oldest = newest
+	for image, sizeGB := range c.sizeGB {
+		totalGB += sizeGB
+		if c.lastUsed[image].Before(c.lastUsed[oldest]) {
+			oldest = image
 		}
-		x.here[name] = true
 	}
+	return totalGB, oldest
 }
 
-// Ready tells whether the machine is thought to have the image fetched.
-func (x *Images) Ready(name string) bool { return x.here[name] }
+func (c *Images) evict(image string) {
+	delete(c.sizeGB, image)
+	delete(c.lastUsed, image)
+	delete(c.fetched, image)
+}
 
-// Use notes that a task with the image is, or soon will be, on the machine.
-func (x *Images) Use(name string, gb, room float64, now time.Time) {
-	if x.gb == nil {
-		x.gb, x.used = map[string]float64{}, map[string]time.Time{}
+// Fetched records that a task with the image has come past pulling it. It has no effect on an image
+// that Use has not recorded.
+func (c *Images) Fetched(image string) {
+	if !c.Has(image) || c.fetched[image] {
+		return
 	}
-	x.gb[name], x.used[name] = gb, now
-	for {
-		total, oldest := 0.0, name
-		for n, size := range x.gb {
-			total += size
-			if x.used[n].Before(x.used[oldest]) {
-				oldest = n
-			}
-		}
-		if total <= room || oldest == name {
-			return
-		}
-		delete(x.gb, oldest)
-		delete(x.used, oldest)
-		delete(x.here, oldest)
+	if c.fetched == nil {
+		c.fetched = map[string]bool{}
 	}
+	c.fetched[image] = true
 }
 
-// Has tells whether the machine is thought to have the image, or to fetch it.
-func (x *Images) Has(name string) bool {
-	_, ok := x.gb[name]
+// Has reports whether the machine is thought to have the image, or to be fetching it.
+func (c *Images) Has(image string) bool {
+	_, ok := c.sizeGB[image]
 	return ok
 }
+
+// Ready reports whether the machine is thought to have fetched the image, so that a task with it
+// starts at once.
+func (c *Images) Ready(image string) bool { return c.fetched[image] }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -1,50 +1,84 @@
 package agent
 
+// Machine: all that is known of one rented machine.
+
 import (
 	"time"
 
 	"tulipshelf/internal/job"
 )
 
-// Machine is one rented machine.
+// Machine is one rented machine and the worker agent on it. The leader's event loop alone reads and
+// writes it; the groups below name which of the loop's inputs a field comes from. Fields are
+// written elsewhere in the loop only where their comment says so.
 type Machine struct {
-	Index           int // dense; that of a machine that is gone is given anew
-	Name            string
-	Addr            string
-	Type            int
-	Zone            int
-	Spot            bool
-	Registered      bool // has reported to this leader
-	Incarnation     uint64
-	Sequence        uint64
-	FencingToken    uint64
-	LastHeartbeat   time.Time // last report under this leader
-	Created         time.Time // when this leader first knew of it
-	TerminationAt   time.Time // when the cloud takes it away; zero: no notice
-	Reported        map[job.AttemptID]TaskState
-	Assignments     map[job.AttemptID]*Assignment
-	FailedAttempts  int                 // failed attempts since the last that was done
-	FailedJobs      map[string]struct{} // jobs whose tasks failed since then
-	Quarantined     bool
-	RequestInFlight bool
-	LastProbe       time.Time    // when the leader last asked directly it, unheard
-	ProbeFailed     bool         // it did not answer
-	RelayedBy       string       // node through which it is heard, if not directly
-	Failed          bool         // the cloud lists it as failed
-	Booting         bool         // the cloud lists it as starting and it has not reported
-	RetireReason    RetireReason // why it is being returned, empty: it is not
-	Gone            bool
-
-	Images            Images
-	IdleSince         time.Time
-	Version           uint64    // raised by every change of what is on the machine
-	Listed            bool      // the cloud has named it to this leader, as rented or running
-	UnresponsiveSince time.Time // since when it seems that nothing reaches it; zero: it does
-	urgent            bool      // commands wait to be pushed
-	hasUnknownTask    bool
-	answers           answers
+	// Identity, given by Registry.Add.
+
+	Index   int       // dense; the index of a machine that is gone is reused
+	Name    string    // never given to another machine
+	Created time.Time // when this leader first knew of it
+
+	// What the newest heartbeat says, written by ApplyHeartbeat. Addr and Spot are also taken from
+	// the cloud's list; Type and Zone are filled in by the caller from either.
+
+	Addr          string    // IPv4 address and port of the agent
+	Type          int       // index into the leader's machine types; -1: unknown
+	Zone          int       // index into the leader's zones; -1: unknown
+	Spot          bool      // a spot instance: the cloud may take it back
+	Registered    bool      // a heartbeat has reached this leader
+	Incarnation   uint64    // grows with each start of the agent
+	Sequence      uint64    // grows with each heartbeat of an incarnation
+	FencingToken  uint64    // the highest token that the agent has seen
+	LastHeartbeat time.Time // kept by the caller when what it applies is the response to a direct request
+	TerminationAt time.Time // when the cloud takes the machine away; zero: no termination notice
+	Reported      map[job.AttemptID]TaskState
+
+	hasUnknownTask bool
+
+	// What the cloud's list says, written by the caller that reads the list.
+
+	Listed  bool // the cloud has named it to this leader, as rented or running
+	Booting bool // listed as starting and not yet registered; a heartbeat ends it
+	Failed  bool // listed as failed
+
+	// What the leader has decided or observed, written by the caller and by the methods of
+	// assignment.go.
+
+	Assignments    map[job.AttemptID]*Assignment
+	Version        uint64 // raised by every change of what is on the machine
+	Images         Images
+	IdleSince      time.Time           // when something was last seen assigned to it; at first, Created
+	FailedAttempts int                 // attempts that failed since the last that was done
+	FailedJobs     map[string]struct{} // IDs of the jobs whose attempts failed since then
+	Quarantined    bool                // nothing more is placed on it
+	RetireReason   RetireReason        // why it is being returned; NotRetired: it is not
+	Gone           bool                // returned: nothing on it runs any more
+
+	// How commands reach it: written by the caller, by responsiveness.go and by commands.go.
+
+	RelayedBy         string    // node that forwards its heartbeats and commands; "": none
+	RequestInFlight   bool      // a direct request to it has not been answered yet
+	LastProbe         time.Time // when the leader last asked the silent machine directly
+	ProbeFailed       bool      // it did not answer the probe; a heartbeat ends it
+	UnresponsiveSince time.Time // since when nothing seems to reach it; zero: it is responsive
+
+	responses responseHistory
+	urgent    bool // commands wait that are to be sent before the next heartbeat
 }
 
-// HasUnknownTask tells whether the newest report listed a live attempt that was booked
-// nowhere: it takes room all the same.
+// HasUnknownTask reports whether the newest heartbeat listed a live attempt that is not assigned
+// to the machine: it takes room all the same.
 func (m *Machine) HasUnknownTask() bool { return m.hasUnknownTask }
+
+// remove marks the machine as gone and returns the outcomes of all attempts on it.
+func (m *Machine) remove() []Outcome {
+	var outcomes []Outcome
+	for _, assignment := range m.SortedAssignments() {
+		outcomes = append(outcomes, Outcome{assignment, CauseLost})
+	}
+	m.Gone = true
+	m.Assignments = nil
+	m.Reported = nil
+	m.Version++
+	return outcomes
+}
--- a/internal/agent/retire_reason.go
+++ b/internal/agent/retire_reason.go
@@ -3,9 +3,9 @@
 // RetireReason is why the leader returns a machine to the cloud.
 type RetireReason string
 
-// Reasons, as they are logged.
+// Reasons to return a machine, as they are logged.
 const (
-	NotRetired         RetireReason = ""
+	NotRetired         RetireReason = ""                         // it is not being returned
 	RetireFailed       RetireReason = "failed"                   // the cloud lists it so
 	RetireQuarantined  RetireReason = "faulty"                   // tasks of several jobs failed on it
 	RetireNeverBooted  RetireReason = "never came up"            // no heartbeat within several boot times
@@ -16,8 +16,8 @@
 	RetireUnlisted     RetireReason = "no longer listed"         // the cloud does not know it any more
 	RetireIdle         RetireReason = "idle"                     // empty, and not needed
 
-	// RetireStuckCancelled is given to a machine that can't be told of a cancellation. It is returned
-	// even while it is not sure that this node still leads, as its time runs out: the worst is work
-	// lost on it that another leader has sent there.
+	// RetireStuckCancelled is for a machine that holds a cancelled task and cannot be sent the halt.
+	// It is returned even while this node may have lost the leadership, since the deadline for
+	// cancelled tasks runs out; at worst work is lost that another leader has placed on it.
 	RetireStuckCancelled RetireReason = "holds a cancelled task that cannot be stopped"
 )
