--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that rents machines, within this
-// node's share of its request rate.
+// Package cloud is the client of the cloud that rents machines. It keeps within this node's share
+// of the request rate that the cloud allows.
 package cloud
 
 import (
@@ -14,108 +14,126 @@
 	"tulipshelf/internal/wire"
 )
 
-// ErrNoCapacity says that no machine of this type, zone and kind is to be had.
+const (
+	// requestTimeout bounds one request once the rate lets it go. Carrying out a return may take
+	// longer than an ordinary response.
+	requestTimeout = 4 * time.Second
+
+	// maxResponseBytes is above any page of the list and any catalog.
+	maxResponseBytes = 4 << 20
+
+	// burstSeconds is for how long unused rate accumulates: the cloud allows as much at once.
+	burstSeconds = 2
+
+	// listShare is the part of the rate that may go into lists.
+	listShare = 0.4
+)
+
+// ErrNoCapacity says that no machine of the type, zone and kind that were asked for is available.
+// The rental has had no effect.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// Client talks to the cloud.
-type Client struct {
-	http  *wire.Client
-	limit *rate.Limiter
+// StatusError is a response with a status that is neither success nor one of the errors above.
+type StatusError struct {
+	Method string
+	Target string // path and query
+	Status int
 }
 
-// timeout bounds one request; carrying out a return may take longer than an
-// ordinary answer.
-const timeout = 4 * time.Second
+// Error returns the request and the status.
+func (e StatusError) Error() string {
+	return fmt.Sprintf("cloud: %s %s: status %d", e.Method, e.Target, e.Status)
+}
 
-// New returns a client that makes at most rps requests a second, after a quiet time as
-// many as two seconds are worth at once, as the cloud allows.
-func New(dial wire.DialFunc, addr string, rps float64) *Client {
-	return &Client{http: &wire.Client{Dial: dial, Addr: addr, Limit: 4 << 20}, limit: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps)))}
+// Client makes requests to the cloud. All methods may be called from any goroutine; those with a
+// context wait until the rate allows the request, and then for its response, at most for some
+// seconds. Their errors wrap what the rate limiter, the connection (see wire.Client.Do) or the codec
+// reported, or are a StatusError or ErrNoCapacity.
+type Client struct {
+	http    *wire.Client
+	limiter *rate.Limiter
 }
 
-// Ready tells how many requests would be sent without waiting, at least one.
-func (c *Client) Ready() int { return max(1, int(c.limit.Tokens())) }
+// New returns a client of the cloud at addr that makes at most the given number of requests a
+// second, and after a quiet time as many at once as two seconds are worth. A nil dial is that of
+// wire.Client.
+func New(dial wire.DialFunc, addr string, requestsPerSecond float64) *Client {
+	burst := max(1, int(burstSeconds*requestsPerSecond))
+	return &Client{
+		http:    &wire.Client{Dial: dial, Addr: addr, Limit: maxResponseBytes},
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond), burst),
+	}
+}
 
-// listShare is the part of the rate that may go into lists.
-const listShare = 0.4
+// Ready returns how many requests would be sent without waiting for the rate, but at least one.
+func (c *Client) Ready() int { return max(1, int(c.limiter.Tokens())) }
 
-// ListEvery returns how far apart lists of so many machines have to be for most of the rate to
-// be left to rentals and returns: a list of 6,000 takes 12 requests.
+// ListEvery returns how far apart lists of so many machines have to be for most of the rate to be
+// left to rentals and returns: a list takes a request for each page.
 func (c *Client) ListEvery(machines int) time.Duration {
-	pages := machines/maxList + 1
-	return time.Duration(float64(pages) / (listShare * float64(c.limit.Limit())) * float64(time.Second))
+	pages := machines/maxPageSize + 1
+	pagesPerSecond := listShare * float64(c.limiter.Limit())
+	return time.Duration(float64(pages) / pagesPerSecond * float64(time.Second))
 }
 
 // Catalog returns the machine types with their current prices.
 func (c *Client) Catalog(ctx context.Context) ([]Type, error) {
-	var out struct {
-		Types []Type `cbor:"builds"`
-	}
-	err := c.do(ctx, "GET", "/catalog", nil, &out)
-	return out.Types, err
+	var resp catalogResponse
+	err := c.do(ctx, "GET", "/catalog", nil, &resp)
+	return resp.Types, err
 }
 
-// Rent asks for machines and returns the names of those rented. After an error
-// other than ErrNoCapacity it may or may not have been carried out: only the
-// same request, sent again, tells.
-func (c *Client) Rent(ctx context.Context, r Rental) ([]string, error) {
-	var out struct {
-		Machines []string `cbor:"shelves"`
-	}
-	err := c.do(ctx, "POST", "/rentals", wire.Marshal(r), &out)
-	return out.Machines, err
+// Rent asks for machines and returns the names of those rented, which may be fewer. After an error
+// other than ErrNoCapacity it may or may not have been carried out: only the same request, sent
+// again, shows.
+func (c *Client) Rent(ctx context.Context, rental Rental) ([]string, error) {
+	var resp rentResponse
+	err := c.do(ctx, "POST", "/rentals", wire.Marshal(rental), &resp)
+	return resp.Machines, err
 }
 
-// Return gives machines back. After success they and all on them are gone.
+// Return gives machines back, at most MaxReturn. After success they and all on them are gone; after
+// an error they may be. To return one again does no harm.
 func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.do(ctx, "POST", "/rentals/return", wire.Marshal(map[string][]string{"shelves": names}), nil)
+	return c.do(ctx, "POST", "/rentals/return", wire.Marshal(returnRequest{names}), nil)
 }
 
-// List returns all machines, as they were some seconds ago.
+// List returns all machines, as they were some seconds ago, page by page. An error of one page is
+// one of the whole.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
-	var all []Machine
-	after := ""
-	for {
-		var page struct {
-			Machines []Machine `cbor:"shelves"`
-			More     bool      `cbor:"has_next"`
-		}
-		q := "/rentals?limit=" + strconv.Itoa(maxList)
-		if after != "" {
-			q += "&after=" + after
-		}
-		if err := c.do(ctx, "GET", q, nil, &page); err != nil {
+	var machines []Machine
+	target := "/rentals?limit=" + strconv.Itoa(maxPageSize)
+	for next := target; ; {
+		var page listResponse
+		if err := c.do(ctx, "GET", next, nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Machines...)
+		machines = append(machines, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
-			return all, nil
+			return machines, nil
 		}
-		after = page.Machines[len(page.Machines)-1].Name
+		last := page.Machines[len(page.Machines)-1]
+		next = target + "&after=" + last.Name
 	}
 }
 
+// do makes one request and decodes the body of a successful response into out, unless it is nil.
 func (c *Client) do(ctx context.Context, method, target string, body []byte, out any) error {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	resp, err := c.http.Do(ctx, method, target, body)
 	if err != nil {
 		c.http.CloseIdle()
 		return fmt.Errorf("cloud: %w", err)
 	}
-	if resp.Status == 503 {
-		var e struct {
-			Error string `cbor:"error"`
-		}
-		if wire.Unmarshal(resp.Body, &e) == nil && e.Error == "no capacity" {
-			return ErrNoCapacity
-		}
+	if refusedForCapacity(resp) {
+		return ErrNoCapacity
 	}
-	if resp.Status != 200 {
-		return fmt.Errorf("cloud: %s %s: status %d", method, target, resp.Status)
+	if resp.Status != wire.StatusOK {
+		return StatusError{method, target, resp.Status}
 	}
 	if out == nil {
 		return nil
@@ -125,3 +143,12 @@
 	}
 	return nil
 }
+
+// refusedForCapacity tells the refusal of a rental apart from an outage, which has the same status.
+func refusedForCapacity(resp wire.Response) bool {
+	if resp.Status != wire.StatusServiceUnavailable {
+		return false
+	}
+	var problem wire.Problem
+	return wire.Unmarshal(resp.Body, &problem) == nil && problem.Error == noCapacity
+}
