--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -1,5 +1,7 @@
 package job
 
+// The identity of attempts, and the names of tasks.
+
 import (
 	"strconv"
 	"strings"
@@ -22,12 +24,16 @@
 // has made before. Numbers of a later term are higher.
 func AttemptNumber(term, sequence uint64) uint64 { return term<<termShift | sequence }
 
+// taskSeparator stands between the ID of a job and the index of a task in the task's name.
+const taskSeparator = "/"
+
 // TaskName returns the name under which a job's task is known to worker agents.
-func TaskName(jobID string, task int) string { return jobID + "/" + strconv.Itoa(task) }
+func TaskName(jobID string, task int) string { return jobID + taskSeparator + strconv.Itoa(task) }
 
-// ParseTaskName splits the name of a task into its job's ID and its index.
+// ParseTaskName splits the name of a task into its job's ID and its index. It returns ok as false,
+// and no other result counts, for what is not such a name; the ID itself is not checked.
 func ParseTaskName(name string) (jobID string, task int, ok bool) {
-	jobID, index, found := strings.Cut(name, "/")
+	jobID, index, found := strings.Cut(name, taskSeparator)
 	task, err := strconv.Atoi(index)
 	return jobID, task, found && err == nil && task >= 0
 }
--- a/internal/job/check.go
+++ b/internal/job/check.go
@@ -1,79 +1,101 @@
 package job
 
+// Checks of single fields of a submission.
+
 import (
 	"fmt"
 	"math"
 )
 
-// maxAmount is far above every amount that is meant.
-const maxAmount = 1e9
+const (
+	maxText   = 200 // bytes of a name
+	maxAmount = 1e9 // far above every amount that is meant, in any unit
+)
+
+// FieldError says that one field of a submission is missing or has a value that is not allowed.
+type FieldError struct {
+	Field  string // its name in the protocol
+	Reason string // a predicate, such as "is missing"
+}
+
+// Error returns the field and the reason.
+func (e FieldError) Error() string { return "job: " + e.Field + " " + e.Reason }
+
+var errInvalidID = FieldError{"uid", "is not a job id"}
 
-// checker checks the fields of a submission and keeps the first fault.
-type checker struct{ fault error }
+// checker checks the fields of one submission and keeps the error of the first that is wrong. Its
+// methods return the value, or a zero one of its type if there is none.
+type checker struct{ err error }
 
-func (c *checker) bad(field, why string) {
-	if c.fault == nil {
-		c.fault = fmt.Errorf("job: %s %s", field, why)
+func (c *checker) fail(err FieldError) {
+	if c.err == nil {
+		c.err = err
 	}
 }
 
-func (c *checker) text(field string, p *string) string {
-	if p == nil || *p == "" || len(*p) > maxText {
-		c.bad(field, "is missing, empty or too long")
+// text requires a text that is neither empty nor longer than maxText.
+func (c *checker) text(field string, value *string) string {
+	if value == nil || *value == "" || len(*value) > maxText {
+		c.fail(FieldError{field, "is missing, empty or too long"})
 		return ""
 	}
-	return *p
+	return *value
 }
 
-func (c *checker) amount(field string, p *float64) float64 {
-	if p == nil {
-		c.bad(field, "is missing")
+// amount requires a number from 0 to maxAmount.
+func (c *checker) amount(field string, value *float64) float64 {
+	if value == nil {
+		c.fail(FieldError{field, "is missing"})
 		return 0
 	}
-	if math.IsNaN(*p) || *p < 0 || *p > maxAmount {
-		c.bad(field, "is out of range")
+	if math.IsNaN(*value) || *value < 0 || *value > maxAmount {
+		c.fail(FieldError{field, "is out of range"})
 	}
-	return *p
+	return *value
 }
 
-func (c *checker) flag(field string, p *bool) bool {
-	if p == nil {
-		c.bad(field, "is missing")
+// flag requires a truth value.
+func (c *checker) flag(field string, value *bool) bool {
+	if value == nil {
+		c.fail(FieldError{field, "is missing"})
 		return false
 	}
-	return *p
+	return *value
 }
 
 func (c *checker) id(id string) {
 	if !ValidID(id) {
-		c.bad("uid", "is not a job id")
+		c.fail(errInvalidID)
 	}
 }
 
-func (c *checker) shape(s Shape) {
-	if s != Array && s != Service && s != Gang {
-		c.bad("shape", fmt.Sprintf("%.20q is unknown", string(s)))
+func (c *checker) shape(field string, shape Shape) {
+	if !shape.valid() {
+		c.fail(FieldError{field, fmt.Sprintf("%.20q is unknown", string(shape))})
 	}
 }
 
-func (c *checker) priority(name string) {
-	if _, ok := priorities[name]; !ok {
-		c.bad("rank", "is unknown")
+func (c *checker) priority(field string, priority Priority) {
+	if !priority.valid() {
+		c.fail(FieldError{field, "is unknown"})
 	}
 }
 
-func (c *checker) tasks(n *int64) int {
-	if n == nil || *n < 1 || *n > MaxTasks {
-		c.bad("tickets", "is missing or out of range")
+// taskCount requires a number from 1 to MaxTasks.
+func (c *checker) taskCount(field string, value *int64) int {
+	if value == nil || *value < 1 || *value > MaxTasks {
+		c.fail(FieldError{field, "is missing or out of range"})
 		return 0
 	}
-	return int(*n)
+	return int(*value)
 }
 
-func (c *checker) types(names []string) []string {
+// typeNames requires names that could be those of machine types; whether there are such types is
+// checked against the catalog elsewhere.
+func (c *checker) typeNames(field string, names []string) []string {
 	for _, name := range names {
 		if name == "" || len(name) > maxText {
-			c.bad("builds", "holds an empty or too long name")
+			c.fail(FieldError{field, "holds an empty or too long name"})
 		}
 	}
 	return names
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -1,6 +1,7 @@
 package job
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -8,6 +9,7 @@
 	"tulipshelf/internal/wire"
 )
 
+// valid returns the fields of a submission that is accepted.
 func valid() map[string]any {
 	return map[string]any{"uid": "wk-000412", "lane": "train", "crew": "vision", "shape": "array", "rank": "high",
 		"tickets": 16, "cpus": 8, "gpus": 1.0, "ram_gb": 64.0, "bundle": "img-07", "image_gb": 6.2,
@@ -16,19 +18,25 @@
 }
 
 func TestDecode(t *testing.T) {
-	s, err := Decode(wire.Marshal(valid()))
-	if err != nil || s.Tasks != 16 || s.CPUs != 8 || s.Rank() != High || s.Zone != "" || len(s.Types) != 1 || s.DueS != 900 {
-		t.Fatalf("%+v, %v", s, err)
+	spec, err := Decode(wire.Marshal(valid()))
+	if err != nil || spec.Tasks != 16 || spec.CPUs != 8 || spec.Rank() != High || spec.Zone != "" || len(spec.Types) != 1 || spec.DueS != 900 {
+		t.Fatalf("%+v, %v", spec, err)
 	}
-	// Null is the same as left out, and unknown fields are ignored.
-	m := valid()
-	delete(m, "depot")
-	delete(m, "due_s")
-	m["builds"], m["colour"] = nil, "red"
-	if s, err = Decode(wire.Marshal(m)); err != nil || s.Types != nil || s.DueS != 0 {
-		t.Fatalf("%+v, %v", s, err)
+}
+
+// Null is the same as left out, and unknown fields are ignored.
+func TestDecodeOptionalFields(t *testing.T) {
+	fields := valid()
+	delete(fields, "depot")
+	delete(fields, "due_s")
+	fields["builds"], fields["colour"] = nil, "red"
+	if spec, err := Decode(wire.Marshal(fields)); err != nil || spec.Types != nil || spec.DueS != 0 {
+		t.Fatalf("%+v, %v", spec, err)
 	}
-	for _, x := range []struct {
+}
+
+func TestDecodeRefuses(t *testing.T) {
+	for _, test := range []struct {
 		field string
 		value any
 	}{
@@ -37,30 +45,76 @@
 		{"gpus", math.Inf(1)}, {"ram_gb", nil}, {"image_gb", "big"}, {"same_place", nil}, {"apart", 1}, {"due_s", -1.0},
 		{"bundle", strings.Repeat("x", 300)}, {"builds", "g8"}, {"builds", []string{""}}, {"depot", ""},
 	} {
-		m := valid()
-		m[x.field] = x.value
-		if _, err := Decode(wire.Marshal(m)); err == nil {
-			t.Errorf("%s = %v is taken", x.field, x.value)
+		fields := valid()
+		fields[test.field] = test.value
+		if _, err := Decode(wire.Marshal(fields)); err == nil {
+			t.Errorf("%s = %v is accepted", test.field, test.value)
+		}
+	}
+}
+
+// The error is typed and names the first field that is wrong; users see its text.
+func TestDecodeFieldError(t *testing.T) {
+	for _, test := range []struct {
+		field string
+		value any
+		want  string
+	}{
+		{"crew", nil, "job: crew is missing, empty or too long"},
+		{"cpus", -1.0, "job: cpus is out of range"},
+		{"apart", nil, "job: apart is missing"},
+		{"uid", "wk-12", "job: uid is not a job id"},
+		{"shape", "tree", `job: shape "tree" is unknown`},
+		{"rank", "top", "job: rank is unknown"},
+		{"tickets", 0, "job: tickets is missing or out of range"},
+		{"builds", []string{""}, "job: builds holds an empty or too long name"},
+	} {
+		fields := valid()
+		fields[test.field] = test.value
+		_, err := Decode(wire.Marshal(fields))
+		var fieldError FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.want {
+			t.Errorf("%s = %v: %v", test.field, test.value, err)
+		}
+	}
+}
+
+func TestTaskName(t *testing.T) {
+	jobID, task, ok := ParseTaskName(TaskName("wk-000412", 15))
+	if !ok || jobID != "wk-000412" || task != 15 {
+		t.Errorf("%q, %d, %v", jobID, task, ok)
+	}
+	for _, name := range []string{"", "wk-000412", "wk-000412/", "wk-000412/x", "wk-000412/-1"} {
+		if _, _, ok := ParseTaskName(name); ok {
+			t.Errorf("%q is accepted", name)
 		}
 	}
 }
 
+// Numbers of a later term are higher than all of an earlier one.
+func TestAttemptNumber(t *testing.T) {
+	last, next := AttemptNumber(3, 1<<24-1), AttemptNumber(4, 0)
+	if last >= next || (AttemptID{Number: last}).Term() != 3 || (AttemptID{Number: next}).Term() != 4 {
+		t.Errorf("%d, %d", last, next)
+	}
+}
+
 func FuzzDecode(f *testing.F) {
 	f.Add(wire.Marshal(valid()))
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte("\xa2\x63uid\x61x\x63uid\x61y"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s, err := Decode(data)
+		spec, err := Decode(data)
 		if err != nil {
 			return
 		}
 		id, err := DecodeID(data)
-		if err != nil || id != s.ID || !ValidID(id) {
+		if err != nil || id != spec.ID || !ValidID(id) {
 			t.Fatalf("id %q, %v", id, err)
 		}
-		if s.Tasks < 1 || s.Tasks > MaxTasks || !(s.CPUs >= 0) || math.IsInf(s.CPUs, 0) {
-			t.Fatalf("%+v", s)
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !(spec.CPUs >= 0) || math.IsInf(spec.CPUs, 0) {
+			t.Fatalf("%+v", spec)
 		}
 	})
 }
--- a/internal/job/submission.go
+++ b/internal/job/submission.go
@@ -1,12 +1,15 @@
 package job
 
+// The submission: a job description as it arrives from a user.
+
 import (
 	"fmt"
 
 	"tulipshelf/internal/wire"
 )
 
-// submission has a pointer for each field, to tell missing from zero.
+// submission has a pointer for each field, so that a missing one differs from zero. The codec
+// tags are those of Spec.
 type submission struct {
 	ID          *string   `cbor:"uid"`
 	Class       *string   `cbor:"lane"`
@@ -30,8 +33,8 @@
 	DueS        *float64  `cbor:"due_s"`
 }
 
-// DecodeID reads only the id of a submission, so that a repeated submission of
-// a known job is recognised whatever else its body says.
+// DecodeID reads only the ID of a submission, so that a repeated submission of a known job is
+// recognised whatever else its body says. The error is a FieldError, or wraps that of the codec.
 func DecodeID(body []byte) (string, error) {
 	var s struct {
 		ID wire.Raw `cbor:"uid"`
@@ -41,51 +44,58 @@
 	}
 	var id string
 	if err := wire.UnmarshalValue(s.ID, &id); err != nil || !ValidID(id) {
-		return "", fmt.Errorf("job: uid is not a job id")
+		return "", errInvalidID
 	}
 	return id, nil
 }
 
-// Decode reads and checks a submission. The error names the first field that is wrong.
+// Decode reads and checks a submission. The error is the FieldError of the first field that is
+// wrong, or wraps that of the codec if the body is no submission at all.
 func Decode(body []byte) (*Spec, error) {
-	var s submission
-	if err := wire.Unmarshal(body, &s); err != nil {
+	var submitted submission
+	if err := wire.Unmarshal(body, &submitted); err != nil {
 		return nil, fmt.Errorf("job: %w", err)
 	}
 	var c checker
-	out := &Spec{
-		ID:          c.text("uid", s.ID),
-		Class:       c.text("lane", s.Class),
-		Team:        c.text("crew", s.Team),
-		Shape:       Shape(c.text("shape", s.Shape)),
-		Priority:    c.text("rank", s.Priority),
-		CPUs:        c.amount("cpus", s.CPUs),
-		GPUs:        c.amount("gpus", s.GPUs),
-		RAM:         c.amount("ram_gb", s.RAM),
-		Image:       c.text("bundle", s.Image),
-		ImageGB:     c.amount("image_gb", s.ImageGB),
-		OneZone:     c.flag("same_place", s.OneZone),
-		Apart:       c.flag("apart", s.Apart),
-		Spot:        c.flag("loaners", s.Spot),
-		ExpectS:     c.amount("expect_s", s.ExpectS),
-		CheckpointS: c.amount("stash_every_s", s.CheckpointS),
-		SaveS:       c.amount("stash_s", s.SaveS),
+	spec := c.spec(&submitted)
+	if c.err != nil {
+		return nil, c.err
 	}
-	if s.DueS != nil {
-		out.DueS = c.amount("due_s", s.DueS)
+	return spec, nil
+}
+
+// spec checks all fields. Their order decides which of several errors a user sees.
+func (c *checker) spec(submitted *submission) *Spec {
+	spec := &Spec{
+		ID:          c.text("uid", submitted.ID),
+		Class:       c.text("lane", submitted.Class),
+		Team:        c.text("crew", submitted.Team),
+		Shape:       Shape(c.text("shape", submitted.Shape)),
+		Priority:    Priority(c.text("rank", submitted.Priority)),
+		CPUs:        c.amount("cpus", submitted.CPUs),
+		GPUs:        c.amount("gpus", submitted.GPUs),
+		RAM:         c.amount("ram_gb", submitted.RAM),
+		Image:       c.text("bundle", submitted.Image),
+		ImageGB:     c.amount("image_gb", submitted.ImageGB),
+		OneZone:     c.flag("same_place", submitted.OneZone),
+		Apart:       c.flag("apart", submitted.Apart),
+		Spot:        c.flag("loaners", submitted.Spot),
+		ExpectS:     c.amount("expect_s", submitted.ExpectS),
+		CheckpointS: c.amount("stash_every_s", submitted.CheckpointS),
+		SaveS:       c.amount("stash_s", submitted.SaveS),
 	}
-	c.id(out.ID)
-	c.shape(out.Shape)
-	c.priority(out.Priority)
-	out.Tasks = c.tasks(s.Tasks)
-	if s.Types != nil {
-		out.Types = c.types(*s.Types)
+	if submitted.DueS != nil {
+		spec.DueS = c.amount("due_s", submitted.DueS)
 	}
-	if s.Zone != nil {
-		out.Zone = c.text("depot", s.Zone)
+	c.id(spec.ID)
+	c.shape("shape", spec.Shape)
+	c.priority("rank", spec.Priority)
+	spec.Tasks = c.taskCount("tickets", submitted.Tasks)
+	if submitted.Types != nil {
+		spec.Types = c.typeNames("builds", *submitted.Types)
 	}
-	if c.fault != nil {
-		return nil, c.fault
+	if submitted.Zone != nil {
+		spec.Zone = c.text("depot", submitted.Zone)
 	}
-	return out, nil
+	return spec
 }
