--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,83 +4,143 @@
 	"errors"
 	"math"
 	"os"
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 )
 
-func TestSettings(t *testing.T) {
+// example returns a settings file with each pair of texts replaced, the first by the second.
+func example(t *testing.T, replacements ...string) []byte {
+	t.Helper()
 	data, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := ParseSettings(data)
+	return []byte(strings.NewReplacer(replacements...).Replace(string(data)))
+}
+
+// withNext returns a settings file with limits of the store to come.
+func withNext(t *testing.T, next string) []byte {
+	t.Helper()
+	return []byte(strings.Replace(string(example(t)), `"rps": 80.0`, `"next": `+next+`, "rps": 80.0`, 1))
+}
+
+func TestSettings(t *testing.T) {
+	settings, err := ParseSettings(example(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "shelf-0" || s.Store.ValueBytes != 8192 || s.Workers.Lease != 26*time.Second || s.Teams[0].MaxCPUs != 64 {
-		t.Errorf("%+v", s)
+	if settings.Node != "shelf-0" || settings.Store.ValueBytes != 8192 || settings.Workers.Lease != 26*time.Second || settings.Teams[0].MaxCPUs != 64 {
+		t.Errorf("%+v", settings)
 	}
-	for _, x := range []struct{ from, to, want string }{
+	if settings.Workers.GangWait != 45*time.Second || settings.Workers.GangNotice != 4*time.Second {
+		t.Errorf("%+v", settings.Workers)
+	}
+}
+
+// The error names the field and why it is wrong.
+func TestSettingsRefused(t *testing.T) {
+	for _, test := range []struct{ from, to, want string }{
 		{`"shelf-0"`, `""`, "node_name: must be a text"},
 		{`10.0.0.1:8080`, `localhost:8080`, `listen: "localhost:8080" must be an IPv4 address`},
 		{`"rps": 80.0`, `"rps": -1`, "params.state.rps: -1 is not between"},
 		{`"rps": 80.0`, `"rps": "many"`, "params.state.rps: must be a number"},
 		{`"workers": {`, `"others": {`, "params.workers: must be an object"},
 		{`"cpus": 24.0`, `"cpus": null`, "params.teams[0].cpus: must be a number"},
+		{`"walvis-bay", "windhoek-north"]`, `"walvis-bay", 7]`, "params.zones[1]: must be a text"},
+		{`"rider-desk"`, `"kitchen-ops"`, "params.teams[1].name: names a team twice"},
 	} {
-		bad := strings.Replace(string(data), x.from, x.to, 1)
-		if _, err := ParseSettings([]byte(bad)); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s for %s: %v", x.to, x.from, err)
+		data := strings.Replace(string(example(t)), test.from, test.to, 1)
+		_, err := ParseSettings([]byte(data))
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s for %s: %v", test.to, test.from, err)
+		}
+		field, reason, _ := strings.Cut(test.want, ": ")
+		var fieldError FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != field || !strings.HasPrefix(fieldError.Reason, reason) {
+			t.Errorf("%s for %s: %+v", test.to, test.from, fieldError)
 		}
 	}
-	// A limit of 0, or left out, is none; one below the guarantee is taken, and named.
-	odd := strings.NewReplacer(`"cpus_max": 64.0`, `"cpus_max": 0.0`, `"cpus_max": 96.0`, `"cpus_max": 9.5, "colour": "red"`).Replace(string(data))
-	s, err = ParseSettings([]byte(odd))
-	if err != nil || !math.IsInf(s.Teams[0].MaxCPUs, 1) || !math.IsInf(s.Teams[0].MaxGPUs, 1) || s.Teams[1].MaxCPUs != 9.5 {
-		t.Fatalf("%+v, %v", s, err)
+}
+
+// A limit of 0, or left out, is none; one below the guarantee is taken, and named.
+func TestTeamMaximum(t *testing.T) {
+	settings, err := ParseSettings(example(t, `"cpus_max": 64.0`, `"cpus_max": 0.0`, `"cpus_max": 96.0`, `"cpus_max": 9.5, "colour": "red"`))
+	if err != nil {
+		t.Fatal(err)
 	}
-	if notes := s.Warnings(); len(notes) != 1 || !strings.HasPrefix(notes[0], "team "+s.Teams[1].Name) {
-		t.Errorf("oddities: %q", notes)
+	first, second := settings.Teams[0], settings.Teams[1]
+	if !math.IsInf(first.MaxCPUs, 1) || !math.IsInf(first.MaxGPUs, 1) || second.MaxCPUs != 9.5 {
+		t.Fatalf("%+v", settings)
 	}
-	// Limits to come may be left out, name some only, and never raise what is allowed now.
-	if s.Store.Next != nil || s.Store.Safe().ValueBytes != 8192 || s.Workers.GangWait != 45*time.Second || s.Workers.GangNotice != 4*time.Second {
-		t.Errorf("%+v, %+v", s.Store, s.Workers)
+	if warnings := settings.Warnings(); len(warnings) != 1 || !strings.HasPrefix(warnings[0], "team "+second.Name) {
+		t.Errorf("warnings: %q", warnings)
 	}
-	with := func(next string) (*Settings, error) {
-		return ParseSettings([]byte(strings.Replace(string(data), `"rps": 80.0`, `"next": `+next+`, "rps": 80.0`, 1)))
+}
+
+// Limits to come may be left out, name some only, and never raise what is allowed now.
+func TestNextStoreLimits(t *testing.T) {
+	settings, err := ParseSettings(example(t))
+	if err != nil || settings.Store.Next != nil || settings.Store.Safe().ValueBytes != 8192 {
+		t.Errorf("%+v, %v", settings, err)
 	}
-	s, err = with(`{"write_rps": 18.0, "value_kb": 2.0, "txn_ops": 100}`)
+	settings, err = ParseSettings(withNext(t, `{"write_rps": 18.0, "value_kb": 2.0, "txn_ops": 100}`))
 	if err != nil {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("%+v, %v", settings, err)
 	}
-	if n, safe := s.Store.Next, s.Store.Safe(); n.RPS != 80 || n.WriteRPS != 18 || safe.ValueBytes != 2048 || safe.TxnOps != 8 || safe.WriteRPS != 25 {
-		t.Errorf("%+v, %+v", n, safe)
+	next, safe := settings.Store.Next, settings.Store.Safe()
+	if next.RPS != 80 || next.WriteRPS != 18 || safe.ValueBytes != 2048 || safe.TxnOps != 8 || safe.WriteRPS != 25 {
+		t.Errorf("%+v, %+v", next, safe)
 	}
-	for next, want := range map[string]string{`7`: "params.state.next: must be an object", `{"value_kb": -2}`: "params.state.next.value_kb: -2 is not between",
-		`{"txn_ops": 1}`: "params.state.next.txn_ops: 1 is not between", `{"write_rps": "few"}`: "params.state.next.write_rps: must be a number"} {
-		if _, err := with(next); err == nil || !strings.Contains(err.Error(), want) {
+	for next, want := range map[string]string{
+		`7`:                    "params.state.next: must be an object",
+		`{"value_kb": -2}`:     "params.state.next.value_kb: -2 is not between",
+		`{"txn_ops": 1}`:       "params.state.next.txn_ops: 1 is not between",
+		`{"write_rps": "few"}`: "params.state.next.write_rps: must be a number",
+	} {
+		if _, err := ParseSettings(withNext(t, next)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", next, err)
 		}
 	}
-	// Every fault is named, not only the first.
-	bad := strings.NewReplacer(`"shelf-0"`, `1`, `"list_lag_s": 4.0`, `"list_lag_s": "x"`).Replace(string(data))
-	_, err = ParseSettings([]byte(bad))
+}
+
+// Every fault is named, not only the first.
+func TestSettingsAllFaults(t *testing.T) {
+	_, err := ParseSettings(example(t, `"shelf-0"`, `1`, `"list_lag_s": 4.0`, `"list_lag_s": "x"`))
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) || len(joined.Unwrap()) != 2 {
 		t.Errorf("faults: %v", err)
 	}
 }
 
+// Each fault of a file stands behind the file's path, and is still the typed error.
+func TestReadSettingsNamesFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(path, example(t, `"shelf-0"`, `1`, `"list_lag_s": 4.0`, `"list_lag_s": "x"`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := ReadSettings(path)
+	want := path + ": node_name: must be a text that is not empty\n" + path + ": params.cloud.list_lag_s: must be a number"
+	var fieldError FieldError
+	if err == nil || err.Error() != want || !errors.As(err, &fieldError) {
+		t.Errorf("%v", err)
+	}
+}
+
 func TestOperator(t *testing.T) {
-	o, err := ParseOperator([]byte("; ours\n(index (smoothing-s 8))\n(rental\n  (idle-return-s 30) (reserve-share 0.3))\n"))
+	operator, err := ParseOperator([]byte("; ours\n(index (smoothing-s 8))\n(rental\n  (idle-return-s 30) (reserve-share 0.3))\n"))
 	want := DefaultOperator()
 	want.Smoothing, want.IdleReturn, want.Reserve = 8*time.Second, 30*time.Second, 0.3
-	if err != nil || !reflect.DeepEqual(o, want) {
-		t.Errorf("%+v, %v", o, err)
+	if err != nil || !reflect.DeepEqual(operator, want) {
+		t.Errorf("%+v, %v", operator, err)
 	}
-	for in, want := range map[string]string{
+}
+
+// The error names the line, the setting and why it is wrong.
+func TestOperatorRefused(t *testing.T) {
+	for data, want := range map[string]string{
 		"(index (smoothing-s 8)":                  "line 1: list is not closed",
 		"(index smoothing-s 8)":                   "line 1: index: must hold entries",
 		"(index (smoothing 8))":                   "line 1: index.smoothing: no such setting",
@@ -92,12 +152,27 @@
 		"\"x\"":                                   "line 1: unexpected",
 		strings.Repeat("(", 100):                  "nested deeper",
 	} {
-		if _, err := ParseOperator([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", in, err)
+		if _, err := ParseOperator([]byte(data)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: %v", data, err)
 		}
 	}
 }
 
+// Every fault is named, with a type that says where it is.
+func TestOperatorAllFaults(t *testing.T) {
+	_, err := ParseOperator([]byte("(index\n(smoothing-s x)\n(update-s 0))"))
+	var joined interface{ Unwrap() []error }
+	if !errors.As(err, &joined) || len(joined.Unwrap()) != 2 {
+		t.Fatalf("faults: %v", err)
+	}
+	var lineError LineError
+	var fieldError FieldError
+	last := joined.Unwrap()[1]
+	if !errors.As(last, &lineError) || lineError.Line != 3 || !errors.As(last, &fieldError) || fieldError.Field != "index.update-s" {
+		t.Errorf("%v", last)
+	}
+}
+
 func FuzzParseSexp(f *testing.F) {
 	f.Add([]byte("(index (smoothing-s 4)) ; comment\n"))
 	f.Add([]byte("((("))
@@ -109,11 +184,11 @@
 		}
 		atoms := 0
 		var count func([]node)
-		count = func(ns []node) {
-			for _, n := range ns {
-				if n.isList {
-					count(n.list)
-				} else if atoms++; n.atom == "" {
+		count = func(nodes []node) {
+			for _, node := range nodes {
+				if node.isList {
+					count(node.list)
+				} else if atoms++; node.atom == "" {
 					t.Fatal("empty atom")
 				}
 			}
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -1,90 +1,142 @@
 package config
 
+// Reading single fields of JSON objects. A fault is recorded with the path of its field, and reading
+// goes on with a value that may be meaningless, so that all faults are found at once.
+
 import (
 	"fmt"
 	"math"
 	"net/netip"
+	"time"
 )
 
-// reader gathers the faults of a whole file.
-type reader struct{ errs []error }
+// faults collects the faults of a whole file.
+type faults struct{ errs []error }
 
-func (r *reader) fault(field, format string, args ...any) {
-	r.errs = append(r.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
+func (f *faults) add(field, format string, args ...any) {
+	f.errs = append(f.errs, FieldError{field, fmt.Sprintf(format, args...)})
 }
 
-// object is one JSON object with the path that leads to it.
+// object is one JSON object.
 type object struct {
-	r      *reader
-	path   string
+	faults *faults
+	path   string // what its fields' names are appended to: "" or a path with a final dot
 	fields map[string]any
 }
 
+func (o object) fault(name, format string, args ...any) {
+	o.faults.add(o.path+name, format, args...)
+}
+
+// has reports whether the field is there and not null.
+func (o object) has(name string) bool { return o.fields[name] != nil }
+
+// object returns the object in a field. The fields of one that is missing are not reported one by
+// one.
 func (o object) object(name string) object {
-	m, ok := o.fields[name].(map[string]any)
+	fields, ok := o.fields[name].(map[string]any)
 	if !ok {
-		o.r.fault(o.path+name, "must be an object")
-		return object{&reader{}, "", nil} // its fields are not named one by one
+		o.fault(name, "must be an object")
+		ignored := &faults{}
+		return object{faults: ignored}
 	}
-	return object{o.r, o.path + name + ".", m}
+	return object{o.faults, o.path + name + ".", fields}
 }
 
+// values returns the elements of a list.
 func (o object) values(name string) []any {
-	l, ok := o.fields[name].([]any)
+	values, ok := o.fields[name].([]any)
 	if !ok {
-		o.r.fault(o.path+name, "must be a list")
+		o.fault(name, "must be a list")
 	}
-	return l
+	return values
 }
 
-func (o object) list(name string) []object {
-	var out []object
-	for i, v := range o.values(name) {
+// objects returns the elements of a list of objects, without those that are none.
+func (o object) objects(name string) []object {
+	var objects []object
+	for i, value := range o.values(name) {
 		path := fmt.Sprintf("%s%s[%d]", o.path, name, i)
-		m, ok := v.(map[string]any)
+		fields, ok := value.(map[string]any)
 		if !ok {
-			o.r.fault(path, "must be an object")
+			o.faults.add(path, "must be an object")
 			continue
 		}
-		out = append(out, object{o.r, path + ".", m})
+		objects = append(objects, object{o.faults, path + ".", fields})
+	}
+	return objects
+}
+
+// texts returns the elements of a list of texts.
+func (o object) texts(name string) []string {
+	var texts []string
+	for i, value := range o.values(name) {
+		text, ok := value.(string)
+		if !ok || text == "" {
+			o.fault(fmt.Sprintf("%s[%d]", name, i), "must be a text")
+		}
+		texts = append(texts, text)
 	}
-	return out
+	return texts
 }
 
+// text requires a text that is not empty.
 func (o object) text(name string) string {
-	s, ok := o.fields[name].(string)
-	if !ok || s == "" {
-		o.r.fault(o.path+name, "must be a text that is not empty")
+	text, ok := o.fields[name].(string)
+	if !ok || text == "" {
+		o.fault(name, "must be a text that is not empty")
 	}
-	return s
+	return text
 }
 
+// optionalText returns "" for a field that is missing or no text.
+func (o object) optionalText(name string) string {
+	text, _ := o.fields[name].(string)
+	return text
+}
+
+// addr requires an IPv4 address and port.
 func (o object) addr(name string) string {
-	s := o.text(name)
-	if s == "" {
-		return s
+	text := o.text(name)
+	if text == "" {
+		return text
 	}
-	if a, err := netip.ParseAddrPort(s); err != nil || !a.Addr().Is4() {
-		o.r.fault(o.path+name, "%q must be an IPv4 address and port", s)
+	if addr, err := netip.ParseAddrPort(text); err != nil || !addr.Addr().Is4() {
+		o.fault(name, "%q must be an IPv4 address and port", text)
 	}
-	return s
+	return text
 }
 
+// number requires a number from least to most. These bounds catch values that are meant in another
+// unit or are no values at all; they are wider than any sensible one.
 func (o object) number(name string, least, most float64) float64 {
-	f, ok := o.fields[name].(float64)
+	number, ok := o.fields[name].(float64)
 	if !ok {
-		o.r.fault(o.path+name, "must be a number")
+		o.fault(name, "must be a number")
 		return least
 	}
-	if math.IsNaN(f) || f < least || f > most {
-		o.r.fault(o.path+name, "%v is not between %v and %v", f, least, most)
+	if math.IsNaN(number) || number < least || number > most {
+		o.fault(name, "%v is not between %v and %v", number, least, most)
 	}
-	return f
+	return number
 }
 
-func (o object) optional(name string, least, most float64) float64 {
-	if o.fields[name] == nil {
+// optionalNumber returns 0 for a field that is missing.
+func (o object) optionalNumber(name string, least, most float64) float64 {
+	if !o.has(name) {
 		return 0
 	}
 	return o.number(name, least, most)
 }
+
+// seconds requires a number of seconds, with bounds like number.
+func (o object) seconds(name string, least, most float64) time.Duration {
+	return seconds(o.number(name, least, most))
+}
+
+// optionalSeconds returns 0 for a field that is missing.
+func (o object) optionalSeconds(name string, least, most float64) time.Duration {
+	return seconds(o.optionalNumber(name, least, most))
+}
+
+func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
--- a/internal/config/parse_operator.go
+++ b/internal/config/parse_operator.go
@@ -1,5 +1,7 @@
 package config
 
+// Parsing of the operator file, whose names and units are here alone.
+
 import (
 	"errors"
 	"fmt"
@@ -9,36 +11,46 @@
 	"time"
 )
 
-// setting describes one entry of the operator file.
+// setting is one entry of the operator file: a number with bounds, and what takes it over.
 type setting struct {
 	least, most float64
-	seconds     *time.Duration
-	number      *float64
+	set         func(number float64)
 }
 
-func (o *Operator) entries() map[string]map[string]setting {
-	return map[string]map[string]setting{
+// settingGroups holds the settings by group and name.
+type settingGroups map[string]map[string]setting
+
+// settings returns all settings there are; they set the fields of o.
+func (o *Operator) settings() settingGroups {
+	duration := func(field *time.Duration) func(float64) {
+		return func(number float64) { *field = seconds(number) }
+	}
+	number := func(field *float64) func(float64) {
+		return func(number float64) { *field = number }
+	}
+	return settingGroups{
 		"index": {
-			"smoothing-s": {0.1, 600, &o.Smoothing, nil},
-			"update-s":    {0.1, 60, &o.IndexUpdate, nil},
+			"smoothing-s": {0.1, 600, duration(&o.Smoothing)},
+			"update-s":    {0.1, 60, duration(&o.IndexUpdate)},
 		},
 		"leader": {
-			"gather-s": {0, 600, &o.ReconcileTimeout, nil},
-			"lease-s":  {1, 120, &o.LeaderLease, nil},
+			"gather-s": {0, 600, duration(&o.ReconcileTimeout)},
+			"lease-s":  {1, 120, duration(&o.LeaderLease)},
 		},
 		"fleet": {
-			"silent-s":  {1, 600, &o.UnhealthyAfter, nil},
-			"abandon-s": {1, 3600, &o.ReplaceAfter, nil},
+			"silent-s":  {1, 600, duration(&o.UnhealthyAfter)},
+			"abandon-s": {1, 3600, duration(&o.ReplaceAfter)},
 		},
 		"rental": {
-			"idle-return-s": {0, 86400, &o.IdleReturn, nil},
-			"reserve-share": {0, 10, nil, &o.Reserve},
+			"idle-return-s": {0, 86400, duration(&o.IdleReturn)},
+			"reserve-share": {0, 10, number(&o.Reserve)},
 		},
 	}
 }
 
-// ReadOperator reads the operator file at path; an empty path gives the
-// defaults.
+// ReadOperator reads the operator file at path; an empty path gives the defaults. Its error is one
+// of the file system, or joins an error for each fault as ParseOperator does, with the path before
+// each.
 func ReadOperator(path string) (Operator, error) {
 	if path == "" {
 		return DefaultOperator(), nil
@@ -47,63 +59,95 @@
 	if err != nil {
 		return Operator{}, fmt.Errorf("config: %w", err)
 	}
-	o, err := ParseOperator(data)
+	operator, err := ParseOperator(data)
 	if err != nil {
 		return Operator{}, prefixEach(path, err)
 	}
-	return o, nil
+	return operator, nil
 }
 
-// ParseOperator reads forms such as (index (smoothing-s 4) (update-s 1)).
+// ParseOperator reads forms such as (index (smoothing-s 4) (update-s 1)). Its error joins a LineError
+// for each entry that is wrong, and a FieldError for settings that contradict each other; if the
+// file has no such form at all, it is the LineError of the first place that is wrong.
 func ParseOperator(data []byte) (Operator, error) {
-	o := DefaultOperator()
+	operator := DefaultOperator()
 	forms, err := parseSexp(data)
 	if err != nil {
-		return o, errors.Join(err)
+		return operator, errors.Join(err)
 	}
-	var errs []error
-	fault := func(line int, format string, args ...any) {
-		errs = append(errs, fmt.Errorf("line %d: %s", line, fmt.Sprintf(format, args...)))
-	}
-	known := o.entries()
-	seen := map[string]bool{}
+	parser := operatorParser{groups: operator.settings(), seen: map[string]bool{}}
 	for _, form := range forms {
-		if !form.isList || len(form.list) == 0 || form.list[0].isList {
-			fault(form.line, "must be a group such as (index (smoothing-s 4))")
-			continue
-		}
-		group := form.list[0].atom
-		settings, ok := known[group]
-		if !ok {
-			fault(form.line, "%s: no such group", group)
-			continue
-		}
-		for _, e := range form.list[1:] {
-			if !e.isList || len(e.list) != 2 || e.list[0].isList || e.list[1].isList {
-				fault(e.line, "%s: must hold entries such as (name 4)", group)
-				continue
-			}
-			name, text := group+"."+e.list[0].atom, e.list[1].atom
-			s, ok := settings[e.list[0].atom]
-			switch v, err := strconv.ParseFloat(text, 64); {
-			case !ok:
-				fault(e.line, "%s: no such setting", name)
-			case seen[name]:
-				fault(e.line, "%s: set twice", name)
-			case err != nil || math.IsNaN(v):
-				fault(e.line, "%s: %q is not a number", name, text)
-			case v < s.least || v > s.most:
-				fault(e.line, "%s: %v is not between %v and %v", name, v, s.least, s.most)
-			case s.seconds != nil:
-				*s.seconds = seconds(v)
-			default:
-				*s.number = v
-			}
-			seen[name] = true
-		}
-	}
-	if o.ReplaceAfter < o.UnhealthyAfter {
-		errs = append(errs, fmt.Errorf("fleet.abandon-s: must not be below fleet.silent-s"))
-	}
-	return o, errors.Join(errs...)
+		parser.group(form)
+	}
+	if operator.ReplaceAfter < operator.UnhealthyAfter {
+		parser.errs = append(parser.errs, FieldError{"fleet.abandon-s", "must not be below fleet.silent-s"})
+	}
+	return operator, errors.Join(parser.errs...)
+}
+
+// operatorParser takes over the entries of one file and collects their faults.
+type operatorParser struct {
+	groups settingGroups
+	seen   map[string]bool // settings by group and name
+	errs   []error
+}
+
+func (p *operatorParser) fault(line int, err error) {
+	p.errs = append(p.errs, LineError{line, err})
+}
+
+var errNoGroup = errors.New("must be a group such as (index (smoothing-s 4))")
+
+// group takes over a form such as (index (smoothing-s 4)).
+func (p *operatorParser) group(form node) {
+	if !form.isList || len(form.list) == 0 || form.list[0].isList {
+		p.fault(form.line, errNoGroup)
+		return
+	}
+	name := form.list[0].atom
+	settings, ok := p.groups[name]
+	if !ok {
+		p.fault(form.line, FieldError{name, "no such group"})
+		return
+	}
+	for _, entry := range form.list[1:] {
+		p.entry(name, settings, entry)
+	}
+}
+
+// entry takes over a form such as (smoothing-s 4).
+func (p *operatorParser) entry(group string, settings map[string]setting, entry node) {
+	if !entry.isPair() {
+		p.fault(entry.line, FieldError{group, "must hold entries such as (name 4)"})
+		return
+	}
+	name, value := entry.list[0].atom, entry.list[1].atom
+	path := group + "." + name
+	repeated := p.seen[path]
+	p.seen[path] = true
+	setting, ok := settings[name]
+	if !ok {
+		p.fault(entry.line, FieldError{path, "no such setting"})
+		return
+	}
+	if repeated {
+		p.fault(entry.line, FieldError{path, "set twice"})
+		return
+	}
+	if reason := setting.parse(value); reason != "" {
+		p.fault(entry.line, FieldError{path, reason})
+	}
+}
+
+// parse takes over a number, or returns why it can't.
+func (s setting) parse(value string) (reason string) {
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(number) {
+		return fmt.Sprintf("%q is not a number", value)
+	}
+	if number < s.least || number > s.most {
+		return fmt.Sprintf("%v is not between %v and %v", number, s.least, s.most)
+	}
+	s.set(number)
+	return ""
 }
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -1,96 +1,123 @@
 package config
 
-import "fmt"
+// S-expressions: lists in parentheses and bare atoms.
 
-// node is an atom (list nil and isList false) or a list of an S-expression.
+import (
+	"errors"
+	"fmt"
+)
+
+// node is an atom or a list.
 type node struct {
-	atom   string
-	list   []node
+	line   int // on which it starts, from 1
 	isList bool
-	line   int
+	atom   string // not empty unless it is a list
+	list   []node
 }
 
+// isPair reports whether the node is a list of two atoms.
+func (n node) isPair() bool {
+	return n.isList && len(n.list) == 2 && !n.list[0].isList && !n.list[1].isList
+}
+
+// maxDepth bounds the parser's recursion.
 const maxDepth = 32
 
-// parseSexp reads all expressions in data: lists in parentheses and bare
-// atoms; a semicolon starts a comment that ends with the line.
+var errNotClosed = errors.New("list is not closed")
+
+// parseSexp reads all expressions in data; a semicolon starts a comment that ends with the line. Its
+// error is the LineError of the first fault.
 func parseSexp(data []byte) ([]node, error) {
-	p := &sexpParser{data: data, line: 1}
-	var out []node
+	parser := &sexpParser{data: data, line: 1}
+	var nodes []node
 	for {
-		p.space()
-		if p.pos == len(p.data) {
-			return out, nil
+		parser.skipSpace()
+		if parser.atEnd() {
+			return nodes, nil
 		}
-		n, err := p.expr(0)
+		expression, err := parser.expression(0)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, n)
+		nodes = append(nodes, expression)
 	}
 }
 
 type sexpParser struct {
 	data []byte
-	pos  int
-	line int
+	pos  int // of the next byte
+	line int // that it is on
 }
 
-func (p *sexpParser) space() {
-	for p.pos < len(p.data) {
-		switch c := p.data[p.pos]; c {
+func (p *sexpParser) atEnd() bool { return p.pos == len(p.data) }
+
+// skipSpace skips white space and comments.
+func (p *sexpParser) skipSpace() {
+	for ; !p.atEnd(); p.pos++ {
+		switch p.data[p.pos] {
 		case '\n':
 			p.line++
-			p.pos++
 		case ' ', '\t', '\r':
-			p.pos++
 		case ';':
-			for p.pos < len(p.data) && p.data[p.pos] != '\n' {
-				p.pos++
-			}
+			p.skipComment()
 		default:
 			return
 		}
 	}
 }
 
-func atomByte(c byte) bool {
-	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
-		c == '-' || c == '_' || c == '.' || c == '+'
+// skipComment stops at the last byte of the comment, before the end of the line.
+func (p *sexpParser) skipComment() {
+	for p.pos+1 < len(p.data) && p.data[p.pos+1] != '\n' {
+		p.pos++
+	}
 }
 
-func (p *sexpParser) expr(depth int) (node, error) {
+// expression reads a list or an atom, of which the first byte is next.
+func (p *sexpParser) expression(depth int) (node, error) {
 	if depth > maxDepth {
-		return node{}, fmt.Errorf("line %d: nested deeper than %d", p.line, maxDepth)
+		return node{}, LineError{p.line, fmt.Errorf("nested deeper than %d", maxDepth)}
 	}
-	n := node{line: p.line}
-	c := p.data[p.pos]
-	if c != '(' {
-		start := p.pos
-		for p.pos < len(p.data) && atomByte(p.data[p.pos]) {
-			p.pos++
-		}
-		if start == p.pos {
-			return node{}, fmt.Errorf("line %d: unexpected %q", p.line, c)
-		}
-		n.atom = string(p.data[start:p.pos])
-		return n, nil
+	if p.data[p.pos] == '(' {
+		return p.listNode(depth)
 	}
-	n.isList = true
+	return p.atomNode()
+}
+
+func (p *sexpParser) listNode(depth int) (node, error) {
+	list := node{line: p.line, isList: true}
 	p.pos++
 	for {
-		p.space()
-		if p.pos == len(p.data) {
-			return node{}, fmt.Errorf("line %d: list is not closed", n.line)
+		p.skipSpace()
+		if p.atEnd() {
+			return node{}, LineError{list.line, errNotClosed}
 		}
 		if p.data[p.pos] == ')' {
 			p.pos++
-			return n, nil
+			return list, nil
 		}
-		e, err := p.expr(depth + 1)
+		element, err := p.expression(depth + 1)
 		if err != nil {
 			return node{}, err
 		}
-		n.list = append(n.list, e)
+		list.list = append(list.list, element)
+	}
+}
+
+func (p *sexpParser) atomNode() (node, error) {
+	start := p.pos
+	for !p.atEnd() && isAtomByte(p.data[p.pos]) {
+		p.pos++
+	}
+	if start == p.pos {
+		return node{}, LineError{p.line, fmt.Errorf("unexpected %q", p.data[p.pos])}
 	}
+	return node{line: p.line, atom: string(p.data[start:p.pos])}, nil
+}
+
+func isAtomByte(c byte) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	digit := c >= '0' && c <= '9'
+	punctuation := c == '-' || c == '_' || c == '.' || c == '+'
+	return letter || digit || punctuation
 }
