--- a/internal/wire/append.go
+++ b/internal/wire/append.go
@@ -1,7 +1,11 @@
 package wire
 
+// Writing of messages.
+
 import "strconv"
 
+const contentType = "Content-Type: application/cbor\r\n"
+
 // AppendResponse writes resp to dst.
 func AppendResponse(dst []byte, resp Response) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
@@ -10,7 +14,7 @@
 	dst = append(dst, reasonPhrase(resp.Status)...)
 	dst = append(dst, "\r\n"...)
 	if len(resp.Body) > 0 {
-		dst = append(dst, "Content-Type: application/cbor\r\n"...)
+		dst = append(dst, contentType...)
 	}
 	if resp.RetryAfter > 0 {
 		dst = append(dst, "Retry-After: "...)
@@ -32,11 +36,12 @@
 	dst = append(dst, host...)
 	dst = append(dst, "\r\n"...)
 	if len(body) > 0 {
-		dst = append(dst, "Content-Type: application/cbor\r\n"...)
+		dst = append(dst, contentType...)
 	}
 	return appendLengthAndBody(dst, body)
 }
 
+// appendLengthAndBody ends the headers, with the length also of an empty body, and writes the body.
 func appendLengthAndBody(dst, body []byte) []byte {
 	dst = append(dst, "Content-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -1,59 +1,86 @@
 package wire
 
+// Bodies, by length or in chunks.
+
 import (
 	"bytes"
 	"strconv"
 	"strings"
 )
 
-func readBody(buf []byte, f fields, limit int) ([]byte, int, error) {
-	if f.chunked {
+// messageBody is a body with its framing.
+type messageBody struct {
+	content []byte
+	size    int // bytes with the framing
+}
+
+// readBody reads the body at the start of buf. The error is ErrIncomplete, or wraps ErrMalformed.
+func readBody(buf []byte, headers headers, limit int) (messageBody, error) {
+	if headers.chunked {
 		return readChunks(buf, limit)
 	}
-	if f.length <= 0 {
-		return nil, 0, nil
+	if headers.length == noLength || headers.length == 0 {
+		return messageBody{}, nil
 	}
-	if f.length > limit {
-		return nil, 0, tooLarge(limit)
+	if headers.length > limit {
+		return messageBody{}, tooLarge(limit)
 	}
-	if len(buf) < f.length {
-		return nil, 0, ErrIncomplete
+	if len(buf) < headers.length {
+		return messageBody{}, ErrIncomplete
 	}
-	return buf[:f.length], f.length, nil
+	return messageBody{buf[:headers.length], headers.length}, nil
 }
 
-func readChunks(buf []byte, limit int) ([]byte, int, error) {
-	var body []byte
-	pos := 0
+// readChunks joins the chunks up to the last, which is empty. Trailers are not understood: no peer
+// uses them.
+func readChunks(buf []byte, limit int) (messageBody, error) {
+	var body messageBody
 	for {
-		line, _, ok := bytes.Cut(buf[pos:], []byte("\r\n"))
-		if !ok {
-			if len(buf)-pos > 64 {
-				return nil, 0, malformed("chunk size line")
-			}
-			return nil, 0, ErrIncomplete
-		}
-		size, _, _ := strings.Cut(string(line), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+		size, err := readChunkSize(buf[body.size:])
 		if err != nil {
-			return nil, 0, malformed("chunk size")
+			return messageBody{}, err
+		}
+		if len(body.content)+size.content > limit {
+			return messageBody{}, tooLarge(limit)
 		}
-		pos += len(line) + 2
-		if len(body)+int(n) > limit {
-			return nil, 0, tooLarge(limit)
+		start := body.size + size.line
+		end := start + size.content
+		if len(buf) < end+len(lineEnd) {
+			return messageBody{}, ErrIncomplete
 		}
-		if len(buf) < pos+int(n)+2 {
-			return nil, 0, ErrIncomplete
+		if !bytes.HasPrefix(buf[end:], lineEnd) {
+			return messageBody{}, malformed("chunk end")
 		}
-		body = append(body, buf[pos:pos+int(n)]...)
-		pos += int(n)
-		// Trailers are not used by any peer; the last chunk ends the message.
-		if string(buf[pos:pos+2]) != "\r\n" {
-			return nil, 0, malformed("chunk end")
+		body.content = append(body.content, buf[start:end]...)
+		body.size = end + len(lineEnd)
+		if size.content == 0 {
+			return body, nil
 		}
-		pos += 2
-		if n == 0 {
-			return body, pos, nil
+	}
+}
+
+// chunkSize is the line before a chunk.
+type chunkSize struct {
+	line    int // bytes of the line, with its end
+	content int // bytes of the chunk that it announces
+}
+
+// maxChunkLine bounds the bytes that are searched for the end of the line.
+const maxChunkLine = 64
+
+// readChunkSize reads the line at the start of buf; extensions behind a semicolon are ignored.
+func readChunkSize(buf []byte) (chunkSize, error) {
+	line, _, ok := bytes.Cut(buf, lineEnd)
+	if !ok {
+		if len(buf) > maxChunkLine {
+			return chunkSize{}, malformed("chunk size line")
 		}
+		return chunkSize{}, ErrIncomplete
+	}
+	digits, _, _ := strings.Cut(string(line), ";")
+	content, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
+	if err != nil {
+		return chunkSize{}, malformed("chunk size")
 	}
+	return chunkSize{len(line) + len(lineEnd), int(content)}, nil
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,9 @@
 package wire
 
+// The codec: CBOR bodies and values.
+
 import (
+	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
@@ -9,58 +12,64 @@
 // Raw is a CBOR value that is decoded later or not at all.
 type Raw = cbor.RawMessage
 
+// Bounds on what is decoded from any peer, however hostile.
+const (
+	maxNestedLevels  = 16
+	maxArrayElements = 1 << 17 // above job.MaxTasks
+	maxMapPairs      = 1 << 16
+)
+
 var (
-	encoder = mustEncoder()
+	encoder = mustEncoder(cbor.EncOptions{Sort: cbor.SortNone})
 	decoder = mustDecoder(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:  16,
-		MaxArrayElements: 1 << 17,
-		MaxMapPairs:      1 << 16,
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
 		TagsMd:           cbor.TagsForbidden,
 	})
 )
 
-func mustEncoder() cbor.EncMode {
-	m, err := cbor.EncOptions{Sort: cbor.SortNone}.EncMode()
+func mustEncoder(options cbor.EncOptions) cbor.EncMode {
+	mode, err := options.EncMode()
 	if err != nil {
 		panic(err)
 	}
-	return m
+	return mode
 }
 
-func mustDecoder(o cbor.DecOptions) cbor.DecMode {
-	m, err := o.DecMode()
+func mustDecoder(options cbor.DecOptions) cbor.DecMode {
+	mode, err := options.DecMode()
 	if err != nil {
 		panic(err)
 	}
-	return m
+	return mode
 }
 
-// Problem is the body of an answer that refuses a request.
+// Problem is the body of a response that refuses a request.
 type Problem struct {
-	Error string `cbor:"error"`
+	Error string `cbor:"error"` // why, for people
 }
 
-// Marshal encodes v as CBOR. It panics on a type that cannot be encoded, which
-// only a mistake in this program can bring about.
+var errNotMap = errors.New("wire: body is not a map")
+
+// Marshal encodes v as CBOR. It panics on a type that cannot be encoded, which is a mistake in this
+// program.
 func Marshal(v any) []byte {
-	b, err := encoder.Marshal(v)
+	data, err := encoder.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("wire: marshal %T: %v", v, err))
 	}
-	return b
+	return data
 }
 
-// Unmarshal decodes the CBOR map in data strictly: no repeated keys, bounded
-// depth, nothing behind the value, nothing but a map at the top.
+// Unmarshal decodes the CBOR map in data strictly: no repeated keys, bounded depth, nothing behind
+// the value, nothing but a map at the top. The error wraps that of the decoder.
 func Unmarshal(data []byte, v any) error {
-	if len(data) == 0 || data[0]>>5 != 5 {
-		return fmt.Errorf("wire: body is not a map")
-	}
-	if err := decoder.Unmarshal(data, v); err != nil {
-		return fmt.Errorf("wire: decode: %w", err)
+	if !isMap(data) {
+		return errNotMap
 	}
-	return nil
+	return UnmarshalValue(data, v)
 }
 
 // UnmarshalValue decodes one CBOR value of any kind with the same strictness.
@@ -70,3 +79,13 @@
 	}
 	return nil
 }
+
+// isMap reports whether the first byte of a CBOR value, whose upper three bits are its major type,
+// says that it is a map.
+func isMap(data []byte) bool {
+	const (
+		majorTypeShift = 5
+		majorTypeMap   = 5
+	)
+	return len(data) > 0 && data[0]>>majorTypeShift == majorTypeMap
+}
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -1,96 +1,136 @@
 package wire
 
+// Parsing of whole messages.
+
 import (
 	"bytes"
 	"strconv"
 	"strings"
 )
 
-// ParseRequest reads one request from the start of buf and returns how many
-// bytes it took. The body is not copied.
+const (
+	version11     = "HTTP/1.1"
+	version10     = "HTTP/1.0" // the connection ends after each message
+	versionPrefix = "HTTP/1."
+)
+
+var (
+	lineEnd = []byte("\r\n")
+	headEnd = []byte("\r\n\r\n")
+)
+
+// ParseRequest reads one request from the start of buf and returns how many bytes it took. The body
+// is not copied: it lies in buf, unless it came in chunks. The error is ErrIncomplete, or wraps
+// ErrMalformed.
 func ParseRequest(buf []byte) (Request, int, error) {
-	start, head, n, err := splitHead(buf)
+	head, err := splitHead(buf)
 	if err != nil {
 		return Request{}, 0, err
 	}
-	parts := strings.Split(start, " ")
-	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
-		return Request{}, 0, malformed("request line")
-	}
-	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return Request{}, 0, malformed("version")
-	}
-	for _, r := range parts[0] {
-		if r < 'A' || r > 'Z' {
-			return Request{}, 0, malformed("method")
-		}
+	req, err := parseRequestLine(head.startLine)
+	if err != nil {
+		return Request{}, 0, err
 	}
-	f, err := parseFields(head)
+	headers, err := parseHeaders(head.headers)
 	if err != nil {
 		return Request{}, 0, err
 	}
-	req := Request{Method: parts[0], Close: f.close || parts[2] == "HTTP/1.0"}
-	req.Path, req.Query, _ = strings.Cut(parts[1], "?")
-	body, m, err := readBody(buf[n:], f, MaxBody)
+	body, err := readBody(buf[head.size:], headers, MaxBody)
 	if err != nil {
 		return Request{}, 0, err
 	}
-	req.Body = body
-	return req, n + m, nil
+	req.Close = req.Close || headers.close
+	req.Body = body.content
+	return req, head.size + body.size, nil
+}
+
+// parseRequestLine reads a method, a target and a version, with one space between them.
+func parseRequestLine(line string) (Request, error) {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
+		return Request{}, malformed("request line")
+	}
+	method, target, version := parts[0], parts[1], parts[2]
+	if version != version11 && version != version10 {
+		return Request{}, malformed("version")
+	}
+	for _, letter := range method {
+		if letter < 'A' || letter > 'Z' {
+			return Request{}, malformed("method")
+		}
+	}
+	req := Request{Method: method, Close: version == version10}
+	req.Path, req.Query, _ = strings.Cut(target, "?")
+	return req, nil
 }
 
-// ParseResponse reads one response from the start of buf, with a body of at
-// most limit bytes.
+// ParseResponse reads one response from the start of buf, with a body of at most limit bytes, and
+// returns how many bytes it took. The body is not copied: it lies in buf, unless it came in chunks.
+// The error is ErrIncomplete, or wraps ErrMalformed.
 func ParseResponse(buf []byte, limit int) (Response, int, error) {
-	start, head, n, err := splitHead(buf)
+	head, err := splitHead(buf)
 	if err != nil {
 		return Response{}, 0, err
 	}
-	version, rest, _ := strings.Cut(start, " ")
-	code, _, _ := strings.Cut(rest, " ")
-	status, err := strconv.Atoi(code)
-	if !strings.HasPrefix(version, "HTTP/1.") || err != nil || len(code) != 3 || status < 100 {
-		return Response{}, 0, malformed("status line")
-	}
-	f, err := parseFields(head)
+	resp, err := parseStatusLine(head.startLine)
 	if err != nil {
 		return Response{}, 0, err
 	}
-	resp := Response{Status: status, Close: f.close || version == "HTTP/1.0"}
-	if f.retryAfter != "" {
-		if s, err := strconv.Atoi(f.retryAfter); err == nil && s > 0 {
-			resp.RetryAfter = s
-		}
+	headers, err := parseHeaders(head.headers)
+	if err != nil {
+		return Response{}, 0, err
 	}
-	if status == StatusNoContent || status == StatusNotModified {
-		return resp, n, nil
+	resp.Close = resp.Close || headers.close
+	resp.RetryAfter = headers.retryAfter
+	if resp.Status == StatusNoContent || resp.Status == StatusNotModified {
+		return resp, head.size, nil
 	}
-	body, m, err := readBody(buf[n:], f, limit)
+	body, err := readBody(buf[head.size:], headers, limit)
 	if err != nil {
 		return Response{}, 0, err
 	}
-	resp.Body = body
-	return resp, n + m, nil
+	resp.Body = body.content
+	return resp, head.size + body.size, nil
 }
 
-// splitHead finds the blank line and returns the start line, the header lines
-// and the length of both with the blank line.
-func splitHead(buf []byte) (start string, head []byte, n int, err error) {
-	end := bytes.Index(buf, []byte("\r\n\r\n"))
-	if end < 0 {
-		if len(buf) > maxHead {
-			return "", nil, 0, malformed("head over %d bytes", maxHead)
-		}
-		return "", nil, 0, ErrIncomplete
+// parseStatusLine reads a version and a status of three digits; what follows is ignored.
+func parseStatusLine(line string) (Response, error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	validStatus := err == nil && len(code) == 3 && status >= 100
+	if !strings.HasPrefix(version, versionPrefix) || !validStatus {
+		return Response{}, malformed("status line")
 	}
-	if end > maxHead {
-		return "", nil, 0, malformed("head over %d bytes", maxHead)
+	return Response{Status: status, Close: version == version10}, nil
+}
+
+// messageHead is what comes before the body.
+type messageHead struct {
+	startLine string
+	headers   []byte // header lines, with line ends between them
+	size      int    // bytes of both, with the blank line behind
+}
+
+// splitHead finds the blank line and divides what is before it.
+func splitHead(buf []byte) (messageHead, error) {
+	end := bytes.Index(buf, headEnd)
+	if end > maxHead || end < 0 && len(buf) > maxHead {
+		return messageHead{}, malformed("head over %d bytes", maxHead)
 	}
-	line, rest, _ := bytes.Cut(buf[:end], []byte("\r\n"))
+	if end < 0 {
+		return messageHead{}, ErrIncomplete
+	}
+	line, headers, _ := bytes.Cut(buf[:end], lineEnd)
 	for _, c := range line {
-		if c < ' ' || c == 0x7f {
-			return "", nil, 0, malformed("control byte in the first line")
+		if isControl(c) {
+			return messageHead{}, malformed("control byte in the first line")
 		}
 	}
-	return string(line), rest, end + 4, nil
+	return messageHead{string(line), headers, end + len(headEnd)}, nil
+}
+
+func isControl(c byte) bool {
+	const del = 0x7f
+	return c < ' ' || c == del
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -1,5 +1,7 @@
 package wire
 
+// The server.
+
 import (
 	"context"
 	"errors"
@@ -12,129 +14,155 @@
 	"github.com/tidwall/evio"
 )
 
-// Handler answers one request. The request's body is only valid until it
-// returns.
+// Handler answers one request. The request's body is only valid until it returns. The context ends
+// with the connection's goroutine or the server.
 type Handler func(ctx context.Context, req *Request) Response
 
-// Server accepts connections on an evio loop, which only moves bytes; each
-// connection has a goroutine that parses requests and runs the handler.
+// Server accepts connections on an evio loop, which only moves bytes; each connection has a
+// goroutine that parses requests and runs the handler. The exported fields are set before Run and
+// not changed.
 type Server struct {
 	Addr        string
 	MaxConns    int
 	IdleTimeout time.Duration // between requests
 	ReadTimeout time.Duration // from a request's first byte to its last
 	Handler     Handler
-	Lasting     func(*Request) bool // connections to keep when others must go; nil: none
+	Lasting     func(*Request) bool // whether the connection is kept when others have to go; nil: none is
 
-	open atomic.Int64
-	wg   sync.WaitGroup
+	open       atomic.Int64   // connections that the loop has opened and not yet closed
+	goroutines sync.WaitGroup // those of the connections
 
-	mu    sync.Mutex
-	links map[*link]struct{}
+	mu          sync.Mutex               // guards connections; taken before that of a connection
+	connections map[*connection]struct{} // those that may be evicted
 }
 
-// The parts of MaxConns from which on connections are closed after each answer: those that
-// need not last, and then all. What comes beyond them takes turns in what is left.
-//
-// The second guards against clients that find every connection taken by others: of 6,000
-// workers at 3,561 sockets thousands were refused until their leases ran out.
 const (
+	// crowdedShare is the part of MaxConns from which on connections that need not last are closed
+	// after each response, which leaves room for those that do.
 	crowdedShare = 0.8
-	fullShare    = 0.95
+
+	// fullShare is the part from which on all are. Otherwise clients that find every connection taken
+	// by others are refused until their leases have expired; in turns, each is served (docs/size.md).
+	fullShare = 0.95
+
+	// restartDelay keeps a listener that fails at once from being restarted all the time.
+	restartDelay = 100 * time.Millisecond
+
+	// shutdownPoll is how often the loop looks whether it is to end.
+	shutdownPoll = 500 * time.Millisecond
 )
 
-// Run serves until ctx is cancelled. evio's loop ends on any error of accept,
-// such as a connection reset while it waited, so Run starts it anew.
+// Run serves until ctx is cancelled, and returns nil then. It returns an error if the address cannot
+// be listened on in the first place. Later errors do not end it: evio's loop ends on any error of
+// accept, such as a connection reset while it waited, and is started again.
 func (s *Server) Run(ctx context.Context) error {
-	defer s.wg.Wait()
-	for started := false; ; started = true {
-		err := s.serve(ctx)
+	defer s.goroutines.Wait()
+	for restarted := false; ; restarted = true {
+		err := s.runLoop(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil && !started {
+		if err != nil && !restarted {
 			return fmt.Errorf("wire: listen on %s: %w", s.Addr, err)
 		}
-		slog.Error("listener ended, starting anew", "addr", s.Addr, "err", err)
+		slog.Error("listener failed, restarting", "addr", s.Addr, "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(restartDelay):
 		}
 	}
 }
 
-func (s *Server) serve(ctx context.Context) error {
-	loop, stop := context.WithCancel(ctx)
+// runLoop runs one event loop until it fails or ctx ends, and ends its connections' goroutines.
+func (s *Server) runLoop(ctx context.Context) error {
+	loopCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var ev evio.Events
-	ev.NumLoops = 1
-	ev.Opened = func(c evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
-		opts.ReuseInputBuffer = true
-		if s.open.Add(1) > int64(s.MaxConns) && !s.makeRoom() {
-			return nil, opts, evio.Close
-		}
-		l := s.newLink(c)
-		c.SetContext(l)
-		s.wg.Add(1)
-		go func() {
-			defer s.wg.Done()
-			s.converse(loop, l)
-		}()
-		return nil, opts, evio.None
+	events := evio.Events{
+		NumLoops: 1,
+		Opened: func(conn evio.Conn) ([]byte, evio.Options, evio.Action) {
+			return nil, evio.Options{ReuseInputBuffer: true}, s.opened(loopCtx, conn)
+		},
+		Closed: func(conn evio.Conn, _ error) evio.Action {
+			s.closed(conn)
+			return evio.None
+		},
+		Data: received,
+		Tick: func() (time.Duration, evio.Action) {
+			if ctx.Err() != nil {
+				return 0, evio.Shutdown
+			}
+			return shutdownPoll, evio.None
+		},
 	}
-	ev.Closed = func(c evio.Conn, err error) evio.Action {
-		s.open.Add(-1)
-		if l, ok := c.Context().(*link); ok {
-			s.mu.Lock()
-			delete(s.links, l)
-			s.mu.Unlock()
-			close(l.gone)
-		}
-		return evio.None
+	return evio.Serve(events, "tcp://"+s.Addr)
+}
+
+// opened runs on the loop: it starts the goroutine of a new connection, or refuses it.
+func (s *Server) opened(ctx context.Context, conn evio.Conn) evio.Action {
+	if s.open.Add(1) > int64(s.MaxConns) && !s.makeRoom() {
+		return evio.Close
 	}
-	ev.Data = func(c evio.Conn, in []byte) ([]byte, evio.Action) {
-		l, ok := c.Context().(*link)
-		if !ok {
-			return nil, evio.Close
-		}
-		return l.exchange(in)
+	c := s.newConnection(conn)
+	conn.SetContext(c)
+	s.goroutines.Go(func() { s.serveConnection(ctx, c) })
+	return evio.None
+}
+
+// closed runs on the loop, also for a connection that opened refused.
+func (s *Server) closed(conn evio.Conn) {
+	s.open.Add(-1)
+	if c, ok := conn.Context().(*connection); ok {
+		s.mu.Lock()
+		delete(s.connections, c)
+		s.mu.Unlock()
+		close(c.closed)
 	}
-	ev.Tick = func() (time.Duration, evio.Action) {
-		if ctx.Err() != nil {
-			return 0, evio.Shutdown
-		}
-		return 500 * time.Millisecond, evio.None
+}
+
+// received runs on the loop when bytes arrived or a connection was woken.
+func received(conn evio.Conn, in []byte) ([]byte, evio.Action) {
+	c, ok := conn.Context().(*connection)
+	if !ok {
+		return nil, evio.Close
 	}
-	return evio.Serve(ev, "tcp://"+s.Addr)
+	return c.transfer(in)
 }
 
-// makeRoom closes the connection that has been idle longest, if one may be closed.
-// It guards against users that hold connections open until no worker finds room.
+// newConnection registers a connection, which is idle.
+func (s *Server) newConnection(conn evio.Conn) *connection {
+	c := newConnection(conn)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.connections == nil {
+		s.connections = map[*connection]struct{}{}
+	}
+	s.connections[c] = struct{}{}
+	return c
+}
+
+// makeRoom evicts the connection that has been idle longest, and reports whether there was one that
+// may be evicted. Otherwise users who hold connections open leave no room for worker agents.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var oldest *link
-	var since time.Time
-	for l := range s.links {
-		l.mu.Lock()
-		if !l.lasting && !l.idle.IsZero() && (oldest == nil || l.idle.Before(since)) {
-			oldest, since = l, l.idle
+	var longest *connection
+	var longestSince time.Time
+	for c := range s.connections {
+		since, evictable := c.evictableSince()
+		if evictable && (longest == nil || since.Before(longestSince)) {
+			longest, longestSince = c, since
 		}
-		l.mu.Unlock()
 	}
-	if oldest == nil {
+	if longest == nil {
 		return false
 	}
-	select {
-	case oldest.shed <- struct{}{}:
-	default:
-	}
-	delete(s.links, oldest)
+	longest.evict()
+	delete(s.connections, longest)
 	return true
 }
 
-// crowded tells whether a connection had better be closed after its answer.
+// crowded reports whether so many connections are open that one is closed after its response.
 func (s *Server) crowded(lasting bool) bool {
 	share := crowdedShare
 	if lasting {
@@ -143,35 +171,38 @@
 	return float64(s.open.Load()) > share*float64(s.MaxConns)
 }
 
-// converse is the goroutine of one connection.
-func (s *Server) converse(ctx context.Context, l *link) {
+// serveConnection is the goroutine of one connection: it answers one request after another.
+func (s *Server) serveConnection(ctx context.Context, c *connection) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for {
-		req, _, err := l.next(ctx, s.IdleTimeout, s.ReadTimeout)
-		switch {
-		case errors.Is(err, errGone):
-			return
-		case errors.Is(err, ErrMalformed):
-			// The bytes behind a broken message cannot be trusted as a next one.
-			l.send(AppendResponse(nil, Response{Status: 400, Close: true}), true)
-			return
-		case err != nil:
-			l.send(nil, true)
+		req, err := c.nextRequest(ctx, s.IdleTimeout, s.ReadTimeout)
+		if err != nil {
+			c.end(err)
 			return
 		}
-		lasting := s.Lasting != nil && s.Lasting(&req)
-		l.mu.Lock()
-		l.lasting, l.idle = lasting, time.Time{}
-		l.mu.Unlock()
-		resp := s.Handler(ctx, &req)
-		resp.Close = resp.Close || req.Close || s.crowded(lasting)
-		l.mu.Lock()
-		l.idle = time.Now()
-		l.mu.Unlock()
-		l.send(AppendResponse(nil, resp), resp.Close)
+		resp := s.answer(ctx, c, &req)
+		c.send(AppendResponse(nil, resp), resp.Close)
 		if resp.Close {
 			return
 		}
 	}
 }
+
+// answer runs the handler, while the connection is not idle, and decides whether the connection
+// stays.
+func (s *Server) answer(ctx context.Context, c *connection, req *Request) Response {
+	lasting := s.Lasting != nil && s.Lasting(req)
+	c.markBusy(lasting)
+	resp := s.Handler(ctx, req)
+	resp.Close = resp.Close || req.Close || s.crowded(lasting)
+	c.markIdle()
+	return resp
+}
+
+// Reasons for which a connection's goroutine waits for no further request.
+var (
+	errClosed  = errors.New("wire: connection closed")
+	errTimeout = errors.New("wire: peer too slow")
+	errEvicted = errors.New("wire: connection closed to make room")
+)
