--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock waits for a while, or for the end of what the wait is for.
+// Package clock holds waiting that ends early with a context.
 package clock
 
 import (
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Sleep waits for d or until ctx ends, and tells whether it waited for all of d.
+// Sleep waits for d or until ctx ends, whichever is first, and reports whether it waited for all of
+// d.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
--- /dev/null
+++ b/internal/clock/clock_test.go
@@ -0,0 +1,32 @@
+package clock
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestSleep(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		timeout  time.Duration // of the context
+		whole    bool
+		sleptFor time.Duration
+	}{
+		{"for all of the time", time.Hour, true, time.Minute},
+		{"until the context ends", time.Second, false, time.Second},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
+				defer cancel()
+				start := time.Now()
+				whole := Sleep(ctx, time.Minute)
+				if sleptFor := time.Since(start); whole != test.whole || sleptFor != test.sleptFor {
+					t.Errorf("%v after %v", whole, sleptFor)
+				}
+			})
+		})
+	}
+}
