--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -166,6 +166,21 @@
 	}
 }
 
+// Names of returned machines are forgotten once no late message can bring them back.
+func TestReturnedNamesPruned(t *testing.T) {
+	start := time.Unix(0, 0)
+	registry := NewRegistry()
+	registry.Remove("vm-1", start)
+	registry.Remove("vm-2", start.Add(returnedRetention))
+	if !registry.WasReturned("vm-1") || !registry.WasReturned("vm-2") {
+		t.Error("forgotten too early")
+	}
+	registry.Remove("vm-3", start.Add(returnedRetention+pruneInterval))
+	if registry.WasReturned("vm-1") || !registry.WasReturned("vm-2") {
+		t.Error("not forgotten, or too early")
+	}
+}
+
 // Where images exceed the disk, the one used least recently is evicted.
 func TestImagesForgetOldest(t *testing.T) {
 	var images Images
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// updateUnknownTask finds out anew whether a live attempt is reported that is not assigned.
+// updateUnknownTask recomputes whether a live attempt is reported that is not assigned.
 func (m *Machine) updateUnknownTask() {
 	unknown := false
 	for id, state := range m.Reported {
--- a/internal/agent/responsiveness.go
+++ b/internal/agent/responsiveness.go
@@ -24,8 +24,8 @@
 	ignoredTokens int       // heartbeats in a row that carry a lower token than that
 }
 
-// HeartbeatAnswered records that a heartbeat is answered under the given token. A gap of half the
-// lease starts the time of steady responses anew.
+// HeartbeatAnswered records that a heartbeat is answered under the given token. After a gap of half
+// the lease the time of steady responses starts again.
 func (m *Machine) HeartbeatAnswered(token uint64, lease time.Duration, now time.Time) {
 	if now.Sub(m.responses.last) >= lease/2 {
 		m.responses.steadySince = now
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -20,7 +20,7 @@
 	FetchRate float64  `cbor:"pull_gb_per_s"` // GB a second at which images are pulled
 	Hourly    float64  `cbor:"hourly"`        // price of an hour on demand
 	SpotPrice float64  `cbor:"spot_price"`    // price of an hour as a spot instance
-	BootS     float64  `cbor:"startup_s"`     // seconds from the rental to the first heartbeat
+	BootS     float64  `cbor:"startup_s"`     // seconds that a machine takes to boot
 	Zones     []string `cbor:"depots"`        // where it can be rented
 }
 
@@ -42,7 +42,7 @@
 const (
 	Starting MachineStatus = "starting"
 	Running  MachineStatus = "running"
-	Failed   MachineStatus = "failed" // it costs until it is returned
+	Failed   MachineStatus = "failed" // nothing runs on it any more
 )
 
 // Rental is a request for machines. Its name makes it idempotent: the same name is answered with the
--- a/internal/config/parse_operator.go
+++ b/internal/config/parse_operator.go
@@ -67,8 +67,8 @@
 }
 
 // ParseOperator reads forms such as (index (smoothing-s 4) (update-s 1)). Its error joins a LineError
-// for each entry that is wrong, and a FieldError for settings that contradict each other; if the
-// file has no such form at all, it is the LineError of the first place that is wrong.
+// for each entry that is wrong, and a FieldError for settings that contradict each other. If data is no
+// list of S-expressions, it is the LineError of the first place that is wrong alone.
 func ParseOperator(data []byte) (Operator, error) {
 	operator := DefaultOperator()
 	forms, err := parseSexp(data)
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -15,7 +15,7 @@
 )
 
 // Handler answers one request. The request's body is only valid until it returns. The context ends
-// with the connection's goroutine or the server.
+// with the server; it does not end when the peer closes the connection.
 type Handler func(ctx context.Context, req *Request) Response
 
 // Server accepts connections on an evio loop, which only moves bytes; each connection has a
