--- /dev/null
+++ b/internal/agent/image_cache_test.go
@@ -0,0 +1,19 @@
+package agent
+
+import (
+	"testing"
+	"time"
+)
+
+// Where images exceed the disk, the one used least recently is evicted.
+func TestImagesForgetOldest(t *testing.T) {
+	var images Images
+	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
+	images.Use("a", 4, 10, at(1))
+	images.Use("b", 4, 10, at(2))
+	images.Use("a", 4, 10, at(3))
+	images.Use("c", 4, 10, at(4))
+	if !images.Has("a") || images.Has("b") || !images.Has("c") {
+		t.Errorf("a %v, b %v, c %v", images.Has("a"), images.Has("b"), images.Has("c"))
+	}
+}
