--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -125,6 +125,9 @@
 // Urgent reports whether the leader should send the machine its commands directly now: some wait
 // that are urgent, and the machine can take a direct request.
 func (m *Machine) Urgent() bool {
+	if !m.urgent {
+		return false
+	}
 	reachable := m.Registered && m.RelayedBy == "" && !m.Gone
-	return m.urgent && reachable && !m.RequestInFlight
+	return reachable && !m.RequestInFlight
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -54,7 +54,10 @@
 	RetireReason   RetireReason        // why it is being returned; NotRetired: it is not
 	Gone           bool                // returned: nothing on it runs any more
 
-	// How commands reach it: written by the caller, by responsiveness.go and by commands.go.
+	// How commands reach it: written by the caller, by responsiveness.go and by commands.go. The flag
+	// urgent lies beside Gone, as the leader looks at both of each machine after each few events.
+
+	urgent bool // commands wait that are to be sent before the next heartbeat
 
 	RelayedBy         string    // node that forwards its heartbeats and commands; "": none
 	RequestInFlight   bool      // a direct request to it has not been answered yet
@@ -63,7 +66,6 @@
 	UnresponsiveSince time.Time // since when nothing seems to reach it; zero: it is responsive
 
 	responses responseHistory
-	urgent    bool // commands wait that are to be sent before the next heartbeat
 }
 
 // HasUnknownTask reports whether the newest heartbeat listed a live attempt that is not assigned
