--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -46,7 +46,7 @@
 
 	Assignments    map[job.AttemptID]*Assignment
 	Version        uint64 // raised by every change of what is on the machine
-	Images         Images
+	Images         ImageCache
 	IdleSince      time.Time           // when something was last seen assigned to it; at first, Created
 	FailedAttempts int                 // attempts that failed since the last that was done
 	FailedJobs     map[string]struct{} // IDs of the jobs whose attempts failed since then
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -100,7 +100,7 @@
 
 // serveJobs answers a request for the collection of jobs.
 func (h *Handler) serveJobs(ctx context.Context, req *wire.Request) wire.Response {
-	if req.Method != "POST" {
+	if req.Method != wire.MethodPost {
 		return methodNotAllowed()
 	}
 	return h.submit(ctx, req.Body)
@@ -112,9 +112,9 @@
 	switch {
 	case !job.ValidID(id):
 		return noSuchJob()
-	case isCancel && method == "POST":
+	case isCancel && method == wire.MethodPost:
 		return h.cancel(ctx, id)
-	case !isCancel && method == "GET":
+	case !isCancel && method == wire.MethodGet:
 		return h.poll(ctx, id)
 	}
 	return methodNotAllowed()
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -9,18 +9,6 @@
 	"tulipshelf/internal/wire"
 )
 
-// HTTP statuses of the answers. Package wire speaks HTTP for this program; importing net/http
-// for its constants would link it into the binary.
-const (
-	statusOK                  = 200
-	statusCreated             = 201
-	statusBadRequest          = 400
-	statusNotFound            = 404
-	statusMethodNotAllowed    = 405
-	statusUnprocessableEntity = 422
-	statusServiceUnavailable  = 503
-)
-
 // retryAfterSeconds is the time after which a client is asked to retry: the least that the header
 // can say, as the next attempt, or one at another node, will most likely be decided.
 const retryAfterSeconds = 1
@@ -55,11 +43,11 @@
 }
 
 func respondOK(body any) wire.Response {
-	return wire.Response{Status: statusOK, Body: wire.Marshal(body)}
+	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(body)}
 }
 
 func respondCreated(body any) wire.Response {
-	return wire.Response{Status: statusCreated, Body: wire.Marshal(body)}
+	return wire.Response{Status: wire.StatusCreated, Body: wire.Marshal(body)}
 }
 
 // refuse returns the answer to a request that will not succeed if it is repeated.
@@ -68,12 +56,12 @@
 	return wire.Response{Status: status, Body: wire.Marshal(wire.Problem{Error: reason})}
 }
 
-func noSuchJob() wire.Response { return refuse(statusNotFound, "no such job") }
+func noSuchJob() wire.Response { return refuse(wire.StatusNotFound, "no such job") }
 
-func methodNotAllowed() wire.Response { return wire.Response{Status: statusMethodNotAllowed} }
+func methodNotAllowed() wire.Response { return wire.Response{Status: wire.StatusMethodNotAllowed} }
 
 // unavailable returns the answer to a request that cannot be decided now. It is sent at once:
 // the client repeats the request, which is idempotent.
 func unavailable() wire.Response {
-	return wire.Response{Status: statusServiceUnavailable, RetryAfter: retryAfterSeconds}
+	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -20,7 +20,7 @@
 func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
-		return refuse(statusBadRequest, err.Error())
+		return refuse(wire.StatusBadRequest, err.Error())
 	}
 	if status, cached := h.finalStates.get(id); cached {
 		return respondOK(jobSummary{id, status})
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -11,6 +11,7 @@
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/wire"
 )
 
 // validationError says why a submission is refused for good, with the HTTP status of the answer.
@@ -39,7 +40,7 @@
 func (h *Handler) validate(body []byte) (*job.Spec, error) {
 	spec, err := job.Decode(body)
 	if err != nil {
-		return nil, &validationError{statusBadRequest, err.Error()}
+		return nil, &validationError{wire.StatusBadRequest, err.Error()}
 	}
 	if err := h.validateQuota(spec); err != nil {
 		return nil, err
@@ -50,7 +51,7 @@
 	}
 	allowed := allowedTypes(spec, machineTypes)
 	if len(allowed) == 0 {
-		return nil, &validationError{statusUnprocessableEntity, "fits no allowed machine type"}
+		return nil, &validationError{wire.StatusUnprocessable, "fits no allowed machine type"}
 	}
 	if spec.Types != nil {
 		spec.Types = allowed
@@ -67,7 +68,7 @@
 	isTeam := func(team config.Team) bool { return team.Name == spec.Team }
 	index := slices.IndexFunc(h.cfg.Teams, isTeam)
 	if index < 0 {
-		return &validationError{statusUnprocessableEntity, "unknown team"}
+		return &validationError{wire.StatusUnprocessable, "unknown team"}
 	}
 	concurrentTasks := 1.0
 	if spec.Shape != job.Array {
@@ -77,7 +78,7 @@
 	cpusExceeded := spec.CPUs*concurrentTasks > team.MaxCPUs+quotaTolerance
 	gpusExceeded := spec.GPUs*concurrentTasks > team.MaxGPUs+quotaTolerance
 	if cpusExceeded || gpusExceeded {
-		return &validationError{statusUnprocessableEntity, "more than the team's limit"}
+		return &validationError{wire.StatusUnprocessable, "more than the team's limit"}
 	}
 	return nil
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -68,9 +68,9 @@
 // Ready returns how many requests would be sent without waiting for the rate, but at least one.
 func (c *Client) Ready() int { return max(1, int(c.limiter.Tokens())) }
 
-// ListEvery returns how far apart lists of so many machines have to be for most of the rate to be
+// ListInterval returns how far apart lists of so many machines have to be for most of the rate to be
 // left to rentals and returns: a list takes a request for each page.
-func (c *Client) ListEvery(machines int) time.Duration {
+func (c *Client) ListInterval(machines int) time.Duration {
 	pages := machines/maxPageSize + 1
 	pagesPerSecond := listShare * float64(c.limiter.Limit())
 	return time.Duration(float64(pages) / pagesPerSecond * float64(time.Second))
@@ -79,7 +79,7 @@
 // Catalog returns the machine types with their current prices.
 func (c *Client) Catalog(ctx context.Context) ([]Type, error) {
 	var resp catalogResponse
-	err := c.do(ctx, "GET", "/catalog", nil, &resp)
+	err := c.do(ctx, wire.MethodGet, "/catalog", nil, &resp)
 	return resp.Types, err
 }
 
@@ -88,14 +88,14 @@
 // again, shows.
 func (c *Client) Rent(ctx context.Context, rental Rental) ([]string, error) {
 	var resp rentResponse
-	err := c.do(ctx, "POST", "/rentals", wire.Marshal(rental), &resp)
+	err := c.do(ctx, wire.MethodPost, "/rentals", wire.Marshal(rental), &resp)
 	return resp.Machines, err
 }
 
 // Return gives machines back, at most MaxReturn. After success they and all on them are gone; after
 // an error they may be. To return one again does no harm.
 func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.do(ctx, "POST", "/rentals/return", wire.Marshal(returnRequest{names}), nil)
+	return c.do(ctx, wire.MethodPost, "/rentals/return", wire.Marshal(returnRequest{names}), nil)
 }
 
 // List returns all machines, as they were some seconds ago, page by page. An error of one page is
@@ -105,7 +105,7 @@
 	target := "/rentals?limit=" + strconv.Itoa(maxPageSize)
 	for next := target; ; {
 		var page listResponse
-		if err := c.do(ctx, "GET", next, nil, &page); err != nil {
+		if err := c.do(ctx, wire.MethodGet, next, nil, &page); err != nil {
 			return nil, err
 		}
 		machines = append(machines, page.Machines...)
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -121,9 +121,9 @@
 // that there is no more.
 func TestListPages(t *testing.T) {
 	pages := map[string]map[string]any{
-		"limit=500":            {"shelves": []cloud.Machine{{Name: "vm-1", Status: cloud.Starting}, {Name: "vm-2"}}, "has_next": true},
-		"limit=500&after=vm-2": {"shelves": []cloud.Machine{{Name: "vm-3", Status: cloud.Running, Spot: true}}, "has_next": true},
-		"limit=500&after=vm-3": {"shelves": []cloud.Machine{{Name: "vm-4", Status: cloud.Failed}}, "has_next": false},
+		"limit=500":            {"shelves": []cloud.Machine{{Name: "vm-1", Status: cloud.MachineStarting}, {Name: "vm-2"}}, "has_next": true},
+		"limit=500&after=vm-2": {"shelves": []cloud.Machine{{Name: "vm-3", Status: cloud.MachineRunning, Spot: true}}, "has_next": true},
+		"limit=500&after=vm-3": {"shelves": []cloud.Machine{{Name: "vm-4", Status: cloud.MachineFailed}}, "has_next": false},
 	}
 	respond := func(req *wire.Request) wire.Response {
 		page, ok := pages[req.Query]
@@ -135,10 +135,10 @@
 	withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
 		machines, err := client.List(ctx)
 		want := []cloud.Machine{
-			{Name: "vm-1", Status: cloud.Starting},
+			{Name: "vm-1", Status: cloud.MachineStarting},
 			{Name: "vm-2"},
-			{Name: "vm-3", Status: cloud.Running, Spot: true},
-			{Name: "vm-4", Status: cloud.Failed},
+			{Name: "vm-3", Status: cloud.MachineRunning, Spot: true},
+			{Name: "vm-4", Status: cloud.MachineFailed},
 		}
 		if err != nil || !slices.Equal(machines, want) {
 			t.Errorf("%+v, %v", machines, err)
@@ -210,7 +210,7 @@
 func TestListEvery(t *testing.T) {
 	client := cloud.New(nil, cloudAddr, 5)
 	for machines, want := range map[int]time.Duration{0: 500 * time.Millisecond, 499: 500 * time.Millisecond, 6000: 6500 * time.Millisecond} {
-		if every := client.ListEvery(machines); every != want {
+		if every := client.ListInterval(machines); every != want {
 			t.Errorf("%d machines: %v, not %v", machines, every, want)
 		}
 	}
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -40,9 +40,9 @@
 
 // Statuses of a listed machine.
 const (
-	Starting MachineStatus = "starting"
-	Running  MachineStatus = "running"
-	Failed   MachineStatus = "failed" // nothing runs on it any more
+	MachineStarting MachineStatus = "starting"
+	MachineRunning  MachineStatus = "running"
+	MachineFailed   MachineStatus = "failed" // nothing runs on it any more
 )
 
 // Rental is a request for machines. Its name makes it idempotent: the same name is answered with the
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
 	"time"
 
 	"tulipshelf/internal/agent"
@@ -18,7 +17,7 @@
 	var heartbeat agent.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
 		problem := wire.Problem{Error: fmt.Sprint("malformed report: ", err)}
-		return wire.Response{Status: http.StatusBadRequest, Body: wire.Marshal(problem)}
+		return wire.Response{Status: wire.StatusBadRequest, Body: wire.Marshal(problem)}
 	}
 	n.gone.observeHeartbeat(&heartbeat)
 	l := n.leader.Load()
@@ -39,7 +38,7 @@
 	}
 	if n.mayExtendIsolated(heartbeat) {
 		answer := agent.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: n.haltCancelled(heartbeat)}
-		return wire.Response{Status: http.StatusOK, Body: wire.Marshal(answer)}
+		return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}
 	}
 	return n.redirect()
 }
@@ -55,7 +54,7 @@
 	if name == n.settings.Node {
 		name = ""
 	}
-	return wire.Response{Status: http.StatusMisdirectedRequest, Body: wire.Marshal(redirection{Leader: name})}
+	return wire.Response{Status: wire.StatusMisdirectedRequest, Body: wire.Marshal(redirection{Leader: name})}
 }
 
 // leaderConfirmedWithin is how recently the key-value store must have named the leader for another
@@ -76,7 +75,7 @@
 	}
 	answer := n.proxy.AnswerHeartbeat(heartbeat, name, term)
 	answer.Commands = append(answer.Commands, n.haltCancelled(heartbeat)...)
-	return wire.Response{Status: http.StatusOK, Body: wire.Marshal(answer)}, true
+	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, true
 }
 
 // isolatedAfter is for how long the key-value store must not have served a controller before it
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"strings"
 	"time"
 
@@ -21,19 +20,19 @@
 func (n *Node) serveHTTP(ctx context.Context, req *wire.Request) wire.Response {
 	switch {
 	case req.Path == readyPath:
-		if req.Method != http.MethodGet {
-			return wire.Response{Status: http.StatusMethodNotAllowed}
+		if req.Method != wire.MethodGet {
+			return wire.Response{Status: wire.StatusMethodNotAllowed}
 		}
 		return n.handleReady()
 	case req.Path == heartbeatPath:
-		if req.Method != http.MethodPost {
-			return wire.Response{Status: http.StatusMethodNotAllowed}
+		if req.Method != wire.MethodPost {
+			return wire.Response{Status: wire.StatusMethodNotAllowed}
 		}
 		return n.handleHeartbeat(ctx, req.Body)
 	case req.Path == jobsPath || strings.HasPrefix(req.Path, jobPathPrefix):
 		return n.api.Serve(ctx, req)
 	}
-	return wire.Response{Status: http.StatusNotFound}
+	return wire.Response{Status: wire.StatusNotFound}
 }
 
 // Times of readiness: for how long the key-value store may not have served this controller, and how
@@ -45,9 +44,9 @@
 
 func (n *Node) handleReady() wire.Response {
 	if n.ready() {
-		return wire.Response{Status: http.StatusOK}
+		return wire.Response{Status: wire.StatusOK}
 	}
-	return wire.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1}
+	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: 1}
 }
 
 // ready reports whether users had better come to this controller. In an outage of the key-value
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -96,9 +96,9 @@
 			if time.Since(w.rented) < c.Lag {
 				continue
 			}
-			status := cloud.Running
+			status := cloud.MachineRunning
 			if !w.Up() {
-				status = cloud.Starting
+				status = cloud.MachineStarting
 			}
 			list = append(list, cloud.Machine{Name: w.Name, Addr: w.Addr, Type: c.Type.Name, Zone: w.Zone, Status: status})
 		}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -19,7 +19,7 @@
 
 func TestDecode(t *testing.T) {
 	spec, err := Decode(wire.Marshal(valid()))
-	if err != nil || spec.Tasks != 16 || spec.CPUs != 8 || spec.Rank() != High || spec.Zone != "" || len(spec.Types) != 1 || spec.DueS != 900 {
+	if err != nil || spec.Tasks != 16 || spec.CPUs != 8 || spec.Rank() != RankHigh || spec.Zone != "" || len(spec.Types) != 1 || spec.DueS != 900 {
 		t.Fatalf("%+v, %v", spec, err)
 	}
 }
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -30,17 +30,17 @@
 
 // Ranks of the priorities: a higher priority has a higher rank.
 const (
-	BestEffort = iota
-	Standard
-	High
-	Critical
+	RankBestEffort = iota
+	RankStandard
+	RankHigh
+	RankCritical
 )
 
 var ranks = map[Priority]int{
-	PriorityBestEffort: BestEffort,
-	PriorityStandard:   Standard,
-	PriorityHigh:       High,
-	PriorityCritical:   Critical,
+	PriorityBestEffort: RankBestEffort,
+	PriorityStandard:   RankStandard,
+	PriorityHigh:       RankHigh,
+	PriorityCritical:   RankCritical,
 }
 
 func (p Priority) valid() bool {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -5,6 +5,8 @@
 import (
 	"errors"
 	"fmt"
+
+	"tulipshelf/internal/wire"
 )
 
 // Errors that callers distinguish, by errors.Is. After ErrUnknown, as after any error that is
@@ -40,7 +42,7 @@
 
 var (
 	errConflict  = errors.New("kvstore: conflict") // callers get a ConflictError
-	errThrottled = fmt.Errorf("%w: status %d", ErrRefused, statusTooManyRequests)
+	errThrottled = fmt.Errorf("%w: status %d", ErrRefused, wire.StatusTooManyRequests)
 )
 
 // ConflictError says that a transaction was not applied, as compares of it failed.
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -16,7 +16,7 @@
 	c.requestBudget.take(1, PriorityLease)
 	body := wire.Marshal(grantRequest{TTLMS: ttl.Milliseconds()})
 	var out grantResponse
-	err := c.do(ctx, request{method: "POST", target: "/leases", body: body}, &out)
+	err := c.do(ctx, request{method: wire.MethodPost, target: "/leases", body: body}, &out)
 	return out.Lease, err
 }
 
@@ -24,14 +24,14 @@
 // revoked.
 func (c *Client) Extend(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
-	return c.do(ctx, request{method: "POST", target: leasePath(lease) + "/extend"}, nil)
+	return c.do(ctx, request{method: wire.MethodPost, target: leasePath(lease) + "/extend"}, nil)
 }
 
 // Revoke ends a lease at once, with its keys. The error is ErrNotFound if it has ended
 // already.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
-	return c.do(ctx, request{method: "DELETE", target: leasePath(lease)}, nil)
+	return c.do(ctx, request{method: wire.MethodDelete, target: leasePath(lease)}, nil)
 }
 
 func leasePath(lease uint64) string { return "/leases/" + strconv.FormatUint(lease, 10) }
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -16,7 +16,7 @@
 		return Item{}, ErrRateLimited
 	}
 	var item Item
-	if err := c.do(ctx, request{method: "GET", target: "/keys/" + key}, &item); err != nil {
+	if err := c.do(ctx, request{method: wire.MethodGet, target: "/keys/" + key}, &item); err != nil {
 		return Item{}, err
 	}
 	return item, nil
@@ -33,7 +33,7 @@
 		target += "&after=" + after
 	}
 	var page Page
-	if err := c.do(ctx, request{method: "GET", target: target}, &page); err != nil {
+	if err := c.do(ctx, request{method: wire.MethodGet, target: target}, &page); err != nil {
 		return Page{}, err
 	}
 	return page, nil
@@ -48,7 +48,7 @@
 	}
 	body := wire.Marshal(transactionRequest{Compares: compares, Mutations: mutations})
 	var out transactionResponse
-	err := c.do(ctx, request{method: "POST", target: "/txn", body: body}, &out)
+	err := c.do(ctx, request{method: wire.MethodPost, target: "/txn", body: body}, &out)
 	switch {
 	case err == nil:
 		return out.Revision, nil
--- a/internal/kvstore/response.go
+++ b/internal/kvstore/response.go
@@ -8,45 +8,33 @@
 	"tulipshelf/internal/wire"
 )
 
-// Statuses with a meaning of their own. Any other leaves the outcome unknown.
-const (
-	statusOK                 = 200
-	statusNoContent          = 204
-	statusBadRequest         = 400 // malformed, larger than the limits, or a lease that has ended
-	statusNotFound           = 404
-	statusConflict           = 409 // a compare failed
-	statusGone               = 410 // changes that the store no longer keeps
-	statusTooManyRequests    = 429
-	statusServiceUnavailable = 503
-)
-
 // executed reports whether the store has carried a request out, also where the answer is an error.
 func executed(status int) bool {
-	return status != statusTooManyRequests && status != statusServiceUnavailable
+	return status != wire.StatusTooManyRequests && status != wire.StatusServiceUnavailable
 }
 
 // decodeResponse decodes the answer to a request into out, unless out is nil, and returns the
 // error that the answer stands for.
 func decodeResponse(req request, resp wire.Response, out any) error {
 	switch resp.Status {
-	case statusOK:
+	case wire.StatusOK:
 		return decodeBody(resp.Body, out)
-	case statusNoContent:
+	case wire.StatusNoContent:
 		return nil
-	case statusConflict:
+	case wire.StatusConflict:
 		if err := decodeBody(resp.Body, out); err != nil {
 			return err
 		}
 		return errConflict
-	case statusNotFound:
+	case wire.StatusNotFound:
 		return ErrNotFound
-	case statusGone:
+	case wire.StatusGone:
 		return ErrCompacted
-	case statusTooManyRequests:
+	case wire.StatusTooManyRequests:
 		return errThrottled
-	case statusServiceUnavailable:
+	case wire.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
-	case statusBadRequest:
+	case wire.StatusBadRequest:
 		return badRequest(req, resp.Body)
 	}
 	return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
@@ -73,5 +61,5 @@
 	if wire.Unmarshal(body, &problem) == nil && problem.Error == noSuchLease {
 		return ErrNoSuchLease
 	}
-	return fmt.Errorf("%w: %s %s: status %d %q", ErrRejected, req.method, req.target, statusBadRequest, problem.Error)
+	return fmt.Errorf("%w: %s %s: status %d %q", ErrRejected, req.method, req.target, wire.StatusBadRequest, problem.Error)
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -47,7 +47,7 @@
 		"&after=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	var out changesResponse
-	err := c.do(ctx, request{method: "GET", target: target}, &out)
+	err := c.do(ctx, request{method: wire.MethodGet, target: target}, &out)
 	if errors.Is(err, wire.ErrTooLarge) {
 		err = fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"tulipshelf/internal/agent"
@@ -68,7 +67,7 @@
 	d.loop.start(func() {
 		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
 		defer cancel()
-		status, err := agent.Call(ctx, client, http.MethodPost, agent.CommandsPath, body)
+		status, err := agent.Call(ctx, client, wire.MethodPost, agent.CommandsPath, body)
 		d.loop.submit(commandsAnswered{machine, status, err})
 	})
 }
@@ -141,10 +140,10 @@
 	d.loop.start(func() {
 		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
 		defer cancel()
-		status, err := agent.Call(ctx, client, http.MethodGet, agent.StatusPath, nil)
+		status, err := agent.Call(ctx, client, wire.MethodGet, agent.StatusPath, nil)
 		if err == nil && status.FencingToken < term {
 			body := encodeCommands(term, status.Incarnation, []agent.Command{})
-			status, err = agent.Call(ctx, client, http.MethodPost, agent.CommandsPath, body)
+			status, err = agent.Call(ctx, client, wire.MethodPost, agent.CommandsPath, body)
 		}
 		d.loop.submit(probeAnswered{machine, status, err})
 	})
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"tulipshelf/internal/agent"
@@ -48,7 +47,7 @@
 
 // unavailable is the answer to an agent that has to come back.
 func unavailable() wire.Response {
-	return wire.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1}
+	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: 1}
 }
 
 func (h *heartbeatHandler) handle(heartbeat *agent.Heartbeat) (response wire.Response, redirected bool) {
@@ -69,7 +68,7 @@
 		machine.HeartbeatAnswered(term, h.Settings.Workers.Lease, now)
 		answer.Commands = h.commands.forMachine(machine, now)
 	}
-	return wire.Response{Status: http.StatusOK, Body: wire.Marshal(answer)}, false
+	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, false
 }
 
 // isNewest reports whether a heartbeat that was applied is the newest of its machine. A late copy
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -104,7 +104,7 @@
 		spec, state := gang.spec, gang.state
 		reserved = append(reserved, placement.Job{
 			Anticipated: true, Gang: true, Team: state.team,
-			Priority: min(spec.Rank(), job.Standard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
+			Priority: min(spec.Rank(), job.RankStandard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
 			Need: state.need, Waiting: spec.Tasks, Tasks: spec.Tasks,
 			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			TasksInZone: make([]int, len(r.topology.zones)),
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -217,9 +217,9 @@
 		machine.Type, machine.Zone = s.topology.resolve(entry.Type, entry.Zone)
 		machine.Spot, machine.Addr = entry.Spot, entry.Addr
 	}
-	machine.Failed = entry.Status == cloud.Failed
-	machine.Listed = machine.Listed || entry.Status == cloud.Running
-	machine.Booting = entry.Status == cloud.Starting && !machine.Registered
+	machine.Failed = entry.Status == cloud.MachineFailed
+	machine.Listed = machine.Listed || entry.Status == cloud.MachineRunning
+	machine.Booting = entry.Status == cloud.MachineStarting && !machine.Registered
 }
 
 // listLagLeeway is added to twice the time by which lists lag, as the settings give it.
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -43,7 +43,7 @@
 // listIfDue lists the machines now and then. It returns false if the cloud did not serve.
 func (c *cloudSession) listIfDue(ctx context.Context) bool {
 	s := c.scaler
-	listInterval := max(minListInterval, s.Settings.Cloud.ListLag/2, s.Cloud.ListEvery(c.listLength))
+	listInterval := max(minListInterval, s.Settings.Cloud.ListLag/2, s.Cloud.ListInterval(c.listLength))
 	if time.Since(c.lastList) < listInterval {
 		return true
 	}
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -130,7 +130,7 @@
 // for it again, for ever (TestGuests).
 func (s *scheduler) priority(j *jobstore.Job) int {
 	if s.jobs.opportunistic(j) {
-		return job.BestEffort
+		return job.RankBestEffort
 	}
 	return j.Spec.Rank()
 }
--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -74,7 +74,7 @@
 	l.forecast.largestGangs["class"] = gangTemplate{spec, &jobState{zone: unknownIndex, need: need}}
 	l.forecast.gangs.Add(600, now)
 	for _, beyond := range []bool{false, true} {
-		waiting := []placement.Job{{Priority: job.Standard, Arrival: 1, BeyondGuarantee: beyond, Need: need, Waiting: 4, Zone: unknownIndex,
+		waiting := []placement.Job{{Priority: job.RankStandard, Arrival: 1, BeyondGuarantee: beyond, Need: need, Waiting: 4, Zone: unknownIndex,
 			Gang: true, Tasks: 4, TasksInZone: []int{0, 0}}}
 		machines := []placement.Machine{{Open: true, Free: placement.Amounts{placement.CPU: 4}}}
 		reserved := l.reservations.asJobs(now, waiting)
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -16,14 +16,6 @@
 	changedPath   = "/changed"
 )
 
-// Statuses of the responses to other controllers.
-const (
-	statusOK               = 200
-	statusBadRequest       = 400
-	statusNotFound         = 404
-	statusMethodNotAllowed = 405
-)
-
 // NotifyLeader tells the leader, if one is known, that a job has changed. A message that is lost
 // costs time only: the leader watches the jobs' keys as well.
 func (g *Group) NotifyLeader(ctx context.Context, job string) {
@@ -44,8 +36,8 @@
 
 // Serve handles a request of another controller: a wire.Handler.
 func (g *Group) Serve(_ context.Context, req *wire.Request) wire.Response {
-	if req.Method != "POST" {
-		return wire.Response{Status: statusMethodNotAllowed}
+	if req.Method != wire.MethodPost {
+		return wire.Response{Status: wire.StatusMethodNotAllowed}
 	}
 	switch req.Path {
 	case heartbeatPath:
@@ -53,21 +45,21 @@
 	case changedPath:
 		return g.serveChanged(req.Body)
 	}
-	return wire.Response{Status: statusNotFound}
+	return wire.Response{Status: wire.StatusNotFound}
 }
 
 func (g *Group) serveHeartbeat(body []byte) wire.Response {
 	if _, err := g.receiveHeartbeat(body); err != nil {
-		return wire.Response{Status: statusBadRequest}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
-	return wire.Response{Status: statusOK, Body: g.newHeartbeat().message}
+	return wire.Response{Status: wire.StatusOK, Body: g.newHeartbeat().message}
 }
 
 func (g *Group) serveChanged(body []byte) wire.Response {
 	var changed Changed
 	if err := proto.Unmarshal(body, &changed); err != nil {
-		return wire.Response{Status: statusBadRequest}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	g.node.JobsChanged(changed.Jobs)
-	return wire.Response{Status: statusOK}
+	return wire.Response{Status: wire.StatusOK}
 }
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -115,8 +115,8 @@
 func (m *member) post(ctx context.Context, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := m.client.Do(ctx, "POST", path, body)
-	if err == nil && response.Status != statusOK {
+	response, err := m.client.Do(ctx, wire.MethodPost, path, body)
+	if err == nil && response.Status != wire.StatusOK {
 		err = fmt.Errorf("%w %d", errUnexpectedStatus, response.Status)
 	}
 	if err != nil {
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	client := wire.Client{Dial: p.Dial, Addr: commands.addr}
 	defer client.CloseIdle()
-	heartbeat, err := agent.Call(ctx, &client, "POST", "/commands", wire.Marshal(commands.request))
+	heartbeat, err := agent.Call(ctx, &client, wire.MethodPost, agent.CommandsPath, wire.Marshal(commands.request))
 	if err != nil || heartbeat.Machine != commands.machine {
 		slog.Debug("commands not answered", "machine", commands.machine, "err", err)
 		return
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -1,6 +1,14 @@
 package wire
 
-// HTTP status codes. Package net/http would bring its server and client into the program for them.
+// HTTP methods and status codes. Package net/http would bring its server and client into the program
+// for them.
+
+// Methods that any peer uses.
+const (
+	MethodGet    = "GET"
+	MethodPost   = "POST"
+	MethodDelete = "DELETE"
+)
 
 // Status codes that any peer sends or expects.
 const (
@@ -12,6 +20,7 @@
 	StatusNotFound           = 404
 	StatusMethodNotAllowed   = 405
 	StatusConflict           = 409
+	StatusGone               = 410
 	StatusMisdirectedRequest = 421
 	StatusUnprocessable      = 422
 	StatusTooManyRequests    = 429
