--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -54,7 +54,7 @@
 
 // A cancellation that was applied without an answer is read back.
 func TestCancelAppliedWithoutAnswer(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.submitted("wk-000001")
 		f.store.LoseResponses(1)
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -31,7 +31,7 @@
 // In an outage of the key-value store everything is answered 503 within the time for one request,
 // but for what is known to have ended.
 func TestOutage(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.submitted("wk-000001")
 		f.submitted("wk-000002")
 		f.finish("wk-000002", StatusDone, 10)
@@ -51,7 +51,7 @@
 
 // A store that answers too late counts as one that does not answer.
 func TestSlowStore(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.submitted("wk-000001")
 		f.store.Delay(2 * requestTimeout)
 		f.expectUnavailable(f.poll("wk-000001"))
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -28,7 +28,7 @@
 
 // A submission that was applied without an answer is read back and reported as known.
 func TestSubmitAppliedWithoutAnswer(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.store.LoseResponses(1)
 		f.expect(f.submit(submission("wk-000001")), 200, StatusPending)
 		f.record("wk-000001")
@@ -37,7 +37,7 @@
 
 // A submission that may yet be applied is neither accepted nor refused.
 func TestSubmitInDoubt(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.store.DelayTransactions(1, jobstore.JobPrefix)
 		f.expectUnavailable(f.submit(submission("wk-000001")))
 		f.store.Release()
@@ -47,7 +47,7 @@
 
 // What this node cannot judge yet is not refused.
 func TestSubmitNotYetPossible(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fixture) {
+	inBubble(t, func(_ *testing.T, f *fixture) {
 		gang := submission("wk-000001")
 		gang["shape"], gang["tickets"] = "ensemble", 2
 		f.noGangs.Store(true)
--- a/internal/jobstore/codec_test.go
+++ b/internal/jobstore/codec_test.go
@@ -128,7 +128,7 @@
 	stop := errors.New("stop")
 	visits := 0
 	err := eachInRanges("0-9", func(int) error { visits++; return stop })
-	if err != stop || visits != 1 {
+	if !errors.Is(err, stop) || visits != 1 {
 		t.Errorf("%d visits, %v", visits, err)
 	}
 }
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -56,7 +56,7 @@
 // the body.
 func withConnection(t *testing.T, test func(*loopConn)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(_ *testing.T) {
 		server := &Server{IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second, Handler: func(ctx context.Context, r *Request) Response {
 			switch r.Path {
 			case "/busy":
--- a/tools/testdata/undocumented/undocumented.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package undocumented
-
-func Exported() {}
