--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -74,6 +74,9 @@
 	GangNotice        time.Duration // within which a gang's tasks notice that one is gone; 0: not known
 }
 
+// HeartbeatOverdue is the age from which a machine's last heartbeat counts as late.
+func (w *Workers) HeartbeatOverdue() time.Duration { return w.HeartbeatInterval * 3 / 2 }
+
 // StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS        float64 // requests a second
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -83,6 +83,6 @@
 		slog.Error("kept catalog unreadable", "err", err)
 		return
 	}
-	slog.Info("catalog taken from the state service", "types", len(value.Types))
+	slog.Info("catalog taken from the key-value store", "types", len(value.Types))
 	n.types.Store(&value.Types)
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -111,9 +111,6 @@
 // it does not lead: within the time that an agent takes to come back from one that does not answer.
 func (n *Node) redirectedCount() int { return n.redirected.count(time.Now()) }
 
-// maxHaltCommands is how many commands one answer carries: far below the protocol's 64 KiB.
-const maxHaltCommands = 40
-
 // haltCancelled returns the commands that end tasks of cancelled jobs on a machine, as far as this
 // controller knows of the cancellations: for an agent that it answers without leading for certain.
 // They are right whoever leads, and nobody may in an outage that outlasts the time in which such
@@ -123,7 +120,7 @@
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
 		jobID, _, _ := job.ParseTaskName(task.Task)
-		if task.Status != agent.StatusExited && len(commands) < maxHaltCommands && n.cancelled.Contains(jobID) {
+		if task.Status != agent.StatusExited && len(commands) < agent.MaxCommands && n.cancelled.Contains(jobID) {
 			commands = append(commands, agent.Command{Verb: agent.VerbHalt, Task: task.Task, Attempt: task.Attempt, GracePeriodS: &gracePeriod})
 		}
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -76,7 +76,7 @@
 		cloud:       cloud.New(network.Dial, settings.CloudAddr, settings.Cloud.RPS*cloudShare),
 		cancelled:   cancellation.New(len(settings.Peers)+1, settings.Workers.CancelDeadline),
 	}
-	heartbeatOverdue := settings.Workers.HeartbeatInterval * 3 / 2
+	heartbeatOverdue := settings.Workers.HeartbeatOverdue()
 	n.extended = newExpiringSet(heartbeatOverdue, settings.Resources.MemBytes)
 	n.redirected = newExpiringSet(heartbeatOverdue+agentRetryRound, settings.Resources.MemBytes)
 	n.valueBytes.Store(int64(limits.ValueBytes))
--- a/internal/controller/store_limits.go
+++ b/internal/controller/store_limits.go
@@ -17,11 +17,11 @@
 func (n *Node) onStoreRefused(tooLarge bool) {
 	next := n.settings.Store.Next
 	if !n.ratesLowered.Swap(true) {
-		slog.Info("the state service allows fewer changes", "write_rps", next.WriteRPS)
+		slog.Info("the key-value store allows fewer changes", "write_rps", next.WriteRPS)
 		n.store.SetRates(next.RPS*requestShare, next.WriteRPS*writeShare)
 	}
 	lowered := int64(n.settings.Store.ValueBytes)
 	if tooLarge && n.valueBytes.Swap(lowered) != lowered {
-		slog.Info("the state service takes smaller values", "bytes", lowered)
+		slog.Info("the key-value store takes smaller values", "bytes", lowered)
 	}
 }
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -122,7 +122,7 @@
 func (t *attemptTracker) reachable(machine *agent.Machine, now time.Time) bool {
 	present := machine.Registered && !machine.Gone && !machine.Failed
 	direct := machine.RelayedBy == "" && !machine.ProbeFailed && !machine.RequestInFlight && machine.UnresponsiveSince.IsZero()
-	return present && direct && now.Sub(machine.LastHeartbeat) < t.heartbeatOverdue()
+	return present && direct && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue()
 }
 
 // checkpointLeeway is how long before a termination notice runs out tasks are halted to save a
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -6,9 +6,6 @@
 	"tulipshelf/internal/agent"
 )
 
-// maxCommands is how many commands one answer carries: far below the protocol's 64 KiB.
-const maxCommands = 40
-
 // commandSource says which commands a machine is to get.
 type commandSource struct {
 	*environment
@@ -22,9 +19,9 @@
 // time in which a cancelled task must be gone.
 func (c *commandSource) forMachine(machine *agent.Machine, now time.Time) []agent.Command {
 	if !c.term.Valid() {
-		return machine.HaltCommands(maxCommands)
+		return machine.HaltCommands(agent.MaxCommands)
 	}
-	return machine.PendingCommands(c.term.Number(), maxCommands, c.jobs.resultSettled, now)
+	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, c.jobs.resultSettled, now)
 }
 
 // forRelayedMachine returns the commands for a machine that only another controller reaches. What
@@ -32,7 +29,7 @@
 // not fit into what may be written.
 func (c *commandSource) forRelayedMachine(machine *agent.Machine, now time.Time) []agent.Command {
 	neverSettled := func(string) bool { return false }
-	return machine.PendingCommands(c.term.Number(), maxCommands, neverSettled, now)
+	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, neverSettled, now)
 }
 
 // allSettled reports whether all results that a machine still reports are recorded.
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -23,8 +23,6 @@
 
 // Limits of direct requests.
 const (
-	agentRequestTimeout = 1500 * time.Millisecond
-
 	// socketShare bounds the machines that are sent commands, or probed, at once: one socket in so
 	// many. A burst of starts on hundreds of machines must not take the sockets of agents.
 	socketShare = 20
@@ -65,7 +63,7 @@
 	client := d.client(machine)
 	body := encodeCommands(d.term.Number(), machine.Incarnation, commands)
 	d.loop.start(func() {
-		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
+		ctx, cancel := context.WithTimeout(d.loop.ctx, agent.RequestTimeout)
 		defer cancel()
 		status, err := agent.Call(ctx, client, wire.MethodPost, agent.CommandsPath, body)
 		d.loop.submit(commandsAnswered{machine, status, err})
@@ -125,7 +123,7 @@
 	if machine.Registered {
 		heardAt = machine.LastHeartbeat
 	}
-	if now.Sub(heardAt) < d.heartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
+	if now.Sub(heardAt) < d.Settings.Workers.HeartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
 		return false
 	}
 	direct := machine.Addr != "" && machine.RelayedBy == "" && !machine.RequestInFlight
@@ -138,7 +136,7 @@
 	d.probing++
 	client, term := d.client(machine), d.term.Number()
 	d.loop.start(func() {
-		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
+		ctx, cancel := context.WithTimeout(d.loop.ctx, agent.RequestTimeout)
 		defer cancel()
 		status, err := agent.Call(ctx, client, wire.MethodGet, agent.StatusPath, nil)
 		if err == nil && status.FencingToken < term {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -62,11 +62,6 @@
 	loop      *eventLoop
 }
 
-// heartbeatOverdue is the age from which a machine's last heartbeat counts as late.
-func (e *environment) heartbeatOverdue() time.Duration {
-	return e.Settings.Workers.HeartbeatInterval * 3 / 2
-}
-
 // Leader is one term's state. Its concerns are touched by the event loop alone, unless a comment
 // on them says otherwise.
 type Leader struct {
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -70,7 +70,7 @@
 		if !machine.Registered {
 			return
 		}
-		if machine.RelayedBy == "" && now.Sub(machine.LastHeartbeat) < t.heartbeatOverdue() {
+		if machine.RelayedBy == "" && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue() {
 			r.heard++
 		}
 		if machine.FencingToken >= t.firstTerm {
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -19,7 +19,7 @@
 
 	// dispatchTimeout bounds for how long an agent that hangs takes one of the connections: the
 	// others' commands are left to the responses to their next heartbeats meanwhile.
-	dispatchTimeout = 1500 * time.Millisecond
+	dispatchTimeout = agent.RequestTimeout
 )
 
 // directCommands are commands on their way to one agent.
