--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -6,7 +6,6 @@
 	"context"
 	"log/slog"
 	"sync"
-	"time"
 
 	"tulipshelf/internal/agent"
 	"tulipshelf/internal/wire"
