--- a/internal/controller/cancelled_test.go
+++ b/internal/controller/cancelled_test.go
@@ -27,7 +27,7 @@
 // and at that moment the outage begins for all and outlasts the time in which the tasks
 // must be gone, while workers report to the old leader. Whatever else happens, they are
 // gone; and what nobody has cancelled goes on wherever somebody who knows that is left.
-func TestGap(t *testing.T) {
+func TestCancelledTasksStopWhenStoreFailsAfterConfirmation(t *testing.T) {
 	const (
 		other                    = "wk-000002"
 		nextLeaderHasReadNothing = "machines hang and the next leader has read nothing when the outage begins"
@@ -175,7 +175,7 @@
 // The gap with a start that the confirming controller has not heard of: the old leader
 // has recorded it, and it is carried out once the job is called cancelled, or it was just
 // before and the machine hangs while nobody is left who has sent it.
-func TestGapWithStartUnderWay(t *testing.T) {
+func TestCancelledStartInFlightStopsWhenStoreFails(t *testing.T) {
 	for name, hang := range map[string]bool{"held up": false, "machines hang and the leader ends": true} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
@@ -224,7 +224,7 @@
 
 // A controller that reaches none of the others confirms no cancellation before nothing is
 // left of the job; users come back, and are answered soon.
-func TestCancelToldAlone(t *testing.T) {
+func TestIsolatedNodeConfirmsCancellationOnlyOnceTasksAreGone(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -255,7 +255,7 @@
 
 // A new leader knows from the other controllers which tasks of cancelled jobs are gone,
 // though their ends could not be recorded, and returns no machine for them.
-func TestNewLeaderKnowsWhatIsGone(t *testing.T) {
+func TestNewLeaderLearnsEndedCancelledTasksFromPeers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(8)
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -22,7 +22,7 @@
 )
 
 // estimates is its value. It names the jobs that fail on every machine, too: a new leader
-// would try all of their tasks at once (TestMistakenJob).
+// would try all of their tasks at once (TestAlwaysFailingJobIsThrottled).
 type estimates struct {
 	Estimates autoscaler.Estimates `cbor:"estimates"`
 	Failing   []string             `cbor:"failing"`
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -61,7 +61,7 @@
 }
 
 // All tasks run at the same time and once, and are done together.
-func TestGangRunsWhole(t *testing.T) {
+func TestGangTasksRunAndCompleteTogether(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 30))
 		if n := c.referee.RunningTasksOf(gangID); n != 10 {
@@ -78,7 +78,7 @@
 
 // A gang that no team's limit allows whole is refused; one that others of its team leave no
 // room waits as a whole, and holds nothing.
-func TestGangAndLimit(t *testing.T) {
+func TestGangExceedingQuotaIsRefusedOrWaitsWhole(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		if s := c.submit(1, gang(97, 10)); s != 422 {
 			t.Errorf("more than the limit of 96 CPUs: %d", s)
@@ -99,7 +99,7 @@
 
 // Starts of which only some arrive, and the leader ends: the attempt is withdrawn by the
 // next, long before its tasks stop waiting by themselves, and the gang runs whole.
-func TestGangHalfSent(t *testing.T) {
+func TestGangPartiallyDispatchedThenLeaderFails(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(30)
@@ -127,7 +127,7 @@
 
 // A gang whose record goes unanswered and is applied late, under an earlier leader, is
 // neither sent by that nor left as it is by the next.
-func TestGangHalfRecorded(t *testing.T) {
+func TestGangPartiallyRecordedThenLeaderFails(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(8)
@@ -149,7 +149,7 @@
 
 // A task that disappears while others wait, or run, ends the attempt; the next continues
 // from the last checkpoint once all of it is gone.
-func TestGangLosesMachine(t *testing.T) {
+func TestGangRestartsFromCheckpointAfterMachineLoss(t *testing.T) {
 	for name, hang := range map[string]bool{"back at once": false, "hangs": true} {
 		t.Run(name, func(t *testing.T) {
 			bothWays(t, func(c *cluster, middle func()) {
@@ -182,7 +182,7 @@
 
 // A notice lets the whole gang save and go on elsewhere from where it was; if one of its
 // machines can't be told in time nobody is, and the rest is not stopped for nothing.
-func TestGangSavesWhole(t *testing.T) {
+func TestGangCheckpointsOnTerminationNotice(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 60))
 		time.Sleep(15 * time.Second)
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestGangNotSavedInPart(t *testing.T) {
+func TestGangNotStoppedWhileMemberUnreachable(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 30))
 		time.Sleep(5 * time.Second)
@@ -225,7 +225,7 @@
 }
 
 // A service that needs the room of a gang stops all of it in order, not one task.
-func TestGangMakesRoom(t *testing.T) {
+func TestGangIsPreemptedWhole(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(4, 96)
 		m := gang(16, 60)
@@ -245,7 +245,7 @@
 }
 
 // A running gang is cancelled while one of its machines hangs, and the leader changes.
-func TestGangCancelled(t *testing.T) {
+func TestGangCancelledWithHungMachine(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 300))
 		c.gangMachines()[0].Hang(true)
@@ -260,7 +260,7 @@
 }
 
 // Old reports, of the attempt before, end nothing of the one that runs.
-func TestGangLateReports(t *testing.T) {
+func TestGangIgnoresHeartbeatsOfEarlierAttempt(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 40))
 		var old [][]byte
@@ -284,7 +284,7 @@
 
 // The tasks complete together: one that can't say so, because its machine is gone, does not
 // make the gang run again.
-func TestGangDoneTogether(t *testing.T) {
+func TestGangCompletesWithUnreachableMember(t *testing.T) {
 	bothWays(t, func(c *cluster, middle func()) {
 		c.runGang(gang(10, 15))
 		time.Sleep(12 * time.Second)
@@ -304,7 +304,7 @@
 
 // A gang in one zone loses a machine and moves only once nothing of it is left there; the
 // referee watches zones.
-func TestGangInOneZone(t *testing.T) {
+func TestGangStaysInOneZoneAfterMachineLoss(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.zoned()
 		m := gang(12, 60)
@@ -334,7 +334,7 @@
 
 // Small tasks of the same priority come without end and fill every gap; a large gang begins
 // all the same, and room is not kept free for it for long.
-func TestGangNotStarved(t *testing.T) {
+func TestGangNotStarvedBySmallTasks(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(6, 96)
 		var stop atomic.Bool
@@ -360,7 +360,7 @@
 }
 
 // Two gangs that fit only one after the other never hold a part each.
-func TestTwoGangs(t *testing.T) {
+func TestCompetingGangsHoldNoPartialAllocations(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(6, 96)
 		ids := []string{"wk-000501", "wk-000502", "wk-000503"}
@@ -392,7 +392,7 @@
 
 // Room that is kept free for gangs to come keeps no other job waiting for long, though
 // machines are full of what came before.
-func TestRoomForGangsKeepsNoJobWaiting(t *testing.T) {
+func TestGangReservationsDoNotStarveOtherJobs(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(6, 96)
 		c.runGang(gang(16, 60)) // one as large may come again
@@ -411,7 +411,7 @@
 
 // A gang of high priority stops as many tasks of lower priority as it needs and no more, and
 // begins long before they would have ended.
-func TestGangPreempts(t *testing.T) {
+func TestGangPreemptsNoMoreThanItNeeds(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(6, 96)
 		c.accept(10*time.Second, 0, submission("wk-000002", job.Array, 24, 60))
@@ -440,7 +440,7 @@
 
 // Gangs of a team that is beyond its guarantee begin while arrays within another team's fill
 // all machines, one after the other; what is guaranteed waits for no more than that.
-func TestGangBeyondGuarantee(t *testing.T) {
+func TestGangBeyondGuaranteeNotStarvedByArrays(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(10) // more than is guaranteed
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -19,7 +19,7 @@
 // The limits are lowered while large arrays and a large gang run and many cancellations wait to
 // be recorded as ended; alone, in the middle of an election, and with answers lost: every job
 // ends as it should, none of their tasks is started again once done, and nothing is left behind.
-func TestLimitsLoweredUnderLoad(t *testing.T) {
+func TestStoreLimitsLoweredDuringCancellations(t *testing.T) {
 	const cancelled = 24
 	moments := map[string]func(c *cluster){
 		"alone": func(*cluster) {},
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -15,7 +15,7 @@
 // Jobs that fail everywhere are not held against the machines, are tried one task at a
 // time and ever less often, also by another leader, take neither room nor machines from
 // good ones, and stay known until they are cancelled.
-func TestMistakenJob(t *testing.T) {
+func TestAlwaysFailingJobIsThrottled(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		for i := range 2 {
@@ -57,7 +57,7 @@
 }
 
 // A machine on which jobs fail that do well elsewhere is returned.
-func TestSickMachine(t *testing.T) {
+func TestFailingMachineIsReturned(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(6)
@@ -85,7 +85,7 @@
 
 // Arrays of tiny tasks do not have machines rented for their number, to which those of
 // larger tasks would then be entitled.
-func TestSmallTasksRentLittle(t *testing.T) {
+func TestSmallTasksDoNotOverprovision(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.anew(60, 1000)
 		tiny := submission("wk-000002", job.Array, 800, 20)
@@ -102,7 +102,7 @@
 }
 
 // A new leader that has rented machines goes on renting while they boot.
-func TestRentsWhileBooting(t *testing.T) {
+func TestScaleOutWhileMachinesBoot(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cl *fake.Cloud) { cl.Lag = 4 * time.Second })
 		c.until("ready", 3*time.Second, func() bool { return c.submit(0, submission("wk-000001", job.Service, 4, 0)) == 201 })
@@ -114,7 +114,7 @@
 
 // While the cloud does not serve, nodes that start take submissions with the
 // machine types that were kept, and what runs goes on.
-func TestCloudOutage(t *testing.T) {
+func TestSubmissionsAcceptedInCloudOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(2)
@@ -134,7 +134,7 @@
 
 // A machine with a notice is drained: services move at once, tasks that save
 // progress are told to before it goes, the others run on.
-func TestNoticeDrains(t *testing.T) {
+func TestTerminationNoticeDrainsMachine(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		saving := submission("wk-000002", job.Array, 1, 300)
@@ -161,7 +161,7 @@
 
 // A machine whose reports arrive while answers and commands do not looks healthy.
 // It is noticed, gets nothing more, and its tasks run elsewhere once it is returned.
-func TestDeafMachine(t *testing.T) {
+func TestUnresponsiveMachineIsReturned(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -185,7 +185,7 @@
 
 // A machine that is back at once, under its name and with a new session, starts what
 // was on it anew. It looks like a deaf one whose lease has ended, but answers.
-func TestMachineBackAtOnce(t *testing.T) {
+func TestRestartedMachineIsKept(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(12)
@@ -201,7 +201,7 @@
 
 // A machine that hangs is given up as soon as it is silent and does not answer when
 // asked, not only after the time that one has which may have lost its way.
-func TestHungMachine(t *testing.T) {
+func TestHungMachineIsReturnedPromptly(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(40)
@@ -213,7 +213,7 @@
 }
 
 // A cut is not taken for the loss of those machines that had reported longest before it.
-func TestCutIsNoLoss(t *testing.T) {
+func TestPartitionedMachinesAreKept(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(80)
@@ -231,7 +231,7 @@
 
 // A new leader learns from a machine's first report which images it has, those of tasks
 // that have ended there included.
-func TestNewLeaderKnowsImages(t *testing.T) {
+func TestNewLeaderLearnsImagesFromHeartbeats(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		array := submission("wk-000001", job.Array, 100, 3)
@@ -274,7 +274,7 @@
 
 // All machines are deaf from one moment on: their reports go round the nodes, as no answer
 // comes back. They are found out and returned, and what ran there runs on others.
-func TestAllMachinesDeaf(t *testing.T) {
+func TestAllUnresponsiveMachinesAreReplaced(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -16,7 +16,7 @@
 
 // Small jobs whose tasks end far apart, with a change of leader in between: done once all
 // tasks are, and neither sooner nor twice.
-func TestSmallJobsAcrossLeaders(t *testing.T) {
+func TestSmallArraysCompleteOnceAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.limit = 4 // so that the third task of each begins when others have ended
 		c.restartAll()
@@ -49,7 +49,7 @@
 
 // One in four transactions goes unanswered and is applied seconds later, after newer
 // ones of the same controller, while jobs come, end and are cancelled and leaders change.
-func TestLateWrites(t *testing.T) {
+func TestDelayedTransactionsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.store.DelayOneWriteIn(4)
@@ -81,7 +81,7 @@
 
 // Commands are held up for longer than their sender waits, and carried out then, while
 // leaders change and jobs are cancelled.
-func TestHeldCommands(t *testing.T) {
+func TestDelayedCommandsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(4)
@@ -108,7 +108,7 @@
 }
 
 // A leader ends while machines with services don't hear the next one.
-func TestLeaderEndsBeforeDeafMachines(t *testing.T) {
+func TestFailoverWithUnresponsiveMachines(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(40)
@@ -126,7 +126,7 @@
 // Questions come many times as often for a while, most of them about jobs that nobody has
 // submitted or that are over: submissions are still taken at once, unfinished jobs are
 // answered, and a job asked about before it is submitted is known afterwards.
-func TestPollStorm(t *testing.T) {
+func TestSubmissionsAcceptedUnderPollLoad(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.rps = 60
 		c.restartAll()
@@ -180,7 +180,7 @@
 
 // A team without a guarantee or a limit runs on what others leave, gives it back to work
 // within a guarantee, and is done in the end.
-func TestGuests(t *testing.T) {
+func TestTeamWithoutGuaranteeUsesIdleCapacity(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		guests := submission("wk-000001", job.Array, 40, 120)
@@ -198,7 +198,7 @@
 }
 
 // What a job of one task costs the state service from its acceptance to its end.
-func TestChangesOfATinyJob(t *testing.T) {
+func TestStoreWritesPerSingleTaskJob(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(4)
@@ -223,7 +223,7 @@
 // A large array of short tasks, a leader that ends in the middle of it, and a service that
 // comes meanwhile: the changes a task costs are bounded, no task that is recorded as done
 // runs again, and the service starts in time.
-func TestLargeArrayOfShortTasks(t *testing.T) {
+func TestLargeArrayWritesBoundedAcrossFailover(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		const tasks = 6000
 		c.large()
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -282,7 +282,7 @@
 func (n *Node) runLeader(ctx context.Context, r *leadership.Term) {
 	term, cancel := context.WithCancelCause(ctx)
 	l := newLeader(term, n, r)
-	n.leader.Store(l) // from here on reports come, also before it runs (TestReportsBeforeReignRuns)
+	n.leader.Store(l) // from here on reports come, also before it runs (TestHeartbeatsWaitForLeaderLoop)
 	defer n.leader.CompareAndSwap(l, nil)
 	if err := l.run(cancel); err != nil && ctx.Err() == nil {
 		slog.Error("leadership ended by an error", "term", r.Number(), "err", err)
--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -84,7 +84,7 @@
 const restartDelay = 3 * time.Second
 
 // restarted returns a process that is started again when it crashes, as the platform does:
-// production has a fault that ends it now and then (TestReportsBeforeReignRuns).
+// production has a fault that ends it now and then (TestHeartbeatsWaitForLeaderLoop).
 func restarted(start func(crash func()) olderNode) (run func(context.Context) error, leads func() bool) {
 	var current atomic.Pointer[olderNode]
 	run = func(ctx context.Context) error {
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -230,7 +230,7 @@
 // Exception to the exception that work within a guarantee goes first: one waiting gang of each
 // team is not behind it. It guards against gangs that wait for as long as arrays within their
 // teams' guarantees come, which take each gap, while a gang needs all of its gaps at once
-// (inc-82e5, TestGangBeyondGuarantee).
+// (inc-82e5, TestGangBeyondGuaranteeNotStarvedByArrays).
 func (l *leader) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
 	first := map[*jobstore.Job]bool{}
 	seen := map[int]bool{}
@@ -308,7 +308,7 @@
 
 // priority returns a waiting job's priority: of teams without a guarantee the lowest, whatever they say. They
 // would take the room that was just made for work within a guarantee, and be stopped for
-// it again, for ever (TestGuests).
+// it again, for ever (TestTeamWithoutGuaranteeUsesIdleCapacity).
 func (l *leader) priority(j *jobstore.Job) int {
 	if l.opportunistic(j) {
 		return job.BestEffort
--- a/internal/controller/place_test.go
+++ b/internal/controller/place_test.go
@@ -17,7 +17,7 @@
 
 // A machine known only from the records has no zone yet, so nothing may be
 // concluded from the tasks on it (rule wrong_place, by same_place and apart).
-func TestUnknownZone(t *testing.T) {
+func TestTaskZonesUnknownUntilMachineReports(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := &leader{fleet: agent.NewRegistry(), zones: []string{"a", "b"}}
 	book := jobstore.New()
@@ -45,7 +45,7 @@
 
 // Room kept for gangs to come is not kept from one that waits, also if that is beyond its
 // team's guarantee.
-func TestGangBeforeGangsToCome(t *testing.T) {
+func TestReservationsYieldToWaitingGang(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}}
 	l := &leader{node: &Node{settings: s}, zones: []string{"a"}, jobs: jobstore.New(), lastGangs: map[string]gangKind{},
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -317,7 +317,7 @@
 	// For so long a leader stays that cannot have lost them: fewer have ever shown a token of
 	// its term than come to the other node. It guards against leaders that hand over to
 	// each other for ever where machines are deaf: their reports go round the nodes, and it
-	// takes three of them to one leader to tell (TestAllMachinesDeaf).
+	// takes three of them to one leader to tell (TestAllUnresponsiveMachinesAreReplaced).
 	handOverLost = time.Minute
 )
 
--- a/internal/controller/roll_test.go
+++ b/internal/controller/roll_test.go
@@ -67,7 +67,7 @@
 
 // Versions lead in turns, six times: what runs goes on, what is done or cancelled stays so,
 // and work that came under either is done once.
-func TestRollVersionsLeadInTurns(t *testing.T) {
+func TestRollingUpgradeLeadershipAlternates(t *testing.T) {
 	withEachOlderVersion(t, func(c *cluster) {
 		c.half()
 		c.runService(8)
@@ -109,7 +109,7 @@
 
 // Processes die before their turn and come back old, die in their turn and come back new, and
 // are back within a fraction of a second: nothing is lost or runs twice.
-func TestRollProcessesDie(t *testing.T) {
+func TestRollingUpgradeProcessesCrash(t *testing.T) {
 	withEachOlderVersion(t, func(c *cluster) {
 		c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 		c.large()
@@ -146,7 +146,7 @@
 
 // The leader ends with starts recorded of which it has no answer, neither from the state
 // service nor from the machines; the other version takes over. No task runs twice.
-func TestRollStartsUnanswered(t *testing.T) {
+func TestRollingUpgradeStartsUnacknowledged(t *testing.T) {
 	for name, oldLeads := range map[string]bool{"older leader ends": true, "newer leader ends": false} {
 		t.Run(name, func(t *testing.T) {
 			withEachOlderVersion(t, func(c *cluster) {
@@ -185,7 +185,7 @@
 // A cancellation is confirmed by one version while the other leads, and the controller that
 // told ends at once, in an outage that outlasts the time in which the tasks must be gone; some
 // of the machines hang.
-func TestRollCancellationAcrossVersions(t *testing.T) {
+func TestRollingUpgradeCancellationAcrossVersions(t *testing.T) {
 	for name, oldLeads := range map[string]bool{"older leads": true, "newer leads": false} {
 		t.Run(name, func(t *testing.T) {
 			withEachOlderVersion(t, func(c *cluster) {
@@ -226,7 +226,7 @@
 
 // Troubles in the middle of a roll, of either leader: a cut between zones, an outage longer
 // than a lease, a refusal of the leader alone, and the end of all controllers.
-func TestRollTroubles(t *testing.T) {
+func TestRollingUpgradeFaults(t *testing.T) {
 	troubles := map[string]func(c *cluster){
 		"zone cut": func(c *cluster) {
 			inside := c.otherVersion()
@@ -292,7 +292,7 @@
 // Gangs that come in the middle of the roll are told to come back, at once, by each
 // controller of this version, also by one that has just started and knows none of its peers;
 // once all run this version one is taken, and it runs whole.
-func TestRollGangs(t *testing.T) {
+func TestRollingUpgradeGangsRefusedUntilComplete(t *testing.T) {
 	simulateFrom(t, startProduction, func(c *cluster) {
 		c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 		c.large()
@@ -329,7 +329,7 @@
 }
 
 // Gangs run on while controllers of the previous version, which runs them too, are replaced.
-func TestRollGangsRunOn(t *testing.T) {
+func TestRollingUpgradeGangsKeepRunning(t *testing.T) {
 	simulateFrom(t, startPrevious, func(c *cluster) {
 		c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 		c.large()
@@ -345,7 +345,7 @@
 
 // The limits are lowered while either version leads, which lays out anew what it has kept in
 // chunks that are too large by then; the other takes that over.
-func TestRollLayoutsAnew(t *testing.T) {
+func TestRollingUpgradeRechunksRecords(t *testing.T) {
 	for name, oldFirst := range map[string]bool{"older lays out": true, "newer lays out": false} {
 		t.Run(name, func(t *testing.T) {
 			simulateFrom(t, startPrevious, func(c *cluster) {
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestDoorRefuses(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		with := func(field string, v any) map[string]any {
@@ -93,7 +93,7 @@
 // Polls that come together are confirmed by one read, and what another node has
 // told a user is never answered over with an older state (grown deployments: a
 // request a poll took more than the state service's rate).
-func TestPollsShareReads(t *testing.T) {
+func TestConcurrentPollsShareStoreReads(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		const jobs = 60
@@ -128,7 +128,7 @@
 
 // Safety 1: of a transaction whose answer is lost nothing is acknowledged
 // before it is read back, and one that is applied late is not applied twice.
-func TestUnansweredTransactions(t *testing.T) {
+func TestUnacknowledgedTransactionsAreReadBack(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.store.LoseResponses(1)
@@ -155,7 +155,7 @@
 
 // Safety 2: a new leader has a higher term, takes over what runs and restarts
 // nothing that may still run.
-func TestLeaderDies(t *testing.T) {
+func TestFailoverKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.submit(0, submission("wk-000001", job.Array, 8, 40))
@@ -175,7 +175,7 @@
 
 // A node's servers find a new term before its loop runs: reports wait for it, and are
 // refused if it ends first. One that came in that moment ended the whole process.
-func TestReportsBeforeReignRuns(t *testing.T) {
+func TestHeartbeatsWaitForLeaderLoop(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
 		n := c.nodes[(c.leader()+1)%3]
@@ -201,7 +201,7 @@
 
 // In an outage of the state service workers keep their leases, nothing starts
 // and nobody is told anything that is not durable.
-func TestOutage(t *testing.T) {
+func TestStoreOutageKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(2)
@@ -233,7 +233,7 @@
 // Safety 6: a cancelled task on a machine that cannot be reached is gone within
 // the cancellation time, by returning the machine, also while the state service is
 // away. So many hang that they are not given up for their silence alone.
-func TestCancelOnUnreachableMachine(t *testing.T) {
+func TestCancelledTasksStopOnHungMachines(t *testing.T) {
 	for name, outage := range map[string]bool{"alone": false, "in an outage": true} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
@@ -258,7 +258,7 @@
 
 // A leader that the state service alone refuses learns from its peers that it
 // is deposed (seen on a hunted day: it kept its workers for 40 s).
-func TestLeaderCutFromState(t *testing.T) {
+func TestLeaderPartitionedFromStoreStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(2)
@@ -290,7 +290,7 @@
 
 // A node cut off from the leader keeps its workers' leases, so that a cut
 // between zones stops nothing (troubles and rough days of kapana-orders).
-func TestLodging(t *testing.T) {
+func TestPartitionedZoneKeepsLeases(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(12)
@@ -306,7 +306,7 @@
 
 // Machines on the far side of a cut go on being used: reports and commands go
 // through the state service.
-func TestRelay(t *testing.T) {
+func TestPartitionedZoneServedThroughRelay(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(10)
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -17,7 +17,7 @@
 // A node that was cut off while others wrote more than one response may carry, or more changes
 // than the state service keeps, reads the records again and serves within seconds; so does a
 // leader, which works on under a new term.
-func TestFallsBehind(t *testing.T) {
+func TestNodeReloadsAfterMissingChanges(t *testing.T) {
 	for name, written := range map[string]struct{ changes, bytes int }{
 		"more bytes than a response carries": {1000, 6000},
 		"more changes than are kept":         {10_500, 10},
@@ -65,7 +65,7 @@
 // At 4,000 machines, of which a fifth dies together and the leader a moment later, the work done
 // is bounded: requests and changes at the state service, requests to the cloud, messages from
 // and to machines, and what is rented. Everything runs in the end.
-func TestFourThousandMachines(t *testing.T) {
+func TestLoadBoundedAtFourThousandMachines(t *testing.T) {
 	const machines, arrays, services = 4000, 48, 300
 	simulate(t, func(c *cluster) {
 		c.rps = 800
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -133,7 +133,7 @@
 // is free will go to others: for those that wait, and for those that usually come.
 //
 // It counts CPUs, not tasks: what many tiny tasks wait for would be rented in CPUs as soon
-// as those of another array stand in the line before them (TestSmallTasksRentLittle).
+// as those of another array stand in the line before them (TestSmallTasksDoNotOverprovision).
 func (l *leader) arrayCPUs(taken float64, teams []placement.Team, now time.Time) (need, usual float64) {
 	live, boot := 0.0, 0.0
 	var works []autoscaler.ArrayWork
--- a/internal/controller/together_test.go
+++ b/internal/controller/together_test.go
@@ -51,7 +51,7 @@
 
 // Transactions are carried out at once and only their answers are lost, while other nodes
 // read and tell what they wrote: submissions, cancellations, starts, ends, elections.
-func TestAnswerLostWhileOthersRead(t *testing.T) {
+func TestLostTransactionResponses(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.store.LoseOneResponseIn(2)
@@ -87,7 +87,7 @@
 
 // Machines reach no controller, while direct commands still reach them: a cancelled task
 // there is gone in time, and what they could not keep runs elsewhere.
-func TestMuteMachines(t *testing.T) {
+func TestCancelOnMachinesWithoutHeartbeats(t *testing.T) {
 	for name, share := range map[string]int{"some": 2, "all": 1} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
@@ -122,7 +122,7 @@
 
 // Machines that reach no controller are told by a leader that has never heard of them: it
 // asks them, and so halts what is cancelled long before they would have to be returned.
-func TestMuteMachinesAtNewLeader(t *testing.T) {
+func TestNewLeaderProbesMachinesWithoutHeartbeats(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(24)
@@ -143,7 +143,7 @@
 
 // A job is cancelled while the starts of its tasks can't be recorded: they are taken back,
 // unsent, the job ends, and others of its team have their room and limit.
-func TestCancelledBeforeRecorded(t *testing.T) {
+func TestCancelBeforeStartsAreRecorded(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(80) // of 96 that the team may use
@@ -170,7 +170,7 @@
 // A team is at its limit, its jobs are cancelled while half of its machines hang or are cut
 // off, and the leader changes: what can't be asked counts until it is proven gone (the
 // referee adds up), and then others of the team run.
-func TestLimitAcrossLeaders(t *testing.T) {
+func TestQuotaHoldsAcrossFailover(t *testing.T) {
 	for name, hang := range map[string]bool{"hang": true, "cut off": false} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
@@ -210,7 +210,7 @@
 
 // All controllers are away for longer than a lease: what ran is lost, nothing that was
 // accepted is, and all runs again or is done.
-func TestAllAwayLongerThanLease(t *testing.T) {
+func TestAllControllersDownLongerThanLease(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(6)
@@ -238,7 +238,7 @@
 
 // Old reports reach every controller just as a new leader begins, before any newer one, or
 // once it has acted: they bring back nothing that has ended, and end nothing that runs.
-func TestOldReportsAtNewLeader(t *testing.T) {
+func TestNewLeaderIgnoresStaleHeartbeats(t *testing.T) {
 	for name, acted := range map[string]bool{"as it begins": false, "once it has acted": true} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
@@ -285,7 +285,7 @@
 }
 
 // New machines are up at once and get work while writes lag, and the leader ends.
-func TestFastMachinesLateWrites(t *testing.T) {
+func TestDelayedTransactionsOnFastBootingMachines(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cl *fake.Cloud) { cl.Type.BootS, cl.Capacity = 0.5, 24 })
 		time.Sleep(2 * time.Second)
@@ -327,7 +327,7 @@
 
 // Users ask at all nodes, again and again within milliseconds, and repeat the submission,
 // right after a job was accepted, ended or confirmed as cancelled; some cancel at once.
-func TestCloseLooks(t *testing.T) {
+func TestReadsAreConsistentAfterWrites(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.rps = 400
 		c.restartAll()
@@ -390,7 +390,7 @@
 
 // Leaders change ten times in two minutes, also inside an outage, while jobs come and are
 // cancelled.
-func TestManyLeaders(t *testing.T) {
+func TestFrequentFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(6)
@@ -432,7 +432,7 @@
 }
 
 // Jobs are cancelled in the seconds in which one leader's work passes to the next.
-func TestCancelDuringHandOver(t *testing.T) {
+func TestCancelDuringLeadershipTransfer(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		const jobs = 24
--- a/internal/controller/together_work_test.go
+++ b/internal/controller/together_work_test.go
@@ -12,7 +12,7 @@
 
 // The state service answers slowly while users cancel and ask: they are answered all the
 // same, leases go on, and cancelled tasks are gone in time.
-func TestSlowStateService(t *testing.T) {
+func TestSlowStore(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -43,7 +43,7 @@
 
 // More work than room, urgent and not, over slow links: limits hold, what is urgent runs
 // first, and all is done in the end.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadOverSlowLinks(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		slow := func(from, to string) time.Duration {
@@ -78,7 +78,7 @@
 }
 
 // One-task jobs come four a second for minutes, a quarter of them cancelled.
-func TestStreamOfTinyJobs(t *testing.T) {
+func TestStreamOfSingleTaskJobs(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		const jobs = 480
@@ -125,7 +125,7 @@
 
 // A cancellation, a question or a repeated submission meets the end of a job's last task:
 // what is told first stands.
-func TestMeetsTheEnd(t *testing.T) {
+func TestCancelRacesWithCompletion(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.rps = 400
 		c.restartAll()
@@ -173,7 +173,7 @@
 
 // A zone with workers and a controller is cut off for longer than a lease, while jobs there
 // are cancelled: their tasks are gone in time, the others are kept.
-func TestZoneCutOff(t *testing.T) {
+func TestCancelInPartitionedZone(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.zoned()
 		for i, z := range []string{"b", "b", "a"} {
@@ -210,7 +210,7 @@
 
 // Jobs bound to one zone, arrays too, lose machines: what is left goes on where its zone
 // is, and nothing starts in another while anything of it may be left.
-func TestZoneBoundJobsLoseMachines(t *testing.T) {
+func TestZoneBoundJobsAfterMachineLoss(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.zoned()
 		want := map[string]string{}
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -15,7 +15,7 @@
 
 // The users' rule: a job begins within four minutes, though work of higher priority,
 // or smaller arrays, never cease to wait.
-func TestJobBegins(t *testing.T) {
+func TestLowPriorityAndLargeJobsNotStarved(t *testing.T) {
 	low := submission("wk-900000", job.Array, 40, 10)
 	low["rank"] = "best_effort"
 	large := submission("wk-900000", job.Array, 2000, 10)
@@ -47,7 +47,7 @@
 // The users' rule: once all troubles are over, each job that is asked about is
 // answered within 75 s. Here the state service allows fewer requests than there are
 // questions, and all come in the same order each time.
-func TestPollsAfterTroubles(t *testing.T) {
+func TestAllPollsAnsweredAfterOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.rps = 30
 		c.restartAll()
@@ -85,7 +85,7 @@
 
 // A late copy of a report is no sign of life: neither to the leader that has
 // returned the machine nor to a new one, which has never known it.
-func TestLateCopies(t *testing.T) {
+func TestDuplicateHeartbeatIsNoSignOfLife(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.submit(0, submission("wk-000001", job.Array, 8, 5))
@@ -123,7 +123,7 @@
 // A leader that loses the state service and the other controllers, but not its
 // workers, goes on answering them. The new leader brings them its token, and the
 // old one turns them away.
-func TestLeaderLeftWithWorkers(t *testing.T) {
+func TestDeposedLeaderLosesItsWorkers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -149,7 +149,7 @@
 // it; a job is cancelled through the new one, and then the state service is away for
 // longer than a cancelled task may last. The new leader halts it all the same: a
 // cancellation that is recorded needs nobody's leave (days of our own: ran_cancelled).
-func TestCancelThenOutage(t *testing.T) {
+func TestCancelThenStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -222,7 +222,7 @@
 }
 
 // A report with a token that was never given out deposes nobody.
-func TestTokenNeverGivenOut(t *testing.T) {
+func TestUnissuedFencingTokenDeposesNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		leader := c.leader()
@@ -242,7 +242,7 @@
 
 // A process that is back at once, in the middle of elections, while claims of the
 // earlier ones are still to be applied: no term is used twice.
-func TestBackMidElection(t *testing.T) {
+func TestRestartsDuringElection(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.submit(0, submission("wk-000001", job.Array, 16, 60))
@@ -274,7 +274,7 @@
 // after the other, know no term, but what each was told of cancellations by those before
 // it. A worker that finds nobody else keeps its tasks; it is turned away now and then to
 // look for a leader.
-func TestAllBackInOutage(t *testing.T) {
+func TestAllControllersRestartInStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(8)
@@ -306,7 +306,7 @@
 // A leader that loses its workers, but neither the state service nor its peers, lets
 // another node lead, in time for the workers' leases; and takes none of them for deaf
 // when what the cut held back arrives.
-func TestLeaderLosesWorkers(t *testing.T) {
+func TestLeaderPartitionedFromWorkersStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		time.Sleep(2 * time.Second)
 		c.runService(12)
@@ -329,7 +329,7 @@
 
 // Where machines reach one node only, and that is not the leader, it leads next, without
 // another in between that hears none of them either.
-func TestWhoHearsLeads(t *testing.T) {
+func TestNodeThatReachesWorkersLeadsNext(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(40)
@@ -356,7 +356,7 @@
 // than a lease: reports, commands, transactions, rentals and returns, submissions and
 // cancellations, what the controllers tell each other. Jobs run once, stay what users
 // were told, and nothing is rented twice.
-func TestRepeats(t *testing.T) {
+func TestDuplicatedRequests(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.net.DuplicateRequests(300*time.Millisecond, 5*time.Second, 40*time.Second)
 		time.Sleep(2 * time.Second)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -81,7 +81,7 @@
 // What an older version has written is taken over: what is over stays so, what is done is not
 // done again, what was cancelled is, and what runs no more runs again; also while the
 // controllers are replaced one at a time, one of them ending twice.
-func TestTakesOver(t *testing.T) {
+func TestRecordsOfOlderVersionsAreTakenOver(t *testing.T) {
 	for _, version := range fixtures {
 		for name, roll := range map[string]bool{"at once": false, "replaced one at a time": true} {
 			t.Run(version+", "+name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 
 // A heartbeat of an older version is understood, and of this version's heartbeat older ones read all that
 // they know: nothing of that has changed its number or form.
-func TestBeatBothWays(t *testing.T) {
+func TestPeerHeartbeatIsCompatible(t *testing.T) {
 	for version, want := range map[string]*peer.Heartbeat{
 		"production": {Node: "shelf-1", Term: 1, Leader: "shelf-1", Cancelled: []string{"wk-000005"}},
 		"previous":   {Node: "shelf-1", Term: 2, Leader: "shelf-0", Cancelled: []string{"wk-000003", "wk-000005"}, Gangs: true},
@@ -229,7 +229,7 @@
 	fields := map[string]bool{}
 	for key, value := range kept {
 		if key == "beat" {
-			continue // protobuf: TestBeatBothWays
+			continue // protobuf: TestPeerHeartbeatIsCompatible
 		}
 		var decoded any
 		if err := wire.Unmarshal(value, &decoded); err != nil {
@@ -244,7 +244,7 @@
 
 // Every key and every field that an older version stores is stored by this one, under the same
 // name, in the same state of affairs.
-func TestStoresWhatOlderVersionsDo(t *testing.T) {
+func TestStoredKeysAndFieldsAreKept(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.bringAbout()
 		store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
@@ -310,7 +310,7 @@
 
 // All that this version writes, gangs included, is read by one that knows only what
 // production does, and keys are of the forms that it knows or passes over.
-func TestProductionReadsWhatIsWritten(t *testing.T) {
+func TestProductionReadsStoredValues(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(6)
@@ -402,7 +402,7 @@
 
 // Gangs are taken once all controllers run them, and told to come back until then; a
 // controller that starts later knows.
-func TestGangsOnceAllRunThem(t *testing.T) {
+func TestGangsRefusedUntilAllControllersSupportThem(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		for i := range 3 {
 			c.kill(i)
@@ -434,7 +434,7 @@
 // The state service lowers its limits under load, while large arrays that were laid out for
 // larger values run, some are cancelled, and the controllers are being replaced, with an
 // end in the middle: all is done or cancelled, nothing is lost, nothing waits for ever.
-func TestLimitsLowered(t *testing.T) {
+func TestStoreLimitsLoweredDuringRestarts(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.large()
 		c.runService(8)
--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -330,7 +330,7 @@
 
 // dropEnded drops a job that has ended. Whether all of its chunks were deleted with it is not
 // known, so their deletion is left to OrphanOps; otherwise they stayed until another leader
-// read the records (TestLimitsLoweredUnderLoad).
+// read the records (TestStoreLimitsLoweredDuringCancellations).
 func (b *Store) dropEnded(id string) *Job {
 	j := b.drop(id)
 	if j != nil {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -115,7 +115,7 @@
 // keys are read again by pages.
 //
 // It guards against a node that has fallen behind and asks for the same changes over and over,
-// until they are older than the last 10,000 (TestFallsBehind).
+// until they are older than the last 10,000 (TestNodeReloadsAfterMissingChanges).
 const maxResponse = 4 << 20
 
 // New returns a client that uses at most the given requests and changes a
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -319,7 +319,7 @@
 	n.Register.MergeAnswer(o.Node, seq, sent, statement(b))
 	// Only the answer to one's own heartbeat is a sign of life. One that comes in may be a
 	// late copy: taken for a sign, it kept workers waiting for a leader that could not
-	// be reached until their leases ran out (TestRepeats).
+	// be reached until their leases ran out (TestDuplicatedRequests).
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.heard == nil {
