--- a/internal/controller/cancelled_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Cancellations that only one side of a trouble can learn of, and an outage of the state
-// service that outlasts the time in which their tasks must be gone.
+// Cancellations that are confirmed just before the key-value store fails for longer than the deadline
+// in which their tasks must be gone.
 
 import (
 	"strings"
@@ -12,14 +12,24 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// refuse cuts a node off from the state service, and from the other nodes too if asked.
-func (c *cluster) refuse(node int, peers bool) {
-	c.net.Partition(func(from, to string) bool {
-		if from == nodeAddr(node) && to == stateAddr {
-			return true
-		}
-		between := strings.HasPrefix(from, "10.0.") && strings.HasPrefix(to, "10.0.")
-		return peers && between && (from == nodeAddr(node) || to == peerAddr(node))
+// A leader is cut off from the state service and its peers, while workers still come to
+// it; a job is cancelled through the new one, and then the state service is away for
+// longer than a cancelled task may last. The new leader halts it all the same: a
+// cancellation that is recorded needs nobody's leave (days of our own: ran_cancelled).
+func TestCancelThenStoreOutage(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		time.Sleep(2 * time.Second)
+		c.runService(8)
+		old := c.cutLeader()
+		time.Sleep(time.Second)
+		c.abort((old+1)%3, "wk-000001")
+		c.store.Down(true)
+		c.until("cancelled tasks gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
+		c.net.Partition(nil)
+		c.store.Down(false)
+		c.accept(20*time.Second, 0, submission("wk-000002", job.Array, 2, 5))
+		c.until("array done", time.Minute, c.done("wk-000002"))
+		c.startedOnce()
 	})
 }
 
@@ -165,13 +175,6 @@
 	}
 }
 
-// hang lets all machines hang, or go on.
-func (c *cluster) hang(hung bool) {
-	for _, w := range c.cloud.Machines() {
-		w.Hang(hung)
-	}
-}
-
 // The gap with a start that the confirming controller has not heard of: the old leader
 // has recorded it, and it is carried out once the job is called cancelled, or it was just
 // before and the machine hangs while nobody is left who has sent it.
@@ -221,61 +224,3 @@
 		})
 	}
 }
-
-// A controller that reaches none of the others confirms no cancellation before nothing is
-// left of the job; users come back, and are answered soon.
-func TestIsolatedNodeConfirmsCancellationOnlyOnceTasksAreGone(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		time.Sleep(2 * time.Second)
-		c.runService(8)
-		at := (c.leader() + 1) % 3
-		c.net.Partition(func(from, to string) bool {
-			return strings.HasPrefix(from, "10.0.") && strings.HasPrefix(to, "10.0.")
-		})
-		time.Sleep(2 * time.Second)
-		told := func() bool {
-			on := c.referee.RunningTasks()
-			if c.status(at, "wk-000001") != jobstore.StatusCancelled {
-				return false
-			}
-			if on != 0 {
-				t.Errorf("told by one controller alone, with %d tasks on", on)
-			}
-			return true
-		}
-		first := make(chan int, 1)
-		go func() { first <- c.ask(at, "POST", "/v1/jobs/wk-000001/abort", nil).Status }()
-		c.until("answered", 10*time.Second, told)
-		if s := <-first; s != 503 {
-			t.Errorf("confirmed by one controller alone: %d", s)
-		}
-		c.abort(at, "wk-000001")
-	})
-}
-
-// A new leader knows from the other controllers which tasks of cancelled jobs are gone,
-// though their ends could not be recorded, and returns no machine for them.
-func TestNewLeaderLearnsEndedCancelledTasksFromPeers(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		c.large()
-		c.runService(8)
-		c.accept(5*time.Second, 0, submission("wk-000002", job.Service, 8, 0))
-		c.until("both run", time.Minute, func() bool { return c.referee.RunningTasks() == 16 })
-		c.store.DelayTransactions(10_000, jobstore.EndKey(""))
-		c.abort(1, "wk-000002")
-		c.until("cancelled tasks gone", 10*time.Second, func() bool { return c.referee.RunningTasks() == 8 })
-		time.Sleep(45 * time.Second)
-		c.mute(isWorker)
-		time.Sleep(time.Second)
-		idle := c.cloud.Returned()
-		c.nextLeader()
-		time.Sleep(5 * time.Second) // what is silent is given up later
-		if gone := c.cloud.Returned(); len(gone) > len(idle) {
-			t.Errorf("returned %v, and before that %v", gone[len(idle):], idle)
-		}
-		c.net.Partition(nil)
-		c.store.DelayTransactions(0, "")
-		c.over(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
-		c.until("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
-	})
-}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,13 +1,14 @@
 package controller
 
+// The harness of the cluster tests: three controllers in simulated time, with fakes of all that they
+// talk to. cluster_addresses_test.go says who is where, cluster_users_test.go sends users' requests,
+// cluster_faults_test.go breaks things, cluster_checks_test.go waits and checks, cluster_gangs_test.go
+// runs gangs, and leader_access_test.go is the one file that looks into a leader.
+
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"math"
-	"slices"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -16,9 +17,6 @@
 	"tulipshelf/internal/cloud"
 	"tulipshelf/internal/config"
 	"tulipshelf/internal/fake"
-	"tulipshelf/internal/job"
-	"tulipshelf/internal/jobstore"
-	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -46,65 +44,6 @@
 // olderVersion returns a controller of an older version, and what tells whether it leads.
 type olderVersion func(*config.Settings, *fake.Network) (run func(context.Context) error, leads func() bool)
 
-// told keeps what users were told of each job.
-type told struct {
-	mu      sync.Mutex
-	last    map[string]string // status by job
-	referee *fake.InvariantChecker
-}
-
-func (w *told) known(id string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.last[id]
-}
-
-// stage orders what may be told of a job: unknown, then unfinished, then its end.
-func stage(status string) int {
-	switch status {
-	case "":
-		return 0
-	case jobstore.StatusDone, jobstore.StatusCancelled:
-		return 2
-	}
-	return 1
-}
-
-// take notes an answer about a job and says what is wrong with it, given what was known
-// before the question was sent.
-func (w *told) take(id, was string, resp wire.Response) string {
-	var st struct {
-		Status string `cbor:"status"`
-	}
-	if resp.Status != 404 && (resp.Status != 200 && resp.Status != 201 || wire.Unmarshal(resp.Body, &st) != nil || st.Status == "") {
-		return ""
-	}
-	if st.Status == jobstore.StatusCancelled {
-		w.referee.CancellationConfirmed(id)
-	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	last := w.last[id]
-	switch {
-	case stage(st.Status) < stage(was):
-		return fmt.Sprintf("%q, was %q", st.Status, was)
-	case stage(last) == 2 && stage(st.Status) == 2 && st.Status != last:
-		return fmt.Sprintf("%q, was %q", st.Status, last)
-	case stage(st.Status) >= stage(last):
-		w.last[id] = st.Status
-	}
-	return ""
-}
-
-const (
-	stateAddr = "10.2.0.1:2379"
-	cloudAddr = "10.2.0.2:8443"
-)
-
-func nodeAddr(i int) string { return fmt.Sprintf("10.0.0.%d:8080", i+1) }
-func peerAddr(i int) string { return fmt.Sprintf("10.0.0.%d:8081", i+1) }
-func nodeName(i int) string { return fmt.Sprintf("shelf-%d", i) }
-
 // simulate runs f with a cluster inside a bubble of simulated time and checks
 // at the end that no rule was broken.
 func simulate(t *testing.T, f func(*cluster)) {
@@ -198,6 +137,14 @@
 	<-c.ended[i]
 }
 
+// restartAll ends all controllers, one after the other, and starts them anew.
+func (c *cluster) restartAll() {
+	for i := range 3 {
+		c.kill(i)
+		c.start(i)
+	}
+}
+
 // offer sets how many machines there are in all, and how many CPUs the team may use, as
 // controllers started from then on are told.
 func (c *cluster) offer(machines int, limit float64) {
@@ -215,184 +162,9 @@
 // large starts the controllers anew with room for 24 machines.
 func (c *cluster) large() { c.anew(24, 96) }
 
-// restartAll ends all controllers, one after the other, and starts them anew.
-func (c *cluster) restartAll() {
-	for i := range 3 {
-		c.kill(i)
-		c.start(i)
-	}
-}
-
-// accept submits a job, ever again, until it is accepted.
-func (c *cluster) accept(limit time.Duration, node int, m map[string]any) {
-	c.t.Helper()
-	c.until("submission taken", limit, func() bool {
-		s := c.submit(node, m)
-		return s == 201 || s == 200
-	})
-}
-
-// startedOnce checks that no task was started twice.
-func (c *cluster) startedOnce() {
-	c.t.Helper()
-	for task, n := range c.referee.StartsByTask() {
-		if n != 1 {
-			c.t.Errorf("%s started %d times", task, n)
-		}
-	}
-}
-
-// cutZone cuts all workers and one other node off from the leader; the state
-// service, the cloud and users belong to the region and reach everybody.
-func (c *cluster) cutZone() { c.cutZoneOf((c.leader() + 1) % 3) }
-
-// cutZoneOf does the same with a given node on the workers' side.
-func (c *cluster) cutZoneOf(other int) {
-	inside := func(addr string) bool {
-		return strings.HasPrefix(addr, "10.1.") || addr == nodeAddr(other) || addr == peerAddr(other)
-	}
-	region := func(addr string) bool {
-		return addr == stateAddr || addr == cloudAddr || strings.HasPrefix(addr, "user")
-	}
-	c.net.Partition(func(from, to string) bool { return !region(from) && !region(to) && inside(from) != inside(to) })
-}
-
-func (c *cluster) leader() int {
-	return slices.IndexFunc(c.leads, func(leads func() bool) bool { return leads() })
-}
-
-// ask sends a user's request. No answer about a job may be older than one that was there
-// when the question was sent, whichever node gives it.
-func (c *cluster) ask(node int, method, path string, body []byte) wire.Response {
-	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/v1/jobs/"), "/")
-	if path == "/v1/jobs" {
-		id, _ = job.DecodeID(body)
-	}
-	known := c.told.known(id)
-	resp := c.send(node, method, path, body)
-	if fault := c.told.take(id, known, resp); fault != "" {
-		c.t.Errorf("node %d, %s %s: %s", node, method, path, fault)
-	}
-	return resp
-}
-
-func (c *cluster) send(node int, method, path string, body []byte) wire.Response {
-	cl := wire.Client{Dial: c.net.Dial(fmt.Sprintf("user-%d", c.client.Add(1))), Addr: nodeAddr(node)}
-	defer cl.CloseIdle()
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	defer cancel()
-	resp, err := cl.Do(ctx, method, path, body)
-	if err != nil {
-		return wire.Response{}
-	}
-	return resp
-}
-
-// serves tells whether a controller takes requests.
-func (c *cluster) serves(i int) bool { return c.ask(i, "GET", "/ready", nil).Status == 200 }
-
-// term returns the highest term given out so far, as the records say.
-func (c *cluster) term() uint64 {
-	var kept struct {
-		Term uint64 `cbor:"term"`
-	}
-	store := kvstore.New(c.net.Dial("reader"), stateAddr, 1e6, 1e6)
-	item, err := store.Get(c.t.Context(), "lead/term", kvstore.PriorityLease)
-	if err != nil || wire.Unmarshal(item.Value, &kept) != nil {
-		c.t.Fatalf("no term: %v", err)
-	}
-	return kept.Term
-}
-
-// begun returns how many starts there were of a job's tasks.
-func (c *cluster) begun(id string) (n int) {
-	for task, k := range c.referee.StartsByTask() {
-		if strings.HasPrefix(task, id+"/") {
-			n += k
-		}
-	}
-	return n
-}
-
-// abort cancels a job.
-func (c *cluster) abort(node int, id string) {
-	c.t.Helper()
-	if s := c.ask(node, "POST", "/v1/jobs/"+id+"/abort", nil).Status; s != 200 {
-		c.t.Fatalf("abort: %d", s)
-	}
-}
-
-// cutLeader cuts the leader off from the state service and the other controllers, not
-// from its workers or users, and waits for another one.
-func (c *cluster) cutLeader() (old int) {
-	c.t.Helper()
-	old = c.leader()
-	c.net.Partition(func(from, to string) bool {
-		worker := strings.HasPrefix(from, "10.1.") || strings.HasPrefix(to, "10.1.") || strings.HasPrefix(from, "user")
-		return !worker && (from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old))
-	})
-	c.until("another leader", 10*time.Second, func() bool {
-		for i, leads := range c.leads {
-			if i != old && leads() {
-				return true
-			}
-		}
-		return false
-	})
-	return old
-}
-
-// nextLeader ends the leader, waits for another one and starts the old one again.
-func (c *cluster) nextLeader() {
-	c.t.Helper()
-	old := c.leader()
-	c.kill(old)
-	c.until("another leader", 20*time.Second, func() bool { return c.leader() >= 0 && c.leader() != old })
-	c.start(old)
-}
-
-func submission(id string, shape job.Shape, tasks int, seconds float64) map[string]any {
-	return map[string]any{"uid": id, "lane": "class", "crew": "crew", "shape": string(shape), "rank": "standard",
-		"tickets": tasks, "cpus": 1.0, "gpus": 0.0, "ram_gb": 2.0, "bundle": "img", "image_gb": 1.0,
-		"same_place": false, "apart": false, "loaners": false, "expect_s": seconds, "stash_every_s": 0.0, "stash_s": 0.0}
-}
-
-func (c *cluster) submit(node int, m map[string]any) int {
-	body := wire.Marshal(m)
-	if s, err := job.Decode(body); err == nil {
-		c.referee.AddJob(s)
-	}
-	return c.ask(node, "POST", "/v1/jobs", body).Status
-}
-
-// runService submits the service wk-000001 and waits until all its replicas run.
-func (c *cluster) runService(replicas int) {
-	c.t.Helper()
-	c.submit(0, submission("wk-000001", job.Service, replicas, 0))
-	c.until("service runs", time.Minute, func() bool { return c.referee.RunningTasks() == replicas })
-}
-
-func (c *cluster) status(node int, id string) string {
-	var st struct {
-		Status string `cbor:"status"`
-	}
-	resp := c.ask(node, "GET", "/v1/jobs/"+id, nil)
-	if resp.Status != 200 || wire.Unmarshal(resp.Body, &st) != nil {
-		return fmt.Sprint(resp.Status)
-	}
-	return st.Status
-}
-
-// until waits for cond, at most limit of simulated time.
-func (c *cluster) until(what string, limit time.Duration, cond func() bool) {
-	c.t.Helper()
-	for end := time.Now().Add(limit); !cond(); time.Sleep(100 * time.Millisecond) {
-		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s", limit, what)
-		}
-	}
-}
-
-func (c *cluster) done(id string) func() bool {
-	return func() bool { return c.status(2, id) == jobstore.StatusDone }
+// zoned starts the controllers anew in two zones: node i is in zone i%2.
+func (c *cluster) zoned() {
+	c.cloud.Type.Zones = []string{"a", "b"}
+	c.zones = []string{"a", "b"}
+	c.large()
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/compatibility_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Controllers are replaced one at a time, so this version and older ones read what the others
-// have written; and the state service's limits are lowered at a moment that nobody announces.
+// What older versions have stored and sent is understood, and what this version stores and sends is
+// understood by them.
 
 import (
 	"bufio"
@@ -18,7 +18,6 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"tulipshelf/internal/config"
 	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
@@ -78,6 +77,38 @@
 	}
 }
 
+// bringAbout brings about the state that testdata/previous.txt tells of.
+func (c *cluster) bringAbout() {
+	c.t.Helper()
+	c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
+	c.large()
+	c.until("all serve", 10*time.Second, func() bool { return c.serves(0) && c.serves(1) && c.serves(2) })
+	c.runService(6)
+	mistaken := submission("wk-000006", job.Array, 20, 5)
+	mistaken["lane"] = fake.FailingClass
+	c.accept(5*time.Second, 0, mistaken)
+	c.accept(5*time.Second, 0, submission("wk-000002", job.Array, 3, 2))
+	c.until("done", time.Minute, c.done("wk-000002"))
+	c.accept(5*time.Second, 0, submission("wk-000003", job.Array, 2, 60))
+	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000003") == 2 })
+	c.abort(1, "wk-000003")
+	c.until("over", time.Minute, func() bool { return len(c.store.Keys("end/wk-000003")) == 1 })
+	c.accept(5*time.Second, 0, submission("wk-000005", job.Service, 4, 0))
+	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000005") == 4 })
+	c.runGang(gang(4, 600))
+	c.accept(5*time.Second, 0, submission("wk-000004", job.Array, 300, 10))
+	c.until("some done", 2*time.Minute, func() bool { return c.referee.Ended("wk-000004/120") })
+	c.cutZone()
+	time.Sleep(16 * time.Second)
+	for _, w := range c.cloud.Machines() {
+		if w.Has("wk-000005") {
+			w.Hang(true)
+		}
+	}
+	c.abort(c.leader(), "wk-000005")
+	time.Sleep(2 * time.Second)
+}
+
 // What an older version has written is taken over: what is over stays so, what is done is not
 // done again, what was cancelled is, and what runs no more runs again; also while the
 // controllers are replaced one at a time, one of them ending twice.
@@ -170,38 +201,6 @@
 	}
 }
 
-// bringAbout brings about the state that testdata/previous.txt tells of.
-func (c *cluster) bringAbout() {
-	c.t.Helper()
-	c.until("leader", 10*time.Second, func() bool { return c.leader() >= 0 })
-	c.large()
-	c.until("all serve", 10*time.Second, func() bool { return c.serves(0) && c.serves(1) && c.serves(2) })
-	c.runService(6)
-	mistaken := submission("wk-000006", job.Array, 20, 5)
-	mistaken["lane"] = fake.FailingClass
-	c.accept(5*time.Second, 0, mistaken)
-	c.accept(5*time.Second, 0, submission("wk-000002", job.Array, 3, 2))
-	c.until("done", time.Minute, c.done("wk-000002"))
-	c.accept(5*time.Second, 0, submission("wk-000003", job.Array, 2, 60))
-	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000003") == 2 })
-	c.abort(1, "wk-000003")
-	c.until("over", time.Minute, func() bool { return len(c.store.Keys("end/wk-000003")) == 1 })
-	c.accept(5*time.Second, 0, submission("wk-000005", job.Service, 4, 0))
-	c.until("runs", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000005") == 4 })
-	c.runGang(gang(4, 600))
-	c.accept(5*time.Second, 0, submission("wk-000004", job.Array, 300, 10))
-	c.until("some done", 2*time.Minute, func() bool { return c.referee.Ended("wk-000004/120") })
-	c.cutZone()
-	time.Sleep(16 * time.Second)
-	for _, w := range c.cloud.Machines() {
-		if w.Has("wk-000005") {
-			w.Hang(true)
-		}
-	}
-	c.abort(c.leader(), "wk-000005")
-	time.Sleep(2 * time.Second)
-}
-
 var numbers = regexp.MustCompile("[0-9]+")
 
 // keyForm returns a key without the numbers of jobs, controllers and parts.
@@ -430,63 +429,3 @@
 		c.start(2)
 	})
 }
-
-// The state service lowers its limits under load, while large arrays that were laid out for
-// larger values run, some are cancelled, and the controllers are being replaced, with an
-// end in the middle: all is done or cancelled, nothing is lost, nothing waits for ever.
-func TestStoreLimitsLoweredDuringRestarts(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		c.large()
-		c.runService(8)
-		many := submission("wk-000050", job.Service, 80, 0) // more than fit a chunk later
-		many["cpus"], many["ram_gb"] = 0.25, 0.25
-		c.accept(10*time.Second, 0, many)
-		c.until("all replicas run", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
-		want := map[string]string{}
-		for i := 2; i < 6; i++ {
-			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
-			want[jobID(i)] = jobstore.StatusDone
-		}
-		c.next = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
-		for i := range 3 {
-			time.Sleep(4 * time.Second)
-			c.kill(i)
-			c.start(i)
-			if i == 1 {
-				c.store.Limit(2<<10, 4, 18)
-				c.kill(0)
-				c.start(0)
-			}
-		}
-		for i := 6; i < 10; i++ {
-			c.accept(30*time.Second, i%3, submission(jobID(i), job.Array, 100, 8))
-			want[jobID(i)] = jobstore.StatusDone
-		}
-		c.accept(30*time.Second, 0, gang(8, 10))
-		want[gangID] = jobstore.StatusDone
-		for _, i := range []int{3, 7} {
-			c.until("cancelled", 30*time.Second, func() bool { return c.ask(1, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
-			want[jobID(i)] = jobstore.StatusCancelled
-		}
-		c.until("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
-		c.nextLeader()
-		c.over(6*time.Minute, want)
-		if n := c.referee.RunningTasksOf("wk-000001"); n != 8 {
-			t.Errorf("%d of 8 replicas on", n)
-		}
-		for _, w := range c.cloud.Machines() {
-			if w.Has("wk-000050") {
-				w.Hang(true)
-				break
-			}
-		}
-		c.until("a replica is lost", 30*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000050") < 80 })
-		c.until("all replicas run again", 2*time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
-		if large, many := c.store.Refused(); large > 30 || large+many == 0 {
-			t.Errorf("%d transactions refused as too large, %d as too many", large, many)
-		}
-		c.until("nothing left behind", time.Minute, func() bool {
-			return len(c.store.Keys(jobstore.JobPrefix)) == 2+5 // the services and their tasks, in one case of both layouts
-		})
-	})
-}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// The state service lowers its limits at a moment that nobody announces.
+// The key-value store lowers its limits at a moment that nobody announces.
 
 import (
 	"fmt"
@@ -87,6 +87,66 @@
 	}
 }
 
+// The state service lowers its limits under load, while large arrays that were laid out for
+// larger values run, some are cancelled, and the controllers are being replaced, with an
+// end in the middle: all is done or cancelled, nothing is lost, nothing waits for ever.
+func TestStoreLimitsLoweredDuringRestarts(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.large()
+		c.runService(8)
+		many := submission("wk-000050", job.Service, 80, 0) // more than fit a chunk later
+		many["cpus"], many["ram_gb"] = 0.25, 0.25
+		c.accept(10*time.Second, 0, many)
+		c.until("all replicas run", time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
+		want := map[string]string{}
+		for i := 2; i < 6; i++ {
+			c.accept(10*time.Second, i%3, submission(jobID(i), job.Array, 200, 12))
+			want[jobID(i)] = jobstore.StatusDone
+		}
+		c.next = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
+		for i := range 3 {
+			time.Sleep(4 * time.Second)
+			c.kill(i)
+			c.start(i)
+			if i == 1 {
+				c.store.Limit(2<<10, 4, 18)
+				c.kill(0)
+				c.start(0)
+			}
+		}
+		for i := 6; i < 10; i++ {
+			c.accept(30*time.Second, i%3, submission(jobID(i), job.Array, 100, 8))
+			want[jobID(i)] = jobstore.StatusDone
+		}
+		c.accept(30*time.Second, 0, gang(8, 10))
+		want[gangID] = jobstore.StatusDone
+		for _, i := range []int{3, 7} {
+			c.until("cancelled", 30*time.Second, func() bool { return c.ask(1, "POST", "/v1/jobs/"+jobID(i)+"/abort", nil).Status == 200 })
+			want[jobID(i)] = jobstore.StatusCancelled
+		}
+		c.until("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
+		c.nextLeader()
+		c.over(6*time.Minute, want)
+		if n := c.referee.RunningTasksOf("wk-000001"); n != 8 {
+			t.Errorf("%d of 8 replicas on", n)
+		}
+		for _, w := range c.cloud.Machines() {
+			if w.Has("wk-000050") {
+				w.Hang(true)
+				break
+			}
+		}
+		c.until("a replica is lost", 30*time.Second, func() bool { return c.referee.RunningTasksOf("wk-000050") < 80 })
+		c.until("all replicas run again", 2*time.Minute, func() bool { return c.referee.RunningTasksOf("wk-000050") == 80 })
+		if large, many := c.store.Refused(); large > 30 || large+many == 0 {
+			t.Errorf("%d transactions refused as too large, %d as too many", large, many)
+		}
+		c.until("nothing left behind", time.Minute, func() bool {
+			return len(c.store.Keys(jobstore.JobPrefix)) == 2+5 // the services and their tasks, in one case of both layouts
+		})
+	})
+}
+
 // A gang that takes more than one chunk, and more than one transaction, at the limits of each
 // deployment and at those to come, starts whole or not at all, also if the leader ends in the
 // middle of recording it.
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -1,5 +1,7 @@
 package controller
 
+// Machines that fail, hang, restart, do not respond or are about to be terminated.
+
 import (
 	"fmt"
 	"slices"
@@ -7,55 +9,10 @@
 	"testing"
 	"time"
 
-	"tulipshelf/internal/agent"
 	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 )
 
-// Jobs that fail everywhere are not held against the machines, are tried one task at a
-// time and ever less often, also by another leader, take neither room nor machines from
-// good ones, and stay known until they are cancelled.
-func TestAlwaysFailingJobIsThrottled(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		c.large()
-		for i := range 2 {
-			bad := submission(fmt.Sprintf("wk-00000%d", i), job.Array, 300, 5)
-			bad["lane"] = fake.FailingClass
-			c.submit(0, bad)
-		}
-		tries := func() (n int) {
-			for task, k := range c.referee.StartsByTask() {
-				if strings.HasPrefix(task, "wk-00000") {
-					n += k
-				}
-			}
-			return n
-		}
-		time.Sleep(20 * time.Second)
-		first := tries() // some run at once before the mistake shows
-		c.submit(0, submission("wk-000010", job.Array, 24, 5))
-		c.until("the good job is done", 25*time.Second, c.done("wk-000010"))
-		c.nextLeader()
-		time.Sleep(2 * time.Minute)
-		if n := tries() - first; n > 60 {
-			t.Errorf("two jobs that fail everywhere were started %d times more", n)
-		}
-		if got := c.cloud.Returned(); len(got) > 24 {
-			t.Errorf("returned for the jobs' mistake: %v", got)
-		}
-		if n := len(c.cloud.Machines()); n > 8 {
-			t.Errorf("%d machines kept for jobs that fail everywhere", n)
-		}
-		for i := range 2 {
-			if s := c.status(i, fmt.Sprintf("wk-00000%d", i)); s != "pending" && s != "running" {
-				t.Errorf("a job that fails everywhere is %s", s)
-			}
-			c.abort(i, fmt.Sprintf("wk-00000%d", i))
-		}
-		c.until("all gone", 51*time.Second, func() bool { return c.referee.RunningTasks() == 0 })
-	})
-}
-
 // A machine on which jobs fail that do well elsewhere is returned.
 func TestFailingMachineIsReturned(t *testing.T) {
 	simulate(t, func(c *cluster) {
@@ -83,55 +40,6 @@
 	})
 }
 
-// Arrays of tiny tasks do not have machines rented for their number, to which those of
-// larger tasks would then be entitled.
-func TestSmallTasksDoNotOverprovision(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		c.anew(60, 1000)
-		tiny := submission("wk-000002", job.Array, 800, 20)
-		tiny["cpus"], tiny["ram_gb"] = 0.25, 0.5
-		c.submit(0, submission("wk-000001", job.Array, 150, 20))
-		c.submit(0, tiny)
-		c.until("tiny tasks done", 3*time.Minute, c.done("wk-000002"))
-		c.until("array done", 3*time.Minute, c.done("wk-000001"))
-		if n := len(c.cloud.Machines()) + len(c.cloud.Returned()); n > 52 {
-			t.Errorf("%d machines of 4 CPUs rented", n)
-		}
-		c.startedOnce()
-	})
-}
-
-// A new leader that has rented machines goes on renting while they boot.
-func TestScaleOutWhileMachinesBoot(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		c.cloud.Change(func(cl *fake.Cloud) { cl.Lag = 4 * time.Second })
-		c.until("ready", 3*time.Second, func() bool { return c.submit(0, submission("wk-000001", job.Service, 4, 0)) == 201 })
-		c.until("a machine rented", 3*time.Second, func() bool { return len(c.cloud.Machines()) > 0 })
-		c.accept(time.Second, 0, submission("wk-000002", job.Service, 12, 0))
-		c.until("more rented", 3*time.Second, func() bool { return len(c.cloud.Machines()) >= 4 })
-	})
-}
-
-// While the cloud does not serve, nodes that start take submissions with the
-// machine types that were kept, and what runs goes on.
-func TestSubmissionsAcceptedInCloudOutage(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		time.Sleep(2 * time.Second)
-		c.runService(2)
-		time.Sleep(time.Minute) // the leader reads the catalog once a minute
-		c.cloud.Down(true)
-		c.restartAll()
-		c.until("a submission is taken", 15*time.Second, func() bool {
-			return c.submit(0, submission("wk-000002", job.Array, 2, 5)) == 201
-		})
-		c.until("array done on the machines there are", time.Minute, c.done("wk-000002"))
-		c.cloud.Down(false)
-		if n := c.referee.StartsByTask()["wk-000001/0"]; n != 1 {
-			t.Errorf("replica started %d times", n)
-		}
-	})
-}
-
 // A machine with a notice is drained: services move at once, tasks that save
 // progress are told to before it goes, the others run on.
 func TestTerminationNoticeDrainsMachine(t *testing.T) {
@@ -183,6 +91,43 @@
 	})
 }
 
+// All machines are deaf from one moment on: their reports go round the nodes, as no answer
+// comes back. They are found out and returned, and what ran there runs on others.
+func TestAllUnresponsiveMachinesAreReplaced(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		time.Sleep(2 * time.Second)
+		c.runService(8)
+		deaf := c.cloud.Machines()
+		for _, w := range deaf {
+			w.DropIncoming(true)
+		}
+		c.until("the service runs on other machines", 3*time.Minute, func() bool {
+			for _, w := range deaf {
+				if w.Has("wk-000001") {
+					return false
+				}
+			}
+			return c.referee.RunningTasksOf("wk-000001") == 8
+		})
+	})
+}
+
+// A leader ends while machines with services don't hear the next one.
+func TestFailoverWithUnresponsiveMachines(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.large()
+		c.runService(40)
+		for i, w := range c.cloud.Machines() {
+			if i%4 == 0 {
+				w.DropIncoming(true)
+			}
+		}
+		c.nextLeader()
+		time.Sleep(26 * time.Second) // their leases end
+		c.until("service whole", time.Minute, func() bool { return c.referee.RunningTasks() == 40 })
+	})
+}
+
 // A machine that is back at once, under its name and with a new session, starts what
 // was on it anew. It looks like a deaf one whose lease has ended, but answers.
 func TestRestartedMachineIsKept(t *testing.T) {
@@ -228,67 +173,3 @@
 		c.startedOnce()
 	})
 }
-
-// A new leader learns from a machine's first report which images it has, those of tasks
-// that have ended there included.
-func TestNewLeaderLearnsImagesFromHeartbeats(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		time.Sleep(2 * time.Second)
-		array := submission("wk-000001", job.Array, 100, 3)
-		array["bundle"] = "img-array"
-		c.submit(0, array)
-		c.until("some tasks done", time.Minute, func() bool { return len(c.referee.StartsByTask()) >= 20 })
-		service := submission("wk-000002", job.Service, 16, 0)
-		service["rank"] = "high"
-		c.submit(0, service) // takes all that the team may use
-		c.until("only the service runs", 30*time.Second, func() bool {
-			n := 0
-			for task := range c.referee.StartsByTask() {
-				if strings.HasPrefix(task, "wk-000002/") {
-					n++
-				}
-			}
-			return n == 16 && c.referee.RunningTasks() == 16
-		})
-		old := c.leader()
-		c.kill(old)
-		c.until("another leader", 20*time.Second, func() bool { return c.leader() >= 0 })
-		time.Sleep(12 * time.Second)
-		l := c.nodes[c.leader()].leader.Load()
-		have := make(chan int, 1)
-		l.post(func() {
-			n := 0
-			l.fleet.Each(func(m *agent.Machine) {
-				if m.Images.Ready("img-array") {
-					n++
-				}
-			})
-			have <- n
-		})
-		if n := <-have; n == 0 {
-			t.Error("no machine is known to have the image")
-		}
-		c.start(old)
-	})
-}
-
-// All machines are deaf from one moment on: their reports go round the nodes, as no answer
-// comes back. They are found out and returned, and what ran there runs on others.
-func TestAllUnresponsiveMachinesAreReplaced(t *testing.T) {
-	simulate(t, func(c *cluster) {
-		time.Sleep(2 * time.Second)
-		c.runService(8)
-		deaf := c.cloud.Machines()
-		for _, w := range deaf {
-			w.DropIncoming(true)
-		}
-		c.until("the service runs on other machines", 3*time.Minute, func() bool {
-			for _, w := range deaf {
-				if w.Has("wk-000001") {
-					return false
-				}
-			}
-			return c.referee.RunningTasksOf("wk-000001") == 8
-		})
-	})
-}
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/previous_fixture_test.go
@@ -2,6 +2,8 @@
 
 package controller
 
+// testdata/previous.txt is written by the previous version itself, run as a controller.
+
 import (
 	"bytes"
 	"context"
--- a/internal/controller/roll_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -2,9 +2,9 @@
 
 package controller
 
-// Controllers are replaced one at a time while they serve, so this version and an older one
-// lead in turns, on the same records, machines and peers. Each test shows the case that it
-// is about to have happened.
+// Controllers are replaced one at a time while they serve, so this version and an older one lead
+// alternately, on the same records, machines and peers. Each test checks that the case it is about
+// has occurred.
 
 import (
 	"fmt"
@@ -65,6 +65,27 @@
 	c.until("all serve", 10*time.Second, func() bool { return c.serves(0) && c.serves(1) && c.serves(2) })
 }
 
+// leaderOr returns the leader, or another controller if there is none.
+func (c *cluster) leaderOr(other int) int {
+	if at := c.leader(); at >= 0 {
+		return at
+	}
+	return other
+}
+
+// loseReplica lets a machine with replicas of a service hang and waits until all run again.
+func (c *cluster) loseReplica(id string, replicas int) {
+	c.t.Helper()
+	begun := c.begun(id)
+	for _, w := range c.cloud.Machines() {
+		if w.Has(id) {
+			w.Hang(true)
+			break
+		}
+	}
+	c.until("replicas run elsewhere", 2*time.Minute, func() bool { return c.begun(id) > begun && c.referee.RunningTasksOf(id) == replicas })
+}
+
 // Versions lead in turns, six times: what runs goes on, what is done or cancelled stays so,
 // and work that came under either is done once.
 func TestRollingUpgradeLeadershipAlternates(t *testing.T) {
@@ -216,14 +237,6 @@
 	}
 }
 
-// leaderOr returns the leader, or another controller if there is none.
-func (c *cluster) leaderOr(other int) int {
-	if at := c.leader(); at >= 0 {
-		return at
-	}
-	return other
-}
-
 // Troubles in the middle of a roll, of either leader: a cut between zones, an outage longer
 // than a lease, a refusal of the leader alone, and the end of all controllers.
 func TestRollingUpgradeFaults(t *testing.T) {
@@ -380,16 +393,3 @@
 		})
 	}
 }
-
-// loseReplica lets a machine with replicas of a service hang and waits until all run again.
-func (c *cluster) loseReplica(id string, replicas int) {
-	c.t.Helper()
-	begun := c.begun(id)
-	for _, w := range c.cloud.Machines() {
-		if w.Has(id) {
-			w.Hang(true)
-			break
-		}
-	}
-	c.until("replicas run elsewhere", 2*time.Minute, func() bool { return c.begun(id) > begun && c.referee.RunningTasksOf(id) == replicas })
-}
