--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -162,10 +162,10 @@
 		for i := range jobs {
 			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Service, 1, 0))
 		}
-		c.store.Down(true)
+		c.beginStoreOutage()
 		c.restartEach()
 		time.Sleep(30 * time.Second)
-		c.store.Down(false)
+		c.endStoreOutage()
 		var mu sync.Mutex
 		answered := map[string]bool{}
 		for end := time.Now().Add(75 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Second) {
--- a/internal/controller/autoscaling_test.go
+++ b/internal/controller/autoscaling_test.go
@@ -44,13 +44,13 @@
 		c.waitForElection()
 		c.runService(2)
 		time.Sleep(time.Minute) // the leader reads the catalog once a minute
-		c.cloud.Down(true)
+		c.cloud.SetFaults(fake.CloudFaults{Down: true})
 		c.restartEach()
 		c.waitUntil("submission accepted", 15*time.Second, func() bool {
 			return c.submit(0, newJob("wk-000002", job.Array, 2, 5)) == 201
 		})
 		c.waitUntil("array done on the present machines", time.Minute, c.isDone("wk-000002"))
-		c.cloud.Down(false)
+		c.cloud.SetFaults(fake.CloudFaults{})
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
 			t.Errorf("replica started %d times", n)
 		}
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 )
@@ -21,10 +22,10 @@
 		old := c.partitionLeader()
 		time.Sleep(time.Second)
 		c.cancel((old+1)%3, "wk-000001")
-		c.store.Down(true)
+		c.beginStoreOutage()
 		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.heal()
-		c.store.Down(false)
+		c.endStoreOutage()
 		c.submitUntilAccepted(20*time.Second, 0, newJob("wk-000002", job.Array, 2, 5))
 		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
 		c.checkStartedOnce()
@@ -71,9 +72,9 @@
 	{name: "machines hang", inject: func(c *cluster, _, _ int) { c.hangMachines() }},
 	{name: "machines hang, cloud outage", inject: func(c *cluster, _, _ int) {
 		c.hangMachines()
-		c.cloud.Down(true)
+		c.cloud.SetFaults(fake.CloudFaults{Down: true})
 		time.Sleep(35 * time.Second)
-		c.cloud.Down(false)
+		c.cloud.SetFaults(fake.CloudFaults{})
 	}},
 	{name: "machines hang, old leader isolated", leaderIsolated: true, inject: func(c *cluster, _, _ int) { c.hangMachines() }},
 	{name: "machines hang, old leader ends", inject: func(c *cluster, oldLeader, _ int) {
@@ -101,7 +102,7 @@
 	}},
 	{name: "machines are unresponsive", inject: func(c *cluster, _, _ int) {
 		for _, machine := range c.cloud.Machines() {
-			machine.DropIncoming(true)
+			machine.SetFaults(fake.AgentFaults{DropIncoming: true})
 		}
 	}},
 }
@@ -140,9 +141,9 @@
 	c.cancel(confirming, cancelled)
 	confirmedAt := time.Now()
 	if outage.storeFailsLate {
-		c.store.DownAfter("lead/holder")
+		c.store.SetFaults(fake.StoreFaults{DownAfterPrefix: "lead/holder"})
 	} else {
-		c.store.Down(true)
+		c.beginStoreOutage()
 	}
 	if !c.isLeader(oldLeader) {
 		t.Error("the leader is not left with its machines")
@@ -167,7 +168,7 @@
 	c.restartEach()
 	c.resumeMachines()
 	c.heal()
-	c.store.Down(false)
+	c.endStoreOutage()
 	c.waitUntil("cancellation answered", 20*time.Second, func() bool { return c.status(oldLeader, cancelled) == jobstore.StatusCancelled })
 	c.waitUntilRunningOf(other, 4, 2*time.Minute)
 }
@@ -199,7 +200,7 @@
 				c.partitionFromStore(old)
 				c.cancel((old+1)%controllers, "wk-000002")
 				confirmedAt := time.Now()
-				c.store.Down(true)
+				c.beginStoreOutage()
 				if hang {
 					c.kill(old)
 				} else {
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 )
@@ -23,9 +24,11 @@
 				c.runService(12)
 				c.hangMachines()
 				c.cancel(1, "wk-000001")
-				c.store.Down(outage)
+				if outage {
+					c.beginStoreOutage()
+				}
 				c.waitUntil("task gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
-				c.store.Down(false)
+				c.endStoreOutage()
 				c.waitUntil("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
 				time.Sleep(time.Minute)
 				if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
@@ -45,10 +48,10 @@
 		old := c.leader()
 		c.kill(old)
 		c.cancel((old+1)%controllers, "wk-000001")
-		c.store.Down(true)
+		c.beginStoreOutage()
 		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.start(old)
-		c.store.Down(false)
+		c.endStoreOutage()
 		c.waitUntil("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
 	})
 }
@@ -61,7 +64,7 @@
 		c.waitForElection()
 		c.runService(8)
 		old := c.leader()
-		c.network.Partition(func(from, to string) bool {
+		c.partition(func(from, to string) bool {
 			ofOldLeader := from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old)
 			if ofOldLeader { // it reaches machines and users only
 				return !isMachine(from) && !isMachine(to) && !isUser(from)
@@ -69,13 +72,13 @@
 			return isMachine(from) && isController(to) || isController(from) && isMachine(to)
 		})
 		c.cancel((old+1)%3, "wk-000001")
-		c.store.Down(true)
+		c.beginStoreOutage()
 		time.Sleep(32 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 8 {
 			t.Errorf("%d of 8 tasks run at the end of the outage", n)
 		}
 		c.partitionFromStore(old)
-		c.store.Down(false)
+		c.endStoreOutage()
 		c.waitUntil("cancelled tasks gone", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
 		time.Sleep(3 * time.Second)
 		if got := c.cloud.Returned(); len(got) != 0 {
@@ -90,9 +93,9 @@
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
 		c.runService(80) // of 96 that the team may use
-		c.store.DelayTransactions(20, jobstore.JobKey("wk-000002")+"/")
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 20, HoldPrefix: jobstore.JobKey("wk-000002") + "/"})
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 16, 0))
-		c.waitUntil("starts delayed", 10*time.Second, func() bool { return c.store.Unanswered() > 0 })
+		c.waitUntil("starts delayed", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
 		c.cancel(1, "wk-000002")
 		c.submitUntilAccepted(5*time.Second, 2, newJob("wk-000003", job.Array, 16, 5))
 		// Advancing the term would prove in half a minute that they were never sent; that is not needed.
@@ -101,8 +104,8 @@
 		if n := c.invariants.StartsByTask()["wk-000002/0"]; n != 0 {
 			t.Errorf("started %d times", n)
 		}
-		c.store.DelayTransactions(0, "")
-		c.store.Release()
+		c.store.SetFaults(fake.StoreFaults{})
+		c.store.ReleaseHeld()
 		time.Sleep(5 * time.Second)
 		if keys := c.store.Keys(jobstore.JobKey("wk-000002")); len(keys) > 0 {
 			t.Errorf("late transactions brought back %v", keys)
@@ -122,7 +125,8 @@
 		c.waitUntil("all run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
 		time.Sleep(12 * time.Second)
 		old := c.leader()
-		c.store.Delay(100 * time.Millisecond) // so that starts stay in flight for a while
+		const delay = 100 * time.Millisecond // so that starts stay in flight for a while
+		c.store.SetFaults(fake.StoreFaults{Delay: delay})
 		c.partitionFromMachines(old)
 		cancelledUnder := map[int]int{} // cancellations by leader
 		for i := range jobs {
@@ -132,7 +136,8 @@
 			// And one that has just been accepted.
 			small := newJob(jobID(100+i), job.Array, 8, 60).withResources(0.25, 0.5)
 			if i%4 == 0 {
-				c.store.DelayTransactions(3, jobstore.JobKey(jobID(100+i))+"/") // its starts stay unrecorded
+				// Its starts stay unrecorded.
+				c.store.SetFaults(fake.StoreFaults{Delay: delay, HoldNext: 3, HoldPrefix: jobstore.JobKey(jobID(100+i)) + "/"})
 			}
 			c.submitUntilAccepted(10*time.Second, i%3, small)
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
@@ -143,7 +148,7 @@
 		}
 		c.waitUntil("all tasks stopped, without waiting for machines to be returned", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.heal()
-		c.store.Delay(0)
+		c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Delay = 0 })
 		c.waitUntil("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
 		if n := c.invariants.StartsAfterCancellation(); n != 0 {
 			t.Errorf("%d tasks were started after their cancellation was confirmed", n)
@@ -166,7 +171,7 @@
 			c.submitUntilAccepted(10*time.Second, i%3, request)
 			c.waitUntilRunningOf(id, 1, 20*time.Second)
 			if i == 20 {
-				c.store.Delay(60 * time.Millisecond) // so that more requests overlap
+				c.store.SetFaults(fake.StoreFaults{Delay: 60 * time.Millisecond}) // so that more requests overlap
 			}
 			// Its task takes 3 s: from just before its end to just after it.
 			time.Sleep(3*time.Second - 20*time.Millisecond + time.Duration(i%20)*40*time.Millisecond)
@@ -230,7 +235,7 @@
 		c.runService(8)
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 8, 0))
 		c.waitUntilRunning(16, time.Minute)
-		c.store.DelayTransactions(10_000, jobstore.EndKey(""))
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 10_000, HoldPrefix: jobstore.EndKey("")})
 		c.cancel(1, "wk-000002")
 		c.waitUntilRunning(8, 10*time.Second)
 		time.Sleep(45 * time.Second)
@@ -243,7 +248,7 @@
 			t.Errorf("returned %v, and before that %v", returned[len(returnedBefore):], returnedBefore)
 		}
 		c.heal()
-		c.store.DelayTransactions(0, "")
+		c.store.SetFaults(fake.StoreFaults{})
 		c.waitForStatuses(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
 		c.waitUntil("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 	})
@@ -271,7 +276,7 @@
 				inside[machine.Addr] = true
 			}
 		}
-		c.network.Partition(func(from, to string) bool { return inside[from] != inside[to] })
+		c.partition(func(from, to string) bool { return inside[from] != inside[to] })
 		partitioned := time.Now()
 		c.cancel(0, jobID(0))
 		c.waitUntilGone(jobID(0))
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -108,7 +108,7 @@
 // machinesWithTasks returns the machines that have tasks.
 func (c *cluster) machinesWithTasks() (out []*fake.Agent) {
 	for _, machine := range c.cloud.Machines() {
-		if machine.Tasks() > 0 {
+		if machine.TaskCount() > 0 {
 			out = append(out, machine)
 		}
 	}
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"tulipshelf/internal/config"
 	"tulipshelf/internal/fake"
 )
 
@@ -23,15 +24,35 @@
 	c.start(old)
 }
 
+// partition separates the pairs of hosts for which separated holds, and heals earlier partitions.
+func (c *cluster) partition(separated func(from, to string) bool) {
+	c.network.UpdateFaults(func(faults *fake.NetworkFaults) { faults.Partition = separated })
+}
+
 // heal ends all partitions.
-func (c *cluster) heal() { c.network.Partition(nil) }
+func (c *cluster) heal() { c.partition(nil) }
+
+// beginStoreOutage makes the store refuse all requests.
+func (c *cluster) beginStoreOutage() {
+	c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Down = true })
+}
+
+// endStoreOutage ends the outage and leaves other faults as they are.
+func (c *cluster) endStoreOutage() {
+	c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Down = false })
+}
+
+// enforceStoreLimits lowers the limits of the store to those that the settings have announced.
+func (c *cluster) enforceStoreLimits(limits config.StoreLimits) {
+	c.store.SetLimits(fake.StoreLimits{ValueBytes: limits.ValueBytes, TxnOps: limits.TxnOps, WriteRPS: limits.WriteRPS})
+}
 
 // partitionLeader separates the leader from the store and the other controllers, but neither from
 // its machines nor from users, and waits until another controller leads.
 func (c *cluster) partitionLeader() (old int) {
 	c.t.Helper()
 	old = c.leader()
-	c.network.Partition(func(from, to string) bool {
+	c.partition(func(from, to string) bool {
 		outside := isMachine(from) || isMachine(to) || isUser(from)
 		return !outside && (from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old))
 	})
@@ -48,12 +69,12 @@
 
 // partitionFromStore separates one controller from the store.
 func (c *cluster) partitionFromStore(node int) {
-	c.network.Partition(func(from, to string) bool { return from == nodeAddr(node) && to == storeAddr })
+	c.partition(func(from, to string) bool { return from == nodeAddr(node) && to == storeAddr })
 }
 
 // partitionFromStoreAndPeers separates one controller from the store and the other controllers.
 func (c *cluster) partitionFromStoreAndPeers(node int) {
-	c.network.Partition(func(from, to string) bool {
+	c.partition(func(from, to string) bool {
 		if from == nodeAddr(node) && to == storeAddr {
 			return true
 		}
@@ -64,19 +85,19 @@
 
 // partitionFromMachines separates one controller from all machines.
 func (c *cluster) partitionFromMachines(node int) {
-	c.network.Partition(func(from, to string) bool {
+	c.partition(func(from, to string) bool {
 		return isMachine(from) && to == nodeAddr(node) || from == nodeAddr(node) && isMachine(to)
 	})
 }
 
 // partitionControllers separates the controllers from each other.
 func (c *cluster) partitionControllers() {
-	c.network.Partition(func(from, to string) bool { return isController(from) && isController(to) })
+	c.partition(func(from, to string) bool { return isController(from) && isController(to) })
 }
 
 // partitionMachines separates the machines for which separated holds from everything.
 func (c *cluster) partitionMachines(separated func(addr string) bool) {
-	c.network.Partition(func(from, to string) bool { return separated(from) || separated(to) })
+	c.partition(func(from, to string) bool { return separated(from) || separated(to) })
 }
 
 // partitionZone separates all machines and one controller from the leader and the third one. The
@@ -91,28 +112,26 @@
 	regional := func(addr string) bool {
 		return addr == storeAddr || addr == cloudAddr || isUser(addr)
 	}
-	c.network.Partition(func(from, to string) bool { return !regional(from) && !regional(to) && inside(from) != inside(to) })
+	c.partition(func(from, to string) bool { return !regional(from) && !regional(to) && inside(from) != inside(to) })
 }
 
 // dropHeartbeats lets no heartbeat through of the machines for which from holds, while what
 // controllers send to them arrives.
 func (c *cluster) dropHeartbeats(from func(addr string) bool) {
-	c.network.Partition(func(source, target string) bool {
+	c.partition(func(source, target string) bool {
 		return isMachine(source) && isController(target) && from(source)
 	})
 }
 
 // delayCommands lets each request to a machine arrive late; 0 ends that.
 func (c *cluster) delayCommands(delay time.Duration) {
-	if delay == 0 {
-		c.network.DelayRequests(nil)
-		return
-	}
-	c.network.DelayRequests(func(_, to string) time.Duration {
-		if isMachine(to) {
-			return delay
+	c.network.UpdateFaults(func(faults *fake.NetworkFaults) {
+		faults.RequestDelay = func(_, to string) time.Duration {
+			if isMachine(to) {
+				return delay
+			}
+			return 0
 		}
-		return 0
 	})
 }
 
@@ -124,15 +143,15 @@
 
 func (c *cluster) setHung(hung bool) {
 	for _, machine := range c.cloud.Machines() {
-		machine.Hang(hung)
+		machine.UpdateFaults(func(faults *fake.AgentFaults) { faults.Hung = hung })
 	}
 }
 
 // hangFirstMachineWith makes one machine hang that has tasks of a job.
 func (c *cluster) hangFirstMachineWith(id string) {
 	for _, machine := range c.cloud.Machines() {
-		if machine.Has(id) {
-			machine.Hang(true)
+		if machine.HasTasksOf(id) {
+			machine.SetFaults(fake.AgentFaults{Hung: true})
 			return
 		}
 	}
--- a/internal/controller/cluster_gangs_test.go
+++ b/internal/controller/cluster_gangs_test.go
@@ -39,21 +39,21 @@
 // runGang submits a gang and waits until an attempt of it has begun.
 func (c *cluster) runGang(r jobRequest) {
 	c.t.Helper()
-	began := c.cloud.Gangs.Counted().Began
+	began := c.cloud.Gangs.Counts().Began
 	c.submitUntilAccepted(10*time.Second, 0, r)
-	c.waitUntil("gang runs", time.Minute, func() bool { return c.cloud.Gangs.Counted().Began > began })
+	c.waitUntil("gang runs", time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > began })
 }
 
 // waitForGangAttempts waits until so many attempts of gangs, of all jobs, have begun.
 func (c *cluster) waitForGangAttempts(begun int, limit time.Duration) {
 	c.t.Helper()
-	c.waitUntil(fmt.Sprintf("%d attempts of gangs have begun", begun), limit, func() bool { return c.cloud.Gangs.Counted().Began == begun })
+	c.waitUntil(fmt.Sprintf("%d attempts of gangs have begun", begun), limit, func() bool { return c.cloud.Gangs.Counts().Began == begun })
 }
 
 // gangMachines returns the machines that have tasks of the gang.
 func (c *cluster) gangMachines() (out []*fake.Agent) {
 	for _, machine := range c.cloud.Machines() {
-		if machine.Has(gangID) {
+		if machine.HasTasksOf(gangID) {
 			out = append(out, machine)
 		}
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -100,7 +100,7 @@
 func newCluster(ctx context.Context, t *testing.T) *cluster {
 	c := &cluster{t: t, network: fake.NewNetwork(ctx), store: fake.NewStore(), invariants: fake.NewInvariantChecker(),
 		storeRPS: 200, teamCPUs: 16, zones: []string{"a"}}
-	c.invariants.Within = cancelDeadline
+	c.invariants.CancelDeadline = cancelDeadline
 	c.answers = answerLog{lastStatus: map[string]string{}, invariants: c.invariants}
 	var names, addrs []string
 	for i := range controllers {
@@ -130,7 +130,7 @@
 
 // start starts controller i with the cluster's present settings.
 func (c *cluster) start(i int) {
-	c.invariants.Limit(team, c.teamCPUs)
+	c.invariants.SetMaxCPUs(team, c.teamCPUs)
 	settings := c.settings(i)
 	p := &c.processes[i]
 	var run func(context.Context) error
@@ -236,7 +236,7 @@
 // restartInTwoZones restarts the controllers with a large fleet in two zones: controllers 0 and 2
 // are in zone a, controller 1 in zone b.
 func (c *cluster) restartInTwoZones() {
-	c.cloud.Type.Zones = []string{"a", "b"}
+	c.cloud.Change(func(cloud *fake.Cloud) { cloud.Type.Zones = []string{"a", "b"} })
 	c.zones = []string{"a", "b"}
 	c.restartWithLargeFleet()
 }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -69,7 +69,7 @@
 			c.invariants.AddJob(record.Spec)
 		}
 	}
-	c.cloud.Begin(1000)
+	c.cloud.NumberMachinesFrom(1000)
 	c.setCapacity(24, 96)
 	c.startAll()
 }
@@ -92,12 +92,12 @@
 	c.waitUntilRunningOf("wk-000005", 4, time.Minute)
 	c.runGang(newGang(4, 600))
 	c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000004", job.Array, 300, 10))
-	c.waitUntil("some done", 2*time.Minute, func() bool { return c.invariants.Ended("wk-000004/120") })
+	c.waitUntil("some done", 2*time.Minute, func() bool { return c.invariants.Completed("wk-000004/120") })
 	c.partitionZone()
 	time.Sleep(16 * time.Second)
 	for _, machine := range c.cloud.Machines() {
-		if machine.Has("wk-000005") {
-			machine.Hang(true)
+		if machine.HasTasksOf("wk-000005") {
+			machine.SetFaults(fake.AgentFaults{Hung: true})
 		}
 	}
 	c.cancel(c.leader(), "wk-000005")
@@ -303,7 +303,7 @@
 		c.runGang(newGang(6, 300))
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000003", job.Array, 2, 2))
 		c.waitUntil("done", time.Minute, c.isDone("wk-000003"))
-		c.waitUntil("some tasks done", 2*time.Minute, func() bool { return c.invariants.Ended("wk-000002/40") })
+		c.waitUntil("some tasks done", 2*time.Minute, func() bool { return c.invariants.Completed("wk-000002/40") })
 		time.Sleep(12 * time.Second)
 		c.partitionZone()
 		time.Sleep(16 * time.Second)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/kvstore"
@@ -89,13 +90,13 @@
 		last := c.termOf(c.leader())
 		for range 4 {
 			node := c.leader()
-			c.store.DelayTransactions(1, "lead/")
+			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "lead/"})
 			c.kill(node)
 			c.start(node)
 			time.Sleep(200 * time.Millisecond) // its claim is in flight
 			c.kill(node)
 			c.start(node)
-			c.store.Release()
+			c.store.ReleaseHeld()
 			c.waitForLeader(20 * time.Second)
 			term := c.termOf(c.leader())
 			if term <= last {
@@ -128,10 +129,10 @@
 			if i == 5 || i == 8 {
 				// Two changes at once: the leader ends in an outage, and restarts while the store
 				// still names it as the leader.
-				c.store.Down(true)
+				c.beginStoreOutage()
 				c.restartAfter(c.leader(), 0)
 				time.Sleep(4 * time.Second)
-				c.store.Down(false)
+				c.endStoreOutage()
 				c.waitForLeader(20 * time.Second)
 			} else {
 				c.failOver()
@@ -167,7 +168,7 @@
 			for i := range 4 {
 				ended := 0
 				for task := range 3 {
-					if c.invariants.Ended(fmt.Sprintf("%s/%d", jobID(i), task)) {
+					if c.invariants.Completed(fmt.Sprintf("%s/%d", jobID(i), task)) {
 						ended++
 					}
 				}
--- a/internal/controller/gang_recovery_test.go
+++ b/internal/controller/gang_recovery_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"tulipshelf/internal/fake"
 )
 
 // A machine of a gang is lost, which ends the attempt; the next one continues from the last checkpoint
@@ -19,14 +21,14 @@
 				time.Sleep(25 * time.Second)
 				machine := c.gangMachines()[0]
 				if hang {
-					machine.Hang(true)
+					machine.SetFaults(fake.AgentFaults{Hung: true})
 				} else {
 					machine.Restart()
 				}
 				time.Sleep(3 * time.Second)
 				failOver()
 				c.waitForGangAttempts(2, time.Minute)
-				if checkpoint := c.cloud.Gangs.Saved(gangID); checkpoint != 20*time.Second {
+				if checkpoint := c.cloud.Gangs.Progress(gangID); checkpoint != 20*time.Second {
 					t.Errorf("continues from %v", checkpoint)
 				}
 				resumedAt := time.Now()
@@ -34,7 +36,7 @@
 				if took := time.Since(resumedAt); took > 25*time.Second {
 					t.Errorf("the rest took %v", took)
 				}
-				if got := c.cloud.Gangs.Counted(); got.Incomplete != 0 || got.Done != 1 {
+				if got := c.cloud.Gangs.Counts(); got.Incomplete != 0 || got.Done != 1 {
 					t.Errorf("%+v", got)
 				}
 			})
@@ -49,19 +51,19 @@
 		c.runGang(newGang(10, 60))
 		time.Sleep(15 * time.Second)
 		machine := c.gangMachines()[0]
-		machine.TerminateIn(24 * time.Second)
+		machine.AnnounceTermination(24 * time.Second)
 		failOver()
-		c.waitUntil("saved", 24*time.Second, func() bool { return c.cloud.Gangs.Counted().Stored == 1 })
-		saved := c.cloud.Gangs.Saved(gangID)
+		c.waitUntil("saved", 24*time.Second, func() bool { return c.cloud.Gangs.Counts().Checkpointed == 1 })
+		saved := c.cloud.Gangs.Progress(gangID)
 		if saved < 15*time.Second || saved%(10*time.Second) == 0 {
 			t.Errorf("saved %v", saved)
 		}
 		c.waitForGangAttempts(2, 30*time.Second)
-		if machine.Has(gangID) {
+		if machine.HasTasksOf(gangID) {
 			t.Error("it runs on the machine that will be terminated")
 		}
 		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
-		if got := c.cloud.Gangs.Counted(); got.MatesGone != 0 || got.Incomplete != 0 {
+		if got := c.cloud.Gangs.Counts(); got.MembersGone != 0 || got.Incomplete != 0 {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -77,10 +79,10 @@
 		unreachable := machines[1].Addr
 		c.partitionMachines(func(addr string) bool { return addr == unreachable })
 		time.Sleep(9 * time.Second) // its heartbeats are overdue, while its tasks run on
-		machines[0].TerminateIn(12 * time.Second)
+		machines[0].AnnounceTermination(12 * time.Second)
 		failOver()
 		time.Sleep(8 * time.Second)
-		if got := c.cloud.Gangs.Counted(); got.Stored != 0 || got.MatesGone != 0 {
+		if got := c.cloud.Gangs.Counts(); got.Checkpointed != 0 || got.MembersGone != 0 {
 			t.Errorf("stopped in part: %+v", got)
 		}
 		c.heal()
@@ -100,7 +102,7 @@
 			if len(machines) == 0 {
 				continue
 			}
-			machines[0].Hang(true)
+			machines[0].SetFaults(fake.AgentFaults{Hung: true})
 			c.failOver()
 		}
 		c.waitUntil("done", 4*time.Minute, c.isDone(gangID))
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(15 * time.Second)
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Service, 4, 0).withPriority(highPriority))
 		c.waitUntilRunningOf("wk-000002", 4, 30*time.Second)
-		if got := c.cloud.Gangs.Counted(); got.Stored != 1 || got.MatesGone != 0 {
+		if got := c.cloud.Gangs.Counts(); got.Checkpointed != 1 || got.MembersGone != 0 {
 			t.Errorf("%+v", got)
 		}
 		c.cancel(0, "wk-000002")
@@ -77,7 +77,7 @@
 		for _, id := range ids {
 			c.waitUntil("done", 3*time.Minute, c.isDone(id))
 		}
-		if got := c.cloud.Gangs.Counted(); got.Began != 3 || got.Incomplete != 0 {
+		if got := c.cloud.Gangs.Counts(); got.Began != 3 || got.Incomplete != 0 {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -21,7 +21,7 @@
 		failOver()
 		c.waitUntil("done", time.Minute, c.isDone(gangID))
 		c.checkStartedOnce()
-		if got := c.cloud.Gangs.Counted(); got != (fake.GangCount{Began: 1, Done: 1}) {
+		if got := c.cloud.Gangs.Counts(); got != (fake.GangCounts{Began: 1, Done: 1}) {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -61,7 +61,7 @@
 			unreachable[machine.Addr] = i%2 == 0
 		}
 		old := c.leader()
-		c.network.Partition(func(from, to string) bool {
+		c.partition(func(from, to string) bool {
 			return unreachable[from] && isController(to) || from == nodeAddr(old) && unreachable[to]
 		})
 		c.submitUntilAccepted(10*time.Second, old, newGang(12, 10))
@@ -75,7 +75,7 @@
 		failedOverAt := time.Now()
 		c.waitForGangAttempts(1, 40*time.Second)
 		c.waitUntil("done", time.Minute, c.isDone(gangID))
-		if got := c.cloud.Gangs.Counted(); got.Incomplete != 0 {
+		if got := c.cloud.Gangs.Counts(); got.Incomplete != 0 {
 			t.Errorf("%d tasks gave up waiting, %v after the failover", got.Incomplete, time.Since(failedOverAt))
 		}
 	})
@@ -87,16 +87,16 @@
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
 		c.runService(8)
-		c.store.DelayTransactions(20, jobstore.JobKey(gangID)+"/")
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 20, HoldPrefix: jobstore.JobKey(gangID) + "/"})
 		c.submitUntilAccepted(10*time.Second, 0, newGang(8, 10))
 		time.Sleep(4 * time.Second)
 		if n := c.invariants.RunningTasksOf(gangID); n != 0 {
 			t.Errorf("%d tasks run whose starts are not recorded", n)
 		}
-		c.store.DelayTransactions(0, "")
+		c.store.SetFaults(fake.StoreFaults{})
 		old := c.leader()
 		c.kill(old)
-		c.store.Release()
+		c.store.ReleaseHeld()
 		c.start(old)
 		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
 		c.checkStartedOnce()
@@ -107,7 +107,7 @@
 func TestGangCancelledWithHungMachine(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 300))
-		c.gangMachines()[0].Hang(true)
+		c.gangMachines()[0].SetFaults(fake.AgentFaults{Hung: true})
 		c.cancel(1, gangID)
 		failOver()
 		c.waitUntilGone(gangID)
@@ -132,7 +132,7 @@
 			}
 		}
 		c.waitUntil("done", 2*time.Minute, c.isDone(gangID))
-		if got := c.cloud.Gangs.Counted(); got.Began != 2 || got.Done != 1 {
+		if got := c.cloud.Gangs.Counts(); got.Began != 2 || got.Done != 1 {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -146,12 +146,12 @@
 		time.Sleep(12 * time.Second)
 		separated := c.gangMachines()[0]
 		c.partitionMachines(func(addr string) bool { return addr == separated.Addr })
-		c.waitUntil("the tasks are done", 10*time.Second, func() bool { return c.cloud.Gangs.Counted().Done == 1 })
-		separated.Hang(true)
+		c.waitUntil("the tasks are done", 10*time.Second, func() bool { return c.cloud.Gangs.Counts().Done == 1 })
+		separated.SetFaults(fake.AgentFaults{Hung: true})
 		time.Sleep(time.Second)
 		failOver()
 		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
-		if got := c.cloud.Gangs.Counted(); got.Began != 1 {
+		if got := c.cloud.Gangs.Counts(); got.Began != 1 {
 			t.Errorf("%+v", got)
 		}
 		c.heal()
--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/wire"
 )
@@ -17,7 +18,7 @@
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.runService(2)
-		c.store.Down(true)
+		c.beginStoreOutage()
 		if got := c.submit(0, newJob("wk-000002", job.Array, 1, 1)); got != 503 {
 			t.Errorf("submission in an outage: %d", got)
 		}
@@ -33,7 +34,7 @@
 		if c.invariants.RunningTasks() != 2 {
 			t.Errorf("%d of 2 replicas run", c.invariants.RunningTasks())
 		}
-		c.store.Down(false)
+		c.endStoreOutage()
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Array, 1, 1))
 		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
@@ -51,7 +52,7 @@
 		c.waitForElection()
 		c.runService(8)
 		time.Sleep(5 * time.Second)
-		c.store.Down(true)
+		c.beginStoreOutage()
 		for i := range controllers {
 			c.restartAfter(i, 0)
 			time.Sleep(8 * time.Second)
@@ -66,7 +67,7 @@
 		if n := c.invariants.RunningTasks(); n != 8 {
 			t.Errorf("%d of 8 replicas run", n)
 		}
-		c.store.Down(false)
+		c.endStoreOutage()
 		c.submit(0, newJob("wk-000002", job.Array, 2, 5))
 		c.submitUntilAccepted(20*time.Second, 0, newJob("wk-000002", job.Array, 2, 5))
 		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
@@ -82,7 +83,7 @@
 		c.runService(8)
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 4, 0))
 		c.waitUntilRunning(12, time.Minute)
-		c.store.Delay(350 * time.Millisecond)
+		c.store.SetFaults(fake.StoreFaults{Delay: 350 * time.Millisecond})
 		time.Sleep(40 * time.Second)
 		c.cancelUntilConfirmed(10*time.Second, 1, "wk-000001")
 		answered := 0
@@ -98,7 +99,7 @@
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 0 {
 			t.Errorf("%d cancelled tasks left", n)
 		}
-		c.store.Delay(0)
+		c.store.SetFaults(fake.StoreFaults{})
 		if n := c.invariants.RunningTasksOf("wk-000002"); n != 4 || c.invariants.StartsByTask()["wk-000002/0"] != 1 {
 			t.Errorf("%d of 4 replicas run, started %d times", n, c.invariants.StartsByTask()["wk-000002/0"])
 		}
--- a/internal/controller/kvstore_transaction_test.go
+++ b/internal/controller/kvstore_transaction_test.go
@@ -16,11 +16,11 @@
 func TestUnacknowledgedTransactionsAreReadBack(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
-		c.store.LoseResponses(1)
+		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 		if got := c.submit(0, newJob("wk-000001", job.Array, 4, 5)); got != 200 {
 			t.Errorf("applied, response lost: %d, want 200 after reading back", got)
 		}
-		c.store.DelayTransactions(1, jobstore.JobKey("wk-000002"))
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: jobstore.JobKey("wk-000002")})
 		if got := c.submit(0, newJob("wk-000002", job.Array, 4, 5)); got != 503 {
 			t.Errorf("delayed: %d, want 503", got)
 		}
@@ -30,8 +30,8 @@
 		if got := c.submit(1, newJob("wk-000002", job.Array, 4, 5)); got != 201 {
 			t.Errorf("retry: %d", got)
 		}
-		c.store.Release()
-		c.store.LoseResponses(2) // the leader's own writes
+		c.store.ReleaseHeld()
+		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 2}) // the leader's own writes
 		c.waitUntil("first job done", 2*time.Minute, c.isDone("wk-000001"))
 		c.waitUntil("second job done", 2*time.Minute, c.isDone("wk-000002"))
 		c.checkStartedOnce()
@@ -43,7 +43,7 @@
 func TestLostTransactionResponses(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
-		c.store.LoseOneResponseIn(2)
+		c.store.SetFaults(fake.StoreFaults{LoseOneResponseIn: 2})
 		want := map[string]string{}
 		for i := range 30 {
 			id := jobID(i)
@@ -64,8 +64,8 @@
 				c.failOver()
 			}
 		}
-		c.store.LoseOneResponseIn(0)
-		if n := c.store.Unanswered(); n < 15 {
+		c.store.SetFaults(fake.StoreFaults{})
+		if n := c.store.Unacknowledged(); n < 15 {
 			t.Errorf("only %d transactions had no response", n)
 		}
 		c.waitForStatuses(2*time.Minute, want)
@@ -77,7 +77,7 @@
 func TestDelayedTransactionsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
-		c.store.DelayOneWriteIn(4)
+		c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 4})
 		cancelled := map[int]bool{}
 		for i := range 12 {
 			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Array, 2, 8))
@@ -89,7 +89,7 @@
 				c.failOver()
 			}
 		}
-		c.store.DelayOneWriteIn(0)
+		c.store.SetFaults(fake.StoreFaults{})
 		time.Sleep(15 * time.Second) // the last delayed ones are applied
 		for i := range 12 {
 			want := jobstore.StatusDone
@@ -106,19 +106,19 @@
 func TestDelayedTransactionsOnFastBootingMachines(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Type.BootS, cloud.Capacity = 0.5, 24 })
-		time.Sleep(2 * time.Second)
-		c.store.DelayOneWriteIn(3)
+		c.waitForElection()
+		c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
 		want := map[string]string{}
 		for i := range 6 {
 			submittedAt := time.Now()
-			c.store.DelayTransactions(20, jobstore.JobKey(jobID(i))+"/")
+			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3, HoldNext: 20, HoldPrefix: jobstore.JobKey(jobID(i)) + "/"})
 			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Array, 8, 6))
 			want[jobID(i)] = jobstore.StatusDone
 			time.Sleep(5 * time.Second)
 			if n := c.invariants.RunningTasksOf(jobID(i)); n != 0 {
 				t.Errorf("%d tasks run whose starts are not recorded", n)
 			}
-			c.store.DelayTransactions(0, "")
+			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
 			c.waitUntil("tasks begin", time.Minute, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
 			// The next leader gets no heartbeat of these machines for a while, and has room elsewhere.
 			busy := addresses(c.machinesWithTasks())
@@ -129,12 +129,12 @@
 			c.failOver()
 			time.Sleep(14 * time.Second)
 			c.heal()
-			c.store.Release() // what the earlier leader wrote
+			c.store.ReleaseHeld() // what the earlier leader wrote
 		}
-		if n := c.store.Unanswered(); n < 10 {
+		if n := c.store.Unacknowledged(); n < 10 {
 			t.Errorf("only %d transactions were delayed", n)
 		}
-		c.store.DelayOneWriteIn(0)
+		c.store.SetFaults(fake.StoreFaults{})
 		c.waitForStatuses(3*time.Minute, want)
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"tulipshelf/internal/config"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 )
@@ -23,7 +24,7 @@
 	faults := map[string]func(c *cluster){
 		"no further fault": func(*cluster) {},
 		"in an election":   func(c *cluster) { c.restartAfter(c.leader(), 1500*time.Millisecond) },
-		"responses lost":   func(c *cluster) { c.store.LoseOneResponseIn(4) },
+		"responses lost":   func(c *cluster) { c.store.SetFaults(fake.StoreFaults{LoseOneResponseIn: 4}) },
 	}
 	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -62,10 +63,10 @@
 		t.Error("no cancellation waits to be recorded as ended")
 	}
 
-	c.store.Limit(lowered.ValueBytes, lowered.TxnOps, lowered.WriteRPS)
+	c.enforceStoreLimits(*lowered)
 	inject(c)
 	c.waitForStatuses(8*time.Minute, want)
-	c.store.LoseOneResponseIn(0)
+	c.store.SetFaults(fake.StoreFaults{})
 	c.waitUntil("all ends are recorded", 2*time.Minute, func() bool { return ended() == cancelled })
 
 	const serviceKeys = 2 // of the service and its tasks
@@ -78,8 +79,8 @@
 	if left := c.store.Keys(jobstore.JobPrefix); len(left) != serviceKeys {
 		t.Errorf("left behind: %v", left)
 	}
-	if large, many := c.store.Refused(); large > 0 || many == 0 {
-		t.Errorf("%d transactions refused as too large, %d as too many", large, many)
+	if refused := c.store.Refusals(); refused.TooLarge > 0 || refused.TooMany == 0 {
+		t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
 	}
 	for i := range 600 {
 		if n := c.invariants.StartsByTask()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
@@ -108,7 +109,7 @@
 			time.Sleep(4 * time.Second)
 			c.restartAfter(i, 0)
 			if i == 1 {
-				c.store.Limit(2<<10, 4, 18)
+				c.enforceStoreLimits(*c.nextStoreLimits)
 				c.restartAfter(0, 0)
 			}
 		}
@@ -131,8 +132,8 @@
 		c.hangFirstMachineWith("wk-000050")
 		c.waitUntil("a replica is lost", 30*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000050") < 80 })
 		c.waitUntilRunningOf("wk-000050", 80, 2*time.Minute)
-		if large, many := c.store.Refused(); large > 30 || large+many == 0 {
-			t.Errorf("%d transactions refused as too large, %d as too many", large, many)
+		if refused := c.store.Refusals(); refused.TooLarge > 30 || refused.TooLarge+refused.TooMany == 0 {
+			t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
 		}
 		c.waitUntil("nothing left behind", time.Minute, func() bool {
 			// The records of both services; the tasks of one, and of the other in both layouts.
@@ -159,28 +160,28 @@
 			simulate(t, func(c *cluster) {
 				c.nextStoreLimits = &limits
 				c.restartWithCapacity(60, 240)
-				c.store.Limit(limits.ValueBytes, limits.TxnOps, limits.WriteRPS)
+				c.enforceStoreLimits(limits)
 				c.submitUntilAccepted(10*time.Second, 0, newGang(tasks, 30).withResources(0.1, 0.3))
 				if strings.HasSuffix(name, "leader ends") {
 					chunks := func() int { return len(c.store.Keys(jobstore.JobKey(gangID) + "/")) }
-					c.store.Delay(400 * time.Millisecond)
+					c.store.SetFaults(fake.StoreFaults{Delay: 400 * time.Millisecond})
 					c.waitUntil("some chunks are recorded", 2*time.Minute, func() bool { return chunks() > 0 })
 					if n := c.invariants.RunningTasksOf(gangID); n != 0 || chunks() > tasks/jobstore.TasksPerChunk(limits.ValueBytes) {
 						t.Errorf("%d tasks run, %d chunks recorded", n, chunks())
 					}
 					c.failOver()
-					c.store.Delay(0)
+					c.store.SetFaults(fake.StoreFaults{})
 				}
-				c.waitUntil("the gang runs", 5*time.Minute, func() bool { return c.cloud.Gangs.Counted().Began > 0 })
+				c.waitUntil("the gang runs", 5*time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > 0 })
 				if n := c.invariants.RunningTasksOf(gangID); n != tasks {
 					t.Errorf("%d tasks run once the gang has begun", n)
 				}
 				c.waitForStatuses(3*time.Minute, map[string]string{gangID: jobstore.StatusDone})
-				if got := c.cloud.Gangs.Counted(); got.Began != 1 || got.Incomplete != 0 {
+				if got := c.cloud.Gangs.Counts(); got.Began != 1 || got.Incomplete != 0 {
 					t.Errorf("%+v", got)
 				}
-				if large, _ := c.store.Refused(); large != 0 {
-					t.Errorf("%d transactions refused as too large", large)
+				if refused := c.store.Refusals(); refused.TooLarge != 0 {
+					t.Errorf("%d transactions refused as too large", refused.TooLarge)
 				}
 			})
 		})
--- a/internal/controller/machine_failure_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 )
 
@@ -17,11 +18,11 @@
 		c.runService(6)
 		machine := c.cloud.Machines()[0] // with the fewest tasks, so that it gets more
 		for _, other := range c.cloud.Machines() {
-			if other.Tasks() < machine.Tasks() {
+			if other.TaskCount() < machine.TaskCount() {
 				machine = other
 			}
 		}
-		machine.FailTasks()
+		machine.SetFaults(fake.AgentFaults{FailTasks: true})
 		for i := range 4 {
 			c.submit(0, newJob(jobID(10+i), job.Array, 4, 5))
 		}
@@ -41,14 +42,14 @@
 		c.waitUntilRunning(3, time.Minute)
 		noticedAt := time.Now()
 		for _, machine := range c.cloud.Machines() {
-			machine.TerminateIn(30 * time.Second)
+			machine.AnnounceTermination(30 * time.Second)
 		}
 		c.waitUntil("service moved", 25*time.Second, func() bool { return c.invariants.StartsByTask()["wk-000001/0"] == 2 })
 		if c.invariants.StartsByTask()["wk-000002/0"] != 1 || time.Since(noticedAt) > 20*time.Second {
 			t.Errorf("task with checkpoints was moved %v after the notice", time.Since(noticedAt))
 		}
 		c.waitUntil("task with checkpoints moved", 40*time.Second, func() bool { return c.invariants.StartsByTask()["wk-000002/0"] == 2 })
-		c.waitUntil("other task done where it was", time.Minute, func() bool { return c.invariants.Ended("wk-000003/0") })
+		c.waitUntil("other task done where it was", time.Minute, func() bool { return c.invariants.Completed("wk-000003/0") })
 		if n := c.invariants.StartsByTask()["wk-000003/0"]; n != 1 {
 			t.Errorf("task without checkpoints was started %d times", n)
 		}
@@ -68,7 +69,7 @@
 		c.kill((leader + 2) % controllers)
 		withTasks := c.machinesWithTasks()
 		unresponsive := withTasks[len(withTasks)-1]
-		unresponsive.DropIncoming(true)
+		unresponsive.SetFaults(fake.AgentFaults{DropIncoming: true})
 		c.submit(leader, newJob("wk-000002", job.Service, 8, 0))
 		c.waitUntilReturned(unresponsive, 45*time.Second)
 		c.waitUntilRunning(16, 30*time.Second)
@@ -83,11 +84,11 @@
 		c.runService(8)
 		unresponsive := c.cloud.Machines()
 		for _, machine := range unresponsive {
-			machine.DropIncoming(true)
+			machine.SetFaults(fake.AgentFaults{DropIncoming: true})
 		}
 		c.waitUntil("the service runs on other machines", 3*time.Minute, func() bool {
 			for _, machine := range unresponsive {
-				if machine.Has("wk-000001") {
+				if machine.HasTasksOf("wk-000001") {
 					return false
 				}
 			}
@@ -103,7 +104,7 @@
 		c.runService(40)
 		for i, machine := range c.cloud.Machines() {
 			if i%4 == 0 {
-				machine.DropIncoming(true)
+				machine.SetFaults(fake.AgentFaults{DropIncoming: true})
 			}
 		}
 		c.failOver()
@@ -136,7 +137,7 @@
 		c.runService(40)
 		time.Sleep(10 * time.Second)
 		machine := c.cloud.Machines()[0]
-		machine.Hang(true)
+		machine.SetFaults(fake.AgentFaults{Hung: true})
 		c.waitUntilReturned(machine, 13*time.Second)
 	})
 }
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 )
 
@@ -23,7 +24,7 @@
 		})
 		c.waitUntil("machines follow the new leader", 10*time.Second, func() bool {
 			for _, machine := range c.cloud.Machines() {
-				if machine.Up() && machine.Token() < 2 {
+				if machine.Booted() && machine.FencingToken() < 2 {
 					return false
 				}
 			}
@@ -74,7 +75,7 @@
 		old := c.leader()
 		term := c.termOf(old)
 		reachable := (old + 1) % controllers
-		c.network.Partition(func(from, to string) bool {
+		c.partition(func(from, to string) bool {
 			separated := func(addr string) bool { return isController(addr) && addr != nodeAddr(reachable) }
 			return isMachine(from) && separated(to) || separated(from) && isMachine(to)
 		})
@@ -99,7 +100,7 @@
 		c.waitUntil("machines follow the new leader", 20*time.Second, func() bool {
 			term := c.termOf(c.leader())
 			for _, machine := range c.cloud.Machines() {
-				if machine.Token() < term {
+				if machine.FencingToken() < term {
 					return false
 				}
 			}
@@ -156,7 +157,7 @@
 // between controllers. Tasks run once, users' answers stay true, and nothing is rented twice.
 func TestDuplicatedRequests(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.network.DuplicateRequests(300*time.Millisecond, 5*time.Second, 40*time.Second)
+		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
 		c.waitForElection()
 		for i := range 4 {
 			c.submit(i%3, newJob(jobID(i), job.Array, 6, 4))
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"tulipshelf/internal/config"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
@@ -173,13 +174,13 @@
 				time.Sleep(12 * time.Second)
 				old := c.leader()
 				// Commands arrive 3 s late, when their sender has ended, and responses of the store are lost.
-				c.network.DelayRequests(func(from, to string) time.Duration {
+				c.network.SetFaults(fake.NetworkFaults{RequestDelay: func(from, to string) time.Duration {
 					if from == nodeAddr(old) && isMachine(to) {
 						return 3 * time.Second
 					}
 					return 0
-				})
-				c.store.LoseResponses(3)
+				}})
+				c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 3})
 				c.submitUntilAccepted(10*time.Second, old, newJob("wk-000010", job.Array, 60, 8))
 				recorded := func() int { return len(c.store.Keys(jobstore.JobKey("wk-000010") + "/")) }
 				c.waitUntil("starts are recorded", 5*time.Second, func() bool { return recorded() > 0 })
@@ -190,7 +191,7 @@
 				// Otherwise a controller of the version that led takes over at once.
 				c.waitForLeader(10 * time.Second)
 				c.makeOlderVersionLead(!olderLeads)
-				c.network.DelayRequests(nil)
+				c.network.SetFaults(fake.NetworkFaults{})
 				c.start(old)
 				c.waitForStatuses(3*time.Minute, map[string]string{"wk-000010": jobstore.StatusDone})
 				c.checkStartedOnce()
@@ -213,19 +214,19 @@
 				time.Sleep(12 * time.Second)
 				confirming := c.nodeOfOtherVersion()
 				for i, machine := range c.cloud.Machines() {
-					machine.Hang(i%4 == 0)
+					machine.SetFaults(fake.AgentFaults{Hung: i%4 == 0})
 				}
 				tasksBefore := c.invariants.RunningTasksOf("wk-000010")
 				c.cancelUntilConfirmed(5*time.Second, confirming, "wk-000010")
 				confirmedAt := time.Now()
-				c.store.Down(true)
+				c.beginStoreOutage()
 				c.kill(confirming)
 				c.waitUntilGone("wk-000010")
 				if took := time.Since(confirmedAt); tasksBefore == 0 || took < time.Second {
 					c.t.Errorf("%d tasks ran, gone after %v: no machine hung", tasksBefore, took)
 				}
 				c.start(confirming)
-				c.store.Down(false)
+				c.endStoreOutage()
 				c.waitUntil("cancellation answered", 10*time.Second, func() bool { return c.status(c.leaderOr(0), "wk-000010") == jobstore.StatusCancelled })
 			})
 		})
@@ -247,9 +248,9 @@
 			c.heal()
 		},
 		"store outage": func(c *cluster) {
-			c.store.Down(true)
+			c.beginStoreOutage()
 			time.Sleep(40 * time.Second)
-			c.store.Down(false)
+			c.endStoreOutage()
 		},
 		"leader separated from store": func(c *cluster) {
 			old := c.leader()
@@ -354,7 +355,7 @@
 				c.restartEach()
 				c.waitForLeader(10 * time.Second)
 				c.makeOlderVersionLead(olderFirst)
-				c.store.Limit(2<<10, 4, 18)
+				c.enforceStoreLimits(*c.nextStoreLimits)
 				c.replaceHungMachineOf("wk-000050", 80)
 				rechunked := func() bool { return len(c.store.Keys(jobstore.JobKey("wk-000050")+"/1")) > 1 }
 				c.waitUntil("chunked anew", time.Minute, rechunked)
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 	"tulipshelf/internal/jobstore"
 	"tulipshelf/internal/wire"
@@ -30,7 +31,7 @@
 		hung := 0
 		for i, machine := range c.cloud.Machines() {
 			if i%5 == 0 {
-				machine.Hang(true)
+				machine.SetFaults(fake.AgentFaults{Hung: true})
 				hung++
 			}
 		}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -93,7 +93,7 @@
 				half := c.halfOfMachinesWithTasks()
 				unreachable := addresses(half)
 				for _, machine := range half {
-					machine.Hang(hang)
+					machine.SetFaults(fake.AgentFaults{Hung: hang})
 				}
 				if !hang {
 					c.partitionMachines(func(addr string) bool { return unreachable[addr] })
@@ -162,8 +162,7 @@
 			}
 			return 0
 		}
-		c.network.DelayRequests(slow)
-		c.network.DelayResponses(slow)
+		c.network.SetFaults(fake.NetworkFaults{RequestDelay: slow, ResponseDelay: slow})
 		want := map[string]string{}
 		for i := range 6 {
 			request := newJob(jobID(i), job.Array, 20, 6)
@@ -179,8 +178,7 @@
 		if c.status(0, jobID(0)) == jobstore.StatusDone && c.status(0, jobID(1)) == jobstore.StatusDone && c.status(0, jobID(5)) == jobstore.StatusDone {
 			t.Error("there was room for all")
 		}
-		c.network.DelayRequests(nil)
-		c.network.DelayResponses(nil)
+		c.network.SetFaults(fake.NetworkFaults{})
 		c.waitForStatuses(5*time.Minute, want)
 	})
 }
@@ -209,7 +207,7 @@
 		for round := range 3 {
 			for k, machine := range c.machinesWithTasks() {
 				if k%3 == round {
-					machine.Hang(true)
+					machine.SetFaults(fake.AgentFaults{Hung: true})
 				}
 			}
 			if round == 1 {
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -1,5 +1,7 @@
 package fake
 
+// The agent on a rented machine: it sends heartbeats, holds a lease and runs tasks.
+
 import (
 	"context"
 	"sort"
@@ -12,361 +14,415 @@
 	"tulipshelf/internal/wire"
 )
 
-// FailingClass is the class of jobs that fail on every machine.
+// FailingClass is the class of jobs whose tasks fail on every machine.
 const FailingClass = "mistaken"
 
-// Agent is one machine.
+const (
+	heartbeatInterval = 3 * time.Second
+	// heartbeatAfterChange is the pause before a heartbeat that reports a task's change.
+	heartbeatAfterChange = 500 * time.Millisecond
+	// heartbeatTimeout is how long an agent waits for the response.
+	heartbeatTimeout = 4 * time.Second
+	// retryPause is the pause before the next controller is tried.
+	retryPause = time.Second
+	// hungPoll is how often a hung agent looks whether it may go on.
+	hungPoll = 100 * time.Millisecond
+	// serviceRuntime is longer than any test.
+	serviceRuntime = 1000 * time.Hour
+)
+
+// Agent is one machine with the agent on it.
 type Agent struct {
 	Name, Addr, Zone string
 
-	cloud  *Cloud
-	rented time.Time
-	ctx    context.Context
-	halt   context.CancelFunc
-
-	mu      sync.Mutex
-	up      bool
-	session uint64
-	tick    uint64
-	token   uint64
-	leaseAt time.Time // when the last answered report was sent
-	tasks   map[job.AttemptID]*task
-	more    chan struct{}
-	hung    bool
-	deaf    bool // reports leave, but nothing reaches it
-	sick    bool
-	notice  time.Time // when the cloud takes the machine; zero: no notice
+	cloud    *Cloud
+	rentedAt time.Time
+	ctx      context.Context // of the machine
+	cancel   context.CancelFunc
+
+	changes chan struct{} // holds an element if a change is to be reported soon
+
+	mu             sync.Mutex // guards all below, and the fields of tasks
+	booted         bool
+	incarnation    uint64
+	sequence       uint64 // of heartbeats
+	fencingToken   uint64 // the highest seen
+	leaseRenewedAt time.Time
+	terminationAt  time.Time // as announced by the cloud; zero: not announced
+	tasks          map[job.AttemptID]*task
+	faults         AgentFaults
+}
+
+// AgentFaults are the present faults of a machine.
+type AgentFaults struct {
+	// Hung stops the agent: it sends nothing, answers nothing and starts nothing, while its tasks stay
+	// on the machine. It stands for a frozen kernel or a machine out of memory.
+	Hung bool
+	// DropIncoming lets heartbeats leave the machine while no response and no command reaches it. It
+	// stands for an asymmetric partition and for a broken receive path.
+	DropIncoming bool
+	// FailTasks makes every task that starts fail at once. It stands for a full disk or a broken
+	// device.
+	FailTasks bool
 }
 
+// task is one attempt on a machine, guarded by the machine's lock.
 type task struct {
 	status agent.TaskStatus
 	cause  agent.ExitCause
-	stop   *time.Timer
+	end    *time.Timer // ends the task by itself
+	member *gangMember // nil: it belongs to no gang
+}
 
-	// Of a gang, to tell the others: that it is halted or killed, that its machine hangs.
-	left func(halt bool, windDown float64)
-	hung func(hung bool)
+// newAgent returns the agent of a machine that has not booted.
+func newAgent(c *Cloud, name, zone string) *Agent {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rentedAt: time.Now(), ctx: ctx, cancel: cancel,
+		incarnation: 1, tasks: map[job.AttemptID]*task{}, changes: make(chan struct{}, 1)}
 }
 
-func newWorker(c *Cloud, name, zone string) *Agent {
-	ctx, halt := context.WithCancel(context.Background())
-	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rented: time.Now(), ctx: ctx, halt: halt,
-		session: 1, tasks: map[job.AttemptID]*task{}, more: make(chan struct{}, 1)}
+// terminate ends the machine with all that is on it.
+func (a *Agent) terminate() {
+	a.cancel()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.killTasks()
 }
 
-// Up tells whether the worker has booted.
-func (w *Agent) Up() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.up
+// SetFaults replaces all faults.
+func (a *Agent) SetFaults(faults AgentFaults) {
+	a.UpdateFaults(func(f *AgentFaults) { *f = faults })
 }
 
-// Hang stops or resumes the worker; its services stay where they are.
-func (w *Agent) Hang(hung bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hung = hung
-	for _, t := range w.tasks {
-		if t.hung != nil && t.status != agent.StatusExited {
-			t.hung(hung)
+// UpdateFaults changes some of the faults.
+func (a *Agent) UpdateFaults(change func(*AgentFaults)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	wasHung := a.faults.Hung
+	change(&a.faults)
+	if !wasHung && !a.faults.Hung {
+		return
+	}
+	for _, t := range a.tasks {
+		if t.member != nil && t.status != agent.StatusExited {
+			a.cloud.Gangs.memberHung(t.member, a.faults.Hung)
 		}
 	}
 }
 
-// DropIncoming lets reports leave the worker while nothing reaches it.
-func (w *Agent) DropIncoming(deaf bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.deaf = deaf
-}
-
-// CurrentHeartbeat returns a copy of what the worker would report now, to be delivered late.
-func (w *Agent) CurrentHeartbeat() []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.snapshot()
+// Restart kills all tasks and begins a new incarnation, as a machine does that reboots at once.
+func (a *Agent) Restart() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.beginIncarnation()
+	a.signalChange()
 }
 
-// Restart ends all tasks, as a machine that is back at once does, and begins a new
-// session.
-func (w *Agent) Restart() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.kill()
-	w.session++
-	w.leaseAt = time.Now()
-	w.changed()
+// AnnounceTermination announces that the cloud takes the machine after the given time.
+func (a *Agent) AnnounceTermination(after time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.terminationAt = time.Now().Add(after)
 }
 
-// FailTasks makes every task that starts on the worker fail.
-func (w *Agent) FailTasks() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.sick = true
+// Booted reports whether the machine has booted.
+func (a *Agent) Booted() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.booted
 }
 
-// TerminateIn announces that the cloud takes the machine after d.
-func (w *Agent) TerminateIn(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.notice = time.Now().Add(d)
+// CurrentHeartbeat returns the body of a heartbeat that the agent would send now, for a test that
+// delivers it late. It takes up a sequence number.
+func (a *Agent) CurrentHeartbeat() []byte {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.heartbeat()
 }
 
-// Has tells whether a task of a job is on the worker.
-func (w *Agent) Has(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k, t := range w.tasks {
-		if of, _, _ := job.ParseTaskName(k.Task); of == id && t.status != agent.StatusExited {
+// HasTasksOf reports whether a task of a job is on the machine.
+func (a *Agent) HasTasksOf(jobID string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for attempt, t := range a.tasks {
+		if jobOf(attempt.Task) == jobID && t.status != agent.StatusExited {
 			return true
 		}
 	}
 	return false
 }
 
-// Tasks returns how many tasks are on the worker.
-func (w *Agent) Tasks() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n := 0
-	for _, t := range w.tasks {
+// TaskCount returns how many tasks are on the machine.
+func (a *Agent) TaskCount() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	count := 0
+	for _, t := range a.tasks {
 		if t.status != agent.StatusExited {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (w *Agent) hanging() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.hung
+// FencingToken returns the highest fencing token that the agent has seen.
+func (a *Agent) FencingToken() uint64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.fencingToken
 }
 
-// Token returns the highest token seen.
-func (w *Agent) Token() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.token
+func (a *Agent) currentFaults() AgentFaults {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.faults
 }
 
-func (w *Agent) stop() {
-	w.halt()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.kill()
+// run boots the machine and sends heartbeats until it is terminated.
+func (a *Agent) run(bootTime time.Duration) {
+	if !clock.Sleep(a.ctx, bootTime) {
+		return
+	}
+	a.mu.Lock()
+	a.booted = true
+	a.leaseRenewedAt = time.Now()
+	a.mu.Unlock()
+	go a.cloud.network.Serve(a.ctx, a.Addr, a.handle)
+	controller := 0
+	for a.ctx.Err() == nil {
+		if a.currentFaults().Hung {
+			clock.Sleep(a.ctx, hungPoll)
+			continue
+		}
+		a.checkLease()
+		controller = a.reportTo(controller)
+	}
 }
 
-func (w *Agent) kill() {
-	for k, t := range w.tasks {
-		if t.status != agent.StatusExited {
-			t.stop.Stop()
-			if t.left != nil {
-				t.left(false, 0)
-			}
-			w.cloud.referee.end(k.Task, w.Name, false)
+// reportTo sends a heartbeat to a controller, waits until the next is due, and returns the controller
+// that it goes to.
+func (a *Agent) reportTo(controller int) (next int) {
+	sentAt := time.Now()
+	resp := a.sendHeartbeat(a.cloud.controllerAddrs[controller])
+	switch resp.Status {
+	case 200:
+		a.acceptResponse(resp.Body, sentAt)
+		select {
+		case <-a.changes:
+			clock.Sleep(a.ctx, heartbeatAfterChange)
+		case <-time.After(heartbeatInterval):
+		case <-a.ctx.Done():
+		}
+		return controller
+	case 421:
+		if leader, known := a.namedLeader(resp.Body, controller); known {
+			return leader
 		}
 	}
-	clear(w.tasks)
+	clock.Sleep(a.ctx, retryPause)
+	return (controller + 1) % len(a.cloud.controllerAddrs)
 }
 
-func (w *Agent) run(boot time.Duration) {
-	if !clock.Sleep(w.ctx, boot) {
-		return
+// namedLeader returns the controller that a refusal names as the leader, if that is another one than
+// the controller that has refused.
+func (a *Agent) namedLeader(body []byte, refusing int) (leader int, known bool) {
+	var refusal struct {
+		Leader string `cbor:"foreman"`
 	}
-	w.mu.Lock()
-	w.up = true
-	w.leaseAt = time.Now()
-	w.mu.Unlock()
-	go w.cloud.net.Serve(w.ctx, w.Addr, w.handle)
-	node := 0
-	for w.ctx.Err() == nil {
-		if w.hanging() {
-			clock.Sleep(w.ctx, 100*time.Millisecond)
-			continue
-		}
-		w.expire()
-		sent := time.Now()
-		status, body := w.report(w.cloud.nodes[node])
-		switch {
-		case status == 200:
-			w.take(body, sent)
-			select {
-			case <-w.more:
-				clock.Sleep(w.ctx, 500*time.Millisecond)
-			case <-time.After(3 * time.Second):
-			case <-w.ctx.Done():
-			}
-			continue
-		case status == 421:
-			var to struct {
-				Foreman string `cbor:"foreman"`
-			}
-			if wire.Unmarshal(body, &to) == nil {
-				for i, name := range w.cloud.names {
-					if name == to.Foreman && i != node {
-						node = i
-						status = 0
-					}
-				}
-			}
-		}
-		if status == 0 {
-			continue
+	if wire.Unmarshal(body, &refusal) != nil {
+		return 0, false
+	}
+	for i, name := range a.cloud.controllerNames {
+		if name == refusal.Leader && i != refusing {
+			return i, true
 		}
-		clock.Sleep(w.ctx, time.Second)
-		node = (node + 1) % len(w.cloud.nodes)
 	}
+	return 0, false
 }
 
-// expire kills all tasks once the lease is over.
-func (w *Agent) expire() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if time.Since(w.leaseAt) > w.cloud.lease {
-		w.kill()
-		w.session++
-		w.leaseAt = time.Now()
+// checkLease kills all tasks if the lease has expired, and begins a new incarnation.
+func (a *Agent) checkLease() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if time.Since(a.leaseRenewedAt) > a.cloud.lease {
+		a.beginIncarnation()
 	}
 }
 
-func (w *Agent) snapshot() []byte {
-	w.tick++
-	r := agent.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.cloud.Type.Name, Zone: w.Zone, Incarnation: w.session, Sequence: w.tick, FencingToken: w.token}
-	if !w.notice.IsZero() {
-		left := time.Until(w.notice).Seconds()
-		r.TerminationNoticeS = &left
+// beginIncarnation kills all tasks and begins a new incarnation. The caller holds mu.
+func (a *Agent) beginIncarnation() {
+	a.killTasks()
+	a.incarnation++
+	a.leaseRenewedAt = time.Now()
+}
+
+// killTasks kills and forgets all tasks. The caller holds mu.
+func (a *Agent) killTasks() {
+	for attempt, t := range a.tasks {
+		if t.status != agent.StatusExited {
+			t.end.Stop()
+			if t.member != nil {
+				a.cloud.Gangs.memberKilled(t.member)
+			}
+			a.cloud.invariants.taskEnded(attempt.Task, a.Name, false)
+		}
 	}
-	for k, t := range w.tasks {
-		r.Tasks = append(r.Tasks, agent.ReportedTask{Task: k.Task, Attempt: k.Number, Status: t.status, Cause: t.cause})
+	clear(a.tasks)
+}
+
+// heartbeat returns the body of the next heartbeat. The caller holds mu.
+func (a *Agent) heartbeat() []byte {
+	a.sequence++
+	h := agent.Heartbeat{Machine: a.Name, Addr: a.Addr, Type: a.cloud.Type.Name, Zone: a.Zone,
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.fencingToken}
+	if !a.terminationAt.IsZero() {
+		left := time.Until(a.terminationAt).Seconds()
+		h.TerminationNoticeS = &left
+	}
+	for attempt, t := range a.tasks {
+		h.Tasks = append(h.Tasks, agent.ReportedTask{Task: attempt.Task, Attempt: attempt.Number, Status: t.status, Cause: t.cause})
 	}
-	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].Task < r.Tasks[j].Task })
-	return wire.Marshal(r)
+	sort.Slice(h.Tasks, func(i, j int) bool { return h.Tasks[i].Task < h.Tasks[j].Task })
+	return wire.Marshal(h)
 }
 
-func (w *Agent) report(addr string) (int, []byte) {
-	w.mu.Lock()
-	body := w.snapshot()
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(w.ctx, 4*time.Second)
+// sendHeartbeat sends a heartbeat to a controller and returns its response; status 0: none.
+func (a *Agent) sendHeartbeat(addr string) wire.Response {
+	a.mu.Lock()
+	body := a.heartbeat()
+	a.mu.Unlock()
+	ctx, cancel := context.WithTimeout(a.ctx, heartbeatTimeout)
 	defer cancel()
-	c := wire.Client{Dial: w.cloud.net.Dial(w.Addr), Addr: addr}
-	defer c.CloseIdle()
-	resp, err := c.Do(ctx, "POST", "/v1/report", body)
+	client := wire.Client{Dial: a.cloud.network.Dial(a.Addr), Addr: addr}
+	defer client.CloseIdle()
+	resp, err := client.Do(ctx, "POST", "/v1/report", body)
 	if err != nil {
-		return -1, nil
+		return wire.Response{}
 	}
-	w.mu.Lock()
-	deaf := w.deaf
-	w.mu.Unlock()
-	if deaf {
-		<-ctx.Done() // the answer is never seen
-		return -1, nil
+	if a.currentFaults().DropIncoming {
+		<-ctx.Done()
+		return wire.Response{}
 	}
-	return resp.Status, resp.Body
+	return resp
 }
 
-func (w *Agent) take(body []byte, sent time.Time) {
-	var a agent.HeartbeatResponse
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if wire.Unmarshal(body, &a) != nil || a.FencingToken < w.token {
+// acceptResponse renews the lease from when the heartbeat was sent and carries out the commands, unless
+// the response is from a leader of an earlier term.
+func (a *Agent) acceptResponse(body []byte, sentAt time.Time) {
+	var resp agent.HeartbeatResponse
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if wire.Unmarshal(body, &resp) != nil || resp.FencingToken < a.fencingToken {
 		return
 	}
-	w.token = a.FencingToken
-	w.leaseAt = sent
-	w.execute(a.Commands)
+	a.fencingToken = resp.FencingToken
+	a.leaseRenewedAt = sentAt
+	a.execute(resp.Commands)
 }
 
-func (w *Agent) handle(_ context.Context, req *wire.Request) wire.Response {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var c agent.CommandRequest
-	if w.hung || w.deaf {
-		return wire.Response{Status: drop}
+// handle answers a controller's probe or commands.
+func (a *Agent) handle(_ context.Context, req *wire.Request) wire.Response {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var commands agent.CommandRequest
+	if a.faults.Hung || a.faults.DropIncoming {
+		return wire.Response{Status: statusDropConnection}
 	}
 	if req.Path == "/status" {
-		return wire.Response{Status: 200, Body: w.snapshot()}
+		return wire.Response{Status: 200, Body: a.heartbeat()}
 	}
-	if req.Path != "/commands" || wire.Unmarshal(req.Body, &c) != nil {
+	if req.Path != "/commands" || wire.Unmarshal(req.Body, &commands) != nil {
 		return wire.Response{Status: 400}
 	}
-	if c.FencingToken < w.token || c.Incarnation != w.session {
-		return wire.Response{Status: 409, Body: w.snapshot()}
+	if commands.FencingToken < a.fencingToken || commands.Incarnation != a.incarnation {
+		return wire.Response{Status: 409, Body: a.heartbeat()}
 	}
-	w.token = c.FencingToken
-	w.execute(c.Commands)
-	return wire.Response{Status: 200, Body: w.snapshot()}
+	a.fencingToken = commands.FencingToken
+	a.execute(commands.Commands)
+	return wire.Response{Status: 200, Body: a.heartbeat()}
 }
 
-func (w *Agent) changed() {
+// signalChange makes the next heartbeat leave soon.
+func (a *Agent) signalChange() {
 	select {
-	case w.more <- struct{}{}:
+	case a.changes <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Agent) execute(orders []agent.Command) {
-	for _, o := range orders {
-		k := job.AttemptID{Task: o.Task, Number: o.Attempt}
-		t := w.tasks[k]
+// execute carries out commands in their order. The caller holds mu.
+func (a *Agent) execute(commands []agent.Command) {
+	for _, command := range commands {
+		attempt := job.AttemptID{Task: command.Task, Number: command.Attempt}
+		t := a.tasks[attempt]
 		switch {
-		case o.Verb == agent.VerbRun && t == nil:
-			w.tasks[k] = w.begin(k)
-			w.changed()
-		case o.Verb == agent.VerbHalt && t != nil && t.status != agent.StatusExited:
-			if t.left != nil {
-				windDown := 0.0
-				if o.GracePeriodS != nil {
-					windDown = *o.GracePeriodS
-				}
-				if t.left(true, windDown); t.status == agent.StatusCheckpointing && windDown > 0 {
-					w.changed()
-					continue
-				}
-			}
-			t.stop.Stop()
-			t.status, t.cause = agent.StatusExited, agent.CauseStopped
-			w.cloud.referee.end(k.Task, w.Name, false)
-			w.changed()
-		case o.Verb == agent.VerbForget && t != nil && t.status == agent.StatusExited:
-			delete(w.tasks, k)
+		case command.Verb == agent.VerbRun && t == nil:
+			a.tasks[attempt] = a.startTask(attempt)
+			a.signalChange()
+		case command.Verb == agent.VerbHalt && t != nil && t.status != agent.StatusExited:
+			a.haltTask(attempt, t, command.GracePeriodS)
+		case command.Verb == agent.VerbForget && t != nil && t.status == agent.StatusExited:
+			delete(a.tasks, attempt)
 		}
 	}
 }
 
-func (w *Agent) begin(k job.AttemptID) *task {
-	for other, t := range w.tasks {
-		if other.Task == k.Task && t.status != agent.StatusExited {
+// haltTask stops a task, unless it belongs to a gang that saves a checkpoint in the grace period. The
+// caller holds mu.
+func (a *Agent) haltTask(attempt job.AttemptID, t *task, gracePeriodS *float64) {
+	if t.member != nil {
+		gracePeriod := 0.0
+		if gracePeriodS != nil {
+			gracePeriod = *gracePeriodS
+		}
+		a.cloud.Gangs.memberHalted(t.member, gracePeriod)
+		if t.status == agent.StatusCheckpointing && gracePeriod > 0 {
+			a.signalChange()
+			return
+		}
+	}
+	t.end.Stop()
+	a.exitTask(attempt, t, agent.CauseStopped)
+}
+
+// exitTask records that a task has exited. The caller holds mu.
+func (a *Agent) exitTask(attempt job.AttemptID, t *task, cause agent.ExitCause) {
+	t.status, t.cause = agent.StatusExited, cause
+	a.cloud.invariants.taskEnded(attempt.Task, a.Name, cause == agent.CauseDone)
+	a.signalChange()
+}
+
+// startTask starts an attempt, or returns one that has exited at once. The caller holds mu.
+func (a *Agent) startTask(attempt job.AttemptID) *task {
+	for other, t := range a.tasks {
+		if other.Task == attempt.Task && t.status != agent.StatusExited {
 			return &task{status: agent.StatusExited, cause: agent.CauseInUse}
 		}
 	}
-	s, known := w.cloud.referee.start(k.Task, place{w.Name, w.Zone, k.Number})
-	if !known {
+	spec := a.cloud.invariants.taskStarted(attempt.Task, placement{a.Name, a.Zone, attempt.Number})
+	if spec == nil {
 		return &task{status: agent.StatusExited, cause: agent.CauseUnknownJob}
 	}
-	if w.sick || s.Class == FailingClass {
-		w.cloud.referee.end(k.Task, w.Name, false)
-		w.changed()
+	if a.faults.FailTasks || spec.Class == FailingClass {
+		a.cloud.invariants.taskEnded(attempt.Task, a.Name, false)
+		a.signalChange()
 		return &task{status: agent.StatusExited, cause: agent.CauseError}
 	}
-	if s.Shape == job.Gang {
+	if spec.Shape == job.Gang {
 		t := &task{status: agent.StatusWaiting}
-		w.cloud.Gangs.join(s, w, k, t)
+		a.cloud.Gangs.join(spec, a, attempt, t)
 		return t
 	}
-	run := time.Duration(s.ExpectS * float64(time.Second))
-	if s.Shape == job.Service {
-		run = 1000 * time.Hour
+	runtime := time.Duration(spec.ExpectS * float64(time.Second))
+	if spec.Shape == job.Service {
+		runtime = serviceRuntime
 	}
 	t := &task{status: agent.StatusRunning}
-	t.stop = time.AfterFunc(run, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+	t.end = time.AfterFunc(runtime, func() {
+		a.mu.Lock()
+		defer a.mu.Unlock()
 		if t.status == agent.StatusRunning {
-			t.status, t.cause = agent.StatusExited, agent.CauseDone
-			w.cloud.referee.end(k.Task, w.Name, true)
-			w.changed()
+			a.exitTask(attempt, t, agent.CauseDone)
 		}
 	})
 	return t
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -1,5 +1,7 @@
 package fake
 
+// Gangs: tasks on several machines that run, save and complete together, by the platform's rules.
+
 import (
 	"math"
 	"sync"
@@ -9,260 +11,289 @@
 	"tulipshelf/internal/job"
 )
 
-// Gangs plays what the tasks of gangs do together, by the page that the operators wrote:
-// they wait for each other by attempt, run and complete together, notice that one is gone,
-// and save together or not at all.
+// Gangs runs the gangs on the machines of a cloud. The tasks of an attempt wait for each other, run and
+// complete together, notice when one of them is gone, and save a checkpoint together or not at all.
+//
+// A method that an agent calls holds that agent's lock, so locks are taken in the order agent, Gangs,
+// InvariantChecker.
 type Gangs struct {
-	Wait time.Duration // for which a task waits for the others
-	Peer time.Duration // within which the others notice, and have to be told to stop
+	wait   time.Duration // for which a task waits for the others of its attempt
+	notice time.Duration // within which tasks notice that one is gone, and all must be told to save
 
-	mu    sync.Mutex
-	jobs  map[string]*gangJob
-	Count GangCount
+	mu     sync.Mutex // guards all below, and gangJob, gangAttempt and gangMember
+	jobs   map[string]*gangJob
+	counts GangCounts
 }
 
-// GangCount is what has happened to gangs so far.
-type GangCount struct {
-	Began, Done, Stored, MatesGone, Incomplete int // attempts begun, done and saved; tasks that ended so
+// GangCounts is what has happened to gangs so far.
+type GangCounts struct {
+	Began        int // attempts that began to run
+	Done         int // attempts that completed
+	Checkpointed int // attempts that saved and stopped
+	MembersGone  int // tasks that ended because another one of their attempt was gone
+	Incomplete   int // tasks that gave up waiting for the others
 }
 
 // gangJob is one gang over all its attempts.
 type gangJob struct {
-	spec  *job.Spec
-	saved time.Duration // progress that the next attempt continues from
-	tries map[uint64]*gangTry
+	spec     *job.Spec
+	progress time.Duration // that the next attempt continues from
+	attempts map[uint64]*gangAttempt
 }
 
-// gangTry is one attempt.
-type gangTry struct {
-	job     *gangJob
-	members map[string]*member // by task
-	began   time.Time          // zero: it waits
-	halted  time.Time          // first orderly halt; zero: none
-	over    bool
-	fell    bool // back to the last checkpoint
-	end     *time.Timer
+// gangAttempt is one attempt of a gang.
+type gangAttempt struct {
+	job        *gangJob
+	members    map[string]*gangMember // by task
+	beganAt    time.Time              // zero: tasks wait for each other
+	haltedAt   time.Time              // when the first task was told to save and stop; zero: none was
+	over       bool
+	rolledBack bool // the job's progress is that of the last checkpoint
 }
 
-// member is one task of an attempt on its machine.
-type member struct {
-	w      *Agent
-	t      *task
-	key    job.AttemptID
-	told   bool // to save and stop
-	absent bool // gone, or its machine hangs
+// gangMember is one task of an attempt on its machine.
+type gangMember struct {
+	machine *Agent
+	task    *task // guarded by the machine's lock
+	id      job.AttemptID
+	attempt *gangAttempt
+	saving  bool // it was told to save and stop
+	absent  bool // it is gone, or its machine hangs
 }
 
-func newGangs(wait, peer time.Duration) *Gangs {
-	return &Gangs{Wait: wait, Peer: peer, jobs: map[string]*gangJob{}}
+func newGangs(wait, notice time.Duration) *Gangs {
+	return &Gangs{wait: wait, notice: notice, jobs: map[string]*gangJob{}}
 }
 
-// Counted returns what has happened so far.
-func (g *Gangs) Counted() GangCount {
+// Counts returns what has happened so far.
+func (g *Gangs) Counts() GangCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.Count
+	return g.counts
 }
 
-// Saved returns the progress that a gang continues from.
-func (g *Gangs) Saved(id string) time.Duration {
+// Progress returns the saved progress that a gang's next attempt continues from.
+func (g *Gangs) Progress(jobID string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if j := g.jobs[id]; j != nil {
-		return j.saved
+	if gang := g.jobs[jobID]; gang != nil {
+		return gang.progress
 	}
 	return 0
 }
 
-// join adds a task that waits, with its machine's lock held.
-func (g *Gangs) join(s *job.Spec, w *Agent, k job.AttemptID, t *task) {
+// join adds a task that waits to its attempt, and begins the attempt if it is the last. The caller holds
+// the machine's lock.
+func (g *Gangs) join(spec *job.Spec, machine *Agent, id job.AttemptID, t *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	j := g.jobs[s.ID]
-	if j == nil {
-		j = &gangJob{spec: s, tries: map[uint64]*gangTry{}}
-		g.jobs[s.ID] = j
+	gang := g.jobs[spec.ID]
+	if gang == nil {
+		gang = &gangJob{spec: spec, attempts: map[uint64]*gangAttempt{}}
+		g.jobs[spec.ID] = gang
 	}
-	try := j.tries[k.Number]
-	if try == nil {
-		try = &gangTry{job: j, members: map[string]*member{}}
-		j.tries[k.Number] = try
+	attempt := gang.attempts[id.Number]
+	if attempt == nil {
+		attempt = &gangAttempt{job: gang, members: map[string]*gangMember{}}
+		gang.attempts[id.Number] = attempt
 	}
-	m := &member{w: w, t: t, key: k}
-	try.members[k.Task] = m
-	t.stop = time.AfterFunc(g.Wait, func() { g.exit(m, agent.CauseIncomplete) })
-	t.left = func(halt bool, windDown float64) { g.leave(try, m, halt, windDown) }
-	t.hung = func(hung bool) { g.hang(try, m, hung) }
-	if len(try.members) == s.Tasks && try.began.IsZero() && !try.over {
-		g.begin(try)
+	member := &gangMember{machine: machine, task: t, id: id, attempt: attempt}
+	attempt.members[id.Task] = member
+	t.end = time.AfterFunc(g.wait, func() { g.exit(member, agent.CauseIncomplete) })
+	t.member = member
+	if len(attempt.members) == spec.Tasks && attempt.beganAt.IsZero() && !attempt.over {
+		g.begin(attempt)
 	}
 }
 
-func (g *Gangs) begin(try *gangTry) {
-	try.began = time.Now()
-	g.Count.Began++
-	for _, m := range try.members {
-		time.AfterFunc(0, func() {
-			m.w.mu.Lock()
-			defer m.w.mu.Unlock()
-			if m.t.status == agent.StatusWaiting {
-				m.t.stop.Stop()
-				m.t.status = agent.StatusRunning
-				m.w.changed()
+// begin lets all tasks of an attempt run, for what is left of the job's runtime. The caller holds mu.
+func (g *Gangs) begin(attempt *gangAttempt) {
+	attempt.beganAt = time.Now()
+	g.counts.Began++
+	for _, member := range attempt.members {
+		time.AfterFunc(0, func() { // later, as the caller holds another machine's lock
+			member.machine.mu.Lock()
+			defer member.machine.mu.Unlock()
+			if member.task.status == agent.StatusWaiting {
+				member.task.end.Stop()
+				member.task.status = agent.StatusRunning
+				member.machine.signalChange()
 			}
 		})
 	}
-	run := time.Duration(try.job.spec.ExpectS*float64(time.Second)) - try.job.saved
-	try.end = time.AfterFunc(run, func() {
-		g.mu.Lock()
-		if try.over || !try.halted.IsZero() || try.missing() {
-			g.mu.Unlock()
-			return
-		}
-		try.over = true
-		g.Count.Done++
+	left := time.Duration(attempt.job.spec.ExpectS*float64(time.Second)) - attempt.job.progress
+	time.AfterFunc(left, func() { g.complete(attempt) })
+}
+
+// complete ends an attempt whose runtime is over, unless it was stopped or a task is missing.
+func (g *Gangs) complete(attempt *gangAttempt) {
+	g.mu.Lock()
+	if attempt.over || !attempt.haltedAt.IsZero() || attempt.hasAbsentMember() {
 		g.mu.Unlock()
-		for _, m := range try.members {
-			g.exit(m, agent.CauseDone)
-		}
-	})
+		return
+	}
+	attempt.over = true
+	g.counts.Done++
+	g.mu.Unlock()
+	g.exitAll(attempt, agent.CauseDone)
 }
 
-func (try *gangTry) missing() bool {
-	for _, m := range try.members {
-		if m.absent {
+// hasAbsentMember reports whether a task is gone or its machine hangs. The caller holds mu.
+func (a *gangAttempt) hasAbsentMember() bool {
+	for _, member := range a.members {
+		if member.absent {
 			return true
 		}
 	}
 	return false
 }
 
-// exit ends a task on its machine.
-func (g *Gangs) exit(m *member, cause agent.ExitCause) {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	if m.t.status == agent.StatusExited || m.w.tasks[m.key] != m.t {
+// exitAll ends all tasks of an attempt that is over. The caller holds no lock.
+func (g *Gangs) exitAll(attempt *gangAttempt, cause agent.ExitCause) {
+	for _, member := range attempt.members {
+		g.exit(member, cause)
+	}
+}
+
+// exit ends a task on its machine; on one that hangs, once it goes on. The caller holds no lock.
+func (g *Gangs) exit(member *gangMember, cause agent.ExitCause) {
+	machine, t := member.machine, member.task
+	machine.mu.Lock()
+	defer machine.mu.Unlock()
+	if t.status == agent.StatusExited || machine.tasks[member.id] != t {
 		return
 	}
-	if cause == agent.CauseIncomplete && m.t.status != agent.StatusWaiting {
+	if cause == agent.CauseIncomplete && t.status != agent.StatusWaiting {
 		return
 	}
-	if m.w.hung {
-		time.AfterFunc(time.Second, func() { g.exit(m, cause) }) // once it goes on
+	if machine.faults.Hung {
+		const retry = time.Second
+		time.AfterFunc(retry, func() { g.exit(member, cause) })
 		return
 	}
+	g.countExit(member, cause)
+	t.end.Stop()
+	machine.exitTask(member.id, t, cause)
+}
+
+// countExit counts a task that ends, and removes it from an attempt that has not begun.
+func (g *Gangs) countExit(member *gangMember, cause agent.ExitCause) {
 	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch cause {
 	case agent.CauseIncomplete:
-		g.Count.Incomplete++
+		g.counts.Incomplete++
 	case agent.CauseMembersGone:
-		g.Count.MatesGone++
+		g.counts.MembersGone++
 	}
-	for _, try := range g.jobs[m.id()].tries {
-		if try.members[m.key.Task] == m && try.began.IsZero() {
-			delete(try.members, m.key.Task)
-		}
+	if member.attempt.members[member.id.Task] == member && member.attempt.beganAt.IsZero() {
+		delete(member.attempt.members, member.id.Task)
 	}
-	g.mu.Unlock()
-	m.t.stop.Stop()
-	m.t.status, m.t.cause = agent.StatusExited, cause
-	m.w.cloud.referee.end(m.key.Task, m.w.Name, cause == agent.CauseDone)
-	m.w.changed()
-}
-
-func (m *member) id() string {
-	id, _, _ := job.ParseTaskName(m.key.Task)
-	return id
 }
 
-// leave tells that a task was halted, or else killed with all else on its machine; with
-// that machine's lock held. It returns through the task's status whether it saves first.
-func (g *Gangs) leave(try *gangTry, m *member, halt bool, windDown float64) {
+// memberHalted is called when a task is told to stop. The task saves first, and its status says so, if
+// the grace period allows it and the gang can save whole. The caller holds the machine's lock.
+func (g *Gangs) memberHalted(member *gangMember, gracePeriodS float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := try.job.spec
+	attempt := member.attempt
+	spec := attempt.job.spec
 	switch {
-	case try.began.IsZero():
-		delete(try.members, m.key.Task) // the rest keep waiting
+	case attempt.beganAt.IsZero():
+		delete(attempt.members, member.id.Task) // the others keep waiting
 		return
-	case try.over, halt && m.told && windDown > 0:
+	case attempt.over, member.saving && gracePeriodS > 0:
 		return
-	case halt && m.t.status == agent.StatusRunning && s.CheckpointS > 0 && windDown >= s.SaveS && !try.missing():
-		m.told = true
-		m.t.status = agent.StatusCheckpointing
-		if try.halted.IsZero() {
-			try.halted = time.Now()
-			time.AfterFunc(g.Peer, func() { g.stop(try) })
+	}
+	canSave := spec.CheckpointS > 0 && gracePeriodS >= spec.SaveS && !attempt.hasAbsentMember()
+	if member.task.status == agent.StatusRunning && canSave {
+		member.saving = true
+		member.task.status = agent.StatusCheckpointing
+		if attempt.haltedAt.IsZero() {
+			attempt.haltedAt = time.Now()
+			time.AfterFunc(g.notice, func() { g.save(attempt) })
 		}
 		return
 	}
-	m.absent = true
-	if !try.fell {
-		try.fallBack()
+	g.memberGone(member)
+}
+
+// memberKilled is called when a task is killed with all others on its machine. The caller holds the
+// machine's lock.
+func (g *Gangs) memberKilled(member *gangMember) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	attempt := member.attempt
+	switch {
+	case attempt.beganAt.IsZero():
+		delete(attempt.members, member.id.Task) // the others keep waiting
+	case !attempt.over:
+		g.memberGone(member)
+	}
+}
+
+// memberGone makes the other tasks notice that one is gone. The caller holds mu.
+func (g *Gangs) memberGone(member *gangMember) {
+	member.absent = true
+	member.attempt.rollBack()
+	time.AfterFunc(g.notice, func() { g.fail(member.attempt) })
+}
+
+// memberHung is called when a task's machine hangs or goes on. The caller holds the machine's lock.
+func (g *Gangs) memberHung(member *gangMember, hung bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	member.absent = hung
+	if hung && !member.attempt.beganAt.IsZero() && !member.attempt.over {
+		time.AfterFunc(g.notice, func() { g.fail(member.attempt) })
 	}
-	time.AfterFunc(g.Peer, func() { g.lose(try) })
 }
 
-// fallBack returns the gang to its last checkpoint.
-func (try *gangTry) fallBack() {
-	if every := try.job.spec.CheckpointS; every > 0 {
-		reached := (try.job.saved + time.Since(try.began)).Seconds()
-		try.job.saved = time.Duration(math.Floor(reached/every) * every * float64(time.Second))
+// rollBack returns the gang to its last checkpoint, once in an attempt. The caller holds Gangs.mu.
+func (a *gangAttempt) rollBack() {
+	if a.rolledBack {
+		return
+	}
+	a.rolledBack = true
+	if interval := a.job.spec.CheckpointS; interval > 0 {
+		reached := (a.job.progress + time.Since(a.beganAt)).Seconds()
+		a.job.progress = time.Duration(math.Floor(reached/interval) * interval * float64(time.Second))
 	}
-	try.fell = true
 }
 
-// stop ends an orderly stop: all were told in time, or the save fails.
-func (g *Gangs) stop(try *gangTry) {
+// save saves and stops an attempt if all of its tasks were told in time; otherwise it fails.
+func (g *Gangs) save(attempt *gangAttempt) {
 	g.mu.Lock()
-	if try.over {
+	if attempt.over {
 		g.mu.Unlock()
 		return
 	}
-	for _, m := range try.members {
-		if !m.told || m.absent {
+	for _, member := range attempt.members {
+		if !member.saving || member.absent {
 			g.mu.Unlock()
-			g.lose(try)
+			g.fail(attempt)
 			return
 		}
 	}
-	try.over = true
-	try.job.saved += try.halted.Sub(try.began)
-	g.Count.Stored++
-	save := time.Duration(try.job.spec.SaveS * float64(time.Second))
-	rest := max(0, time.Until(try.halted.Add(save)))
+	attempt.over = true
+	attempt.job.progress += attempt.haltedAt.Sub(attempt.beganAt)
+	g.counts.Checkpointed++
+	saveTime := time.Duration(attempt.job.spec.SaveS * float64(time.Second))
+	left := max(0, time.Until(attempt.haltedAt.Add(saveTime)))
 	g.mu.Unlock()
-	time.AfterFunc(rest, func() {
-		for _, m := range try.members {
-			g.exit(m, agent.CauseStopped)
-		}
-	})
+	time.AfterFunc(left, func() { g.exitAll(attempt, agent.CauseStopped) })
 }
 
-// lose ends an attempt of which a task is gone: what is left of it notices, and the gang
-// falls back to its last checkpoint.
-func (g *Gangs) lose(try *gangTry) {
+// fail ends an attempt of which a task is gone, or that could not save whole: the others notice, and the
+// gang returns to its last checkpoint. A machine that hung and went on in time fails nothing.
+func (g *Gangs) fail(attempt *gangAttempt) {
 	g.mu.Lock()
-	if try.over || !try.missing() && try.halted.IsZero() {
+	if attempt.over || !attempt.hasAbsentMember() && attempt.haltedAt.IsZero() {
 		g.mu.Unlock()
-		return // a machine that hung goes on in time
-	}
-	try.over = true
-	if !try.fell {
-		try.fallBack()
+		return
 	}
+	attempt.over = true
+	attempt.rollBack()
 	g.mu.Unlock()
-	for _, m := range try.members {
-		g.exit(m, agent.CauseMembersGone)
-	}
-}
-
-// hang tells that a task's machine hangs or goes on, with its lock held.
-func (g *Gangs) hang(try *gangTry, m *member, hung bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m.absent = hung
-	if hung && !try.began.IsZero() && !try.over {
-		time.AfterFunc(g.Peer, func() { g.lose(try) })
-	}
+	g.exitAll(attempt, agent.CauseMembersGone)
 }
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -1,5 +1,8 @@
 package fake
 
+// The checker of the rules that no controller may break, whatever fails. Agents report to it which
+// tasks start and end; docs/safety.md lists the rules.
+
 import (
 	"fmt"
 	"maps"
@@ -10,187 +13,208 @@
 	"tulipshelf/internal/job"
 )
 
-// InvariantChecker watches the rules and keeps the jobs' descriptions for the workers.
+// InvariantChecker records violations of the rules. It also keeps the jobs' specifications, which
+// agents look up as real ones do at the place where users upload them.
 type InvariantChecker struct {
-	Within time.Duration // in which tasks of a cancelled job must be gone
-
-	mu     sync.Mutex
-	limits map[string]float64 // CPUs by team; a team that is not named has no limit
-	jobs   map[string]*job.Spec
-	on     map[string]place // by task
-	told   map[string]time.Time
-	zones  map[string]string // by task, where it started last
-	faults []string
-	starts map[string]int // by task
-	done   map[string]bool
-	late   int // starts after a user was told of the cancellation
-}
-
-// place is where a task is.
-type place struct {
+	// CancelDeadline is the time in which all tasks of a cancelled job must be gone; 0: not checked.
+	// It is set before the first use.
+	CancelDeadline time.Duration
+
+	mu         sync.Mutex         // guards all below
+	maxCPUs    map[string]float64 // by team; others may use any number
+	jobs       map[string]*job.Spec
+	running    map[string]placement // by task
+	cancelled  map[string]time.Time // when the cancellation was first confirmed, by job
+	lastZone   map[string]string    // where each task started last
+	starts     map[string]int       // by task
+	completed  map[string]bool      // by task
+	lateStarts int                  // starts after a confirmed cancellation
+	violations []string
+}
+
+// placement is where a task runs, in which attempt.
+type placement struct {
 	machine, zone string
-	try           uint64
+	attempt       uint64
 }
 
-// NewInvariantChecker returns a referee that has seen nothing.
+// NewInvariantChecker returns a checker that has seen nothing.
 func NewInvariantChecker() *InvariantChecker {
-	return &InvariantChecker{jobs: map[string]*job.Spec{}, on: map[string]place{}, told: map[string]time.Time{}, zones: map[string]string{},
-		limits: map[string]float64{}, starts: map[string]int{}, done: map[string]bool{}}
+	return &InvariantChecker{maxCPUs: map[string]float64{}, jobs: map[string]*job.Spec{}, running: map[string]placement{},
+		cancelled: map[string]time.Time{}, lastZone: map[string]string{}, starts: map[string]int{}, completed: map[string]bool{}}
+}
+
+// SetMaxCPUs sets how many CPUs a team may use at once.
+func (c *InvariantChecker) SetMaxCPUs(team string, cpus float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.maxCPUs[team] = cpus
 }
 
-// Limit says how many CPUs a team may use at once.
-func (r *InvariantChecker) Limit(team string, cpus float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.limits[team] = cpus
+// AddJob uploads a job's specification, as users do before they submit it.
+func (c *InvariantChecker) AddJob(spec *job.Spec) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[spec.ID] = spec
 }
 
-// CancellationConfirmed notes that a user was told that a job is cancelled.
-func (r *InvariantChecker) CancellationConfirmed(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if _, before := r.told[id]; before {
+// CancellationConfirmed records that a user was told that a job is cancelled. From the first time on
+// its tasks have CancelDeadline to be gone.
+func (c *InvariantChecker) CancellationConfirmed(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, before := c.cancelled[id]; before {
 		return
 	}
-	r.told[id] = time.Now()
-	if r.Within > 0 {
-		time.AfterFunc(r.Within, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			for task := range r.on {
-				if of, _, _ := job.ParseTaskName(task); of == id {
-					r.fault("%s is on a machine %v after its cancellation was told", task, r.Within)
-				}
-			}
-		})
+	c.cancelled[id] = time.Now()
+	if c.CancelDeadline > 0 {
+		time.AfterFunc(c.CancelDeadline, func() { c.checkGone(id) })
 	}
 }
 
-// StartsAfterCancellation returns how many tasks were started after a user was told that their job is
-// cancelled.
-func (r *InvariantChecker) StartsAfterCancellation() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.late
+// checkGone checks that no task of a cancelled job is left.
+func (c *InvariantChecker) checkGone(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for task := range c.running {
+		if jobOf(task) == id {
+			c.violated("%s is on a machine %v after its cancellation was confirmed", task, c.CancelDeadline)
+		}
+	}
 }
 
 // Violations returns what has broken a rule so far.
-func (r *InvariantChecker) Violations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.faults)
-}
-
-func (r *InvariantChecker) fault(format string, args ...any) {
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+func (c *InvariantChecker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.violations)
 }
 
-// AddJob uploads a job's description, as users do.
-func (r *InvariantChecker) AddJob(s *job.Spec) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.jobs[s.ID] = s
+// StartsAfterCancellation returns how many tasks were started after the cancellation of their job was
+// confirmed.
+func (c *InvariantChecker) StartsAfterCancellation() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lateStarts
 }
 
 // RunningTasks returns how many tasks are on machines.
-func (r *InvariantChecker) RunningTasks() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.on)
+func (c *InvariantChecker) RunningTasks() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.running)
 }
 
 // RunningTasksOf returns how many tasks of a job are on machines.
-func (r *InvariantChecker) RunningTasksOf(id string) (n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for task := range r.on {
-		if of, _, _ := job.ParseTaskName(task); of == id {
-			n++
+func (c *InvariantChecker) RunningTasksOf(id string) (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for task := range c.running {
+		if jobOf(task) == id {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Zones returns the zone in which each task started last.
-func (r *InvariantChecker) Zones() map[string]string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return maps.Clone(r.zones)
+func (c *InvariantChecker) Zones() map[string]string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.lastZone)
 }
 
-// Ended tells whether a task has completed.
-func (r *InvariantChecker) Ended(task string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.done[task]
+// Completed reports whether a task has completed.
+func (c *InvariantChecker) Completed(task string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.completed[task]
 }
 
 // StartsByTask returns how often each task has started so far.
-func (r *InvariantChecker) StartsByTask() map[string]int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return maps.Clone(r.starts)
-}
-
-func (r *InvariantChecker) start(task string, at place) (*job.Spec, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	id, _, _ := job.ParseTaskName(task)
-	s := r.jobs[id]
-	if s == nil {
-		return nil, false
+func (c *InvariantChecker) StartsByTask() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.starts)
+}
+
+// taskStarted checks and records the start of a task. It returns the specification of the job; nil if
+// there is none, and then nothing starts.
+func (c *InvariantChecker) taskStarted(task string, at placement) *job.Spec {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	id := jobOf(task)
+	spec := c.jobs[id]
+	if spec == nil {
+		return nil
 	}
-	if other, ok := r.on[task]; ok {
-		r.fault("%s starts on %s while on %s", task, at.machine, other.machine)
+	if other, isRunning := c.running[task]; isRunning {
+		c.violated("%s starts on %s while on %s", task, at.machine, other.machine)
 	}
-	if told, ok := r.told[id]; ok {
-		r.late++
-		if r.Within > 0 && time.Since(told) > r.Within {
-			r.fault("%s starts %v after its cancellation was told", task, time.Since(told))
+	if confirmed, isCancelled := c.cancelled[id]; isCancelled {
+		c.lateStarts++
+		if c.CancelDeadline > 0 && time.Since(confirmed) > c.CancelDeadline {
+			c.violated("%s starts %v after its cancellation was confirmed", task, time.Since(confirmed))
 		}
 	}
-	r.on[task] = at
-	r.zones[task] = at.zone
-	r.starts[task]++
-	r.place(task, id, s, at)
-	return s, true
-}
-
-// place checks limits and zones as a task starts.
-func (r *InvariantChecker) place(task, id string, s *job.Spec, at place) {
-	used, there := 0.0, 0
-	for other, p := range r.on {
-		of, _, _ := job.ParseTaskName(other)
-		spec := r.jobs[of]
-		if spec.Team == s.Team {
-			used += spec.CPUs
+	c.running[task] = at
+	c.lastZone[task] = at.zone
+	c.starts[task]++
+	c.checkPlacement(task, spec, at)
+	return spec
+}
+
+// checkPlacement checks the team's maximum and the job's rules on zones and attempts as a task starts.
+// The caller holds mu.
+func (c *InvariantChecker) checkPlacement(task string, spec *job.Spec, at placement) {
+	usedCPUs, tasksInZone := 0.0, 0
+	for other, otherAt := range c.running {
+		otherSpec := c.jobs[jobOf(other)]
+		if otherSpec.Team == spec.Team {
+			usedCPUs += otherSpec.CPUs
 		}
-		if of == id && p.zone == at.zone {
-			there++
+		if jobOf(other) != spec.ID {
+			continue
 		}
-		if of == id && s.Shape == job.Gang && p.try != at.try {
-			r.fault("%s starts in attempt %d while %s is on in attempt %d", task, at.try, other, p.try)
+		if otherAt.zone == at.zone {
+			tasksInZone++
 		}
-		if of == id && s.OneZone && p.zone != at.zone {
-			r.fault("%s starts in zone %s while %s is in %s", task, at.zone, other, p.zone)
+		if spec.Shape == job.Gang && otherAt.attempt != at.attempt {
+			c.violated("%s starts in attempt %d while %s is on in attempt %d", task, at.attempt, other, otherAt.attempt)
+		}
+		if spec.OneZone && otherAt.zone != at.zone {
+			c.violated("%s starts in zone %s while %s is in %s", task, at.zone, other, otherAt.zone)
 		}
 	}
-	if limit, ok := r.limits[s.Team]; ok && used > limit+1e-6 {
-		r.fault("%s starts and %s uses %g of %g CPUs", task, s.Team, used, limit)
+	const rounding = 1e-6 // of sums of CPUs
+	if maximum, isLimited := c.maxCPUs[spec.Team]; isLimited && usedCPUs > maximum+rounding {
+		c.violated("%s starts and %s uses %g of %g CPUs", task, spec.Team, usedCPUs, maximum)
 	}
-	if s.Zone != "" && s.Zone != at.zone {
-		r.fault("%s starts in zone %s, not in %s", task, at.zone, s.Zone)
+	if spec.Zone != "" && spec.Zone != at.zone {
+		c.violated("%s starts in zone %s, not in %s", task, at.zone, spec.Zone)
 	}
-	if s.Apart && there > (s.Tasks+1)/2 {
-		r.fault("%s starts as number %d in zone %s", task, there, at.zone)
+	if spec.Apart && tasksInZone > (spec.Tasks+1)/2 {
+		c.violated("%s starts as number %d in zone %s", task, tasksInZone, at.zone)
 	}
 }
 
-func (r *InvariantChecker) end(task, machine string, done bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.on[task].machine == machine {
-		delete(r.on, task)
+// taskEnded records that a task is no longer on a machine, and whether it has completed.
+func (c *InvariantChecker) taskEnded(task, machine string, completed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.running[task].machine == machine {
+		delete(c.running, task)
 	}
-	r.done[task] = r.done[task] || done
+	c.completed[task] = c.completed[task] || completed
+}
+
+// violated records a violation. The caller holds mu.
+func (c *InvariantChecker) violated(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+// jobOf returns the id of the job that a task belongs to.
+func jobOf(task string) string {
+	id, _, _ := job.ParseTaskName(task)
+	return id
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,9 +1,7 @@
-// Package fake is what tests run the controllers against: a network in
-// memory, a state service, a cloud and workers, all by their published
-// protocols, with a referee that watches the rules. It works in simulated time
-// (testing/synctest) and is part of no deployment.
 package fake
 
+// The network in memory: servers by address, and faults between pairs of hosts.
+
 import (
 	"context"
 	"errors"
@@ -15,190 +13,207 @@
 	"tulipshelf/internal/wire"
 )
 
-// Network is a network in memory: servers by address, and cuts between hosts.
+// Network connects clients to servers by address.
 type Network struct {
-	ctx     context.Context
-	mu      sync.Mutex
-	servers map[string]wire.Handler
-	cut     func(from, to string) bool
-	conns   map[net.Conn][2]string
-	delays  []time.Duration // after which each request is delivered once more
-	asked   map[string]int  // requests by server
-	hold    func(from, to string) time.Duration
-	linger  func(from, to string) time.Duration
+	ctx context.Context // ends all connections
+
+	mu          sync.Mutex // guards all below
+	servers     map[string]wire.Handler
+	connections map[net.Conn]endpoints // by the client's side
+	faults      NetworkFaults
+	requests    map[string]int // so far, by server
+}
+
+// endpoints are the two hosts of a connection.
+type endpoints struct{ from, to string }
+
+// NetworkFaults are the present faults of a network. Functions get the host that sends a request and the
+// address that it is sent to; nil means no such fault.
+type NetworkFaults struct {
+	// Partition separates hosts: new connections hang, and open ones are closed. It stands for a
+	// network partition, also one that is asymmetric or concerns a single pair of hosts.
+	Partition func(from, to string) bool
+	// RequestDelay lets a request arrive so much later, also when its sender has given up. It stands
+	// for congestion and for queues in front of a server.
+	RequestDelay func(from, to string) time.Duration
+	// ResponseDelay lets the response to a request leave so much later.
+	ResponseDelay func(from, to string) time.Duration
+	// DuplicateAfter delivers each request again after each of these times, without anybody waiting
+	// for the response. It stands for retransmissions and for proxies that retry.
+	DuplicateAfter []time.Duration
 }
 
 // NewNetwork returns a network without servers that lasts until ctx ends.
 func NewNetwork(ctx context.Context) *Network {
-	return &Network{ctx: ctx, servers: map[string]wire.Handler{}, conns: map[net.Conn][2]string{}, asked: map[string]int{}}
+	return &Network{ctx: ctx, servers: map[string]wire.Handler{}, connections: map[net.Conn]endpoints{}, requests: map[string]int{}}
 }
 
-// Serve answers at addr until ctx ends.
-func (n *Network) Serve(ctx context.Context, addr string, h wire.Handler) {
-	n.mu.Lock()
-	n.servers[addr] = h
-	n.mu.Unlock()
-	<-ctx.Done()
-	n.mu.Lock()
-	delete(n.servers, addr)
-	for c, ends := range n.conns {
-		if ends[1] == addr {
-			c.Close()
-		}
-	}
-	n.mu.Unlock()
+// SetFaults replaces all faults.
+func (n *Network) SetFaults(faults NetworkFaults) {
+	n.UpdateFaults(func(f *NetworkFaults) { *f = faults })
 }
 
-// Partition makes requests hang for which cut says so; nil heals the network.
-func (n *Network) Partition(cut func(from, to string) bool) {
+// UpdateFaults changes some of the faults.
+func (n *Network) UpdateFaults(change func(*NetworkFaults)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
-	for c, ends := range n.conns {
-		if cut != nil && cut(ends[0], ends[1]) {
-			c.Close()
+	change(&n.faults)
+	for connection, ends := range n.connections {
+		if n.partitioned(ends.from, ends.to) {
+			connection.Close()
 		}
 	}
 }
 
-// DuplicateRequests makes every request that was carried out arrive once more after each of the
-// delays, with nobody waiting for the answer: as late copies of packets do.
-func (n *Network) DuplicateRequests(delays ...time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.delays = delays
+// partitioned reports whether two hosts are separated. The caller holds mu.
+func (n *Network) partitioned(from, to string) bool {
+	return n.faults.Partition != nil && n.faults.Partition(from, to)
 }
 
-// DelayRequests makes requests arrive so much later, also when whoever sent them has given up; nil
-// ends that.
-func (n *Network) DelayRequests(hold func(from, to string) time.Duration) {
+// Serve answers requests to addr until ctx ends, and then closes the connections to it.
+func (n *Network) Serve(ctx context.Context, addr string, handler wire.Handler) {
 	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.hold = hold
-}
-
-// DelayResponses makes the answers to requests leave so much later; nil ends that.
-func (n *Network) DelayResponses(linger func(from, to string) time.Duration) {
+	n.servers[addr] = handler
+	n.mu.Unlock()
+	<-ctx.Done()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.linger = linger
+	delete(n.servers, addr)
+	for connection, ends := range n.connections {
+		if ends.to == addr {
+			connection.Close()
+		}
+	}
 }
 
 // RequestsTo returns how many requests a server has had.
 func (n *Network) RequestsTo(addr string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.asked[addr]
+	return n.requests[addr]
 }
 
-// Requests returns how many requests each server has had.
+// Requests returns how many requests each server has had, by address.
 func (n *Network) Requests() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return maps.Clone(n.asked)
+	return maps.Clone(n.requests)
 }
 
-// again delivers copies of a request, if that is wanted.
-func (n *Network) again(addr string, req wire.Request) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.asked[addr]++
-	for _, d := range n.delays {
-		req := req
-		req.Body = append([]byte(nil), req.Body...)
-		time.AfterFunc(d, func() {
-			n.mu.Lock()
-			h := n.servers[addr] // whoever serves there by then
-			n.mu.Unlock()
-			if h != nil && n.ctx.Err() == nil {
-				h(n.ctx, &req)
-			}
-		})
-	}
-}
-
-// Dial returns the dial function of the host called from.
+// Dial returns the dial function of the host from.
 func (n *Network) Dial(from string) wire.DialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		n.mu.Lock()
-		h, ok := n.servers[addr]
-		hang := n.cut != nil && n.cut(from, addr)
+		handler, isServed := n.servers[addr]
+		partitioned := n.partitioned(from, addr)
 		n.mu.Unlock()
-		if hang {
+		if partitioned {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		if !ok {
+		if !isServed {
 			return nil, errors.New("fake: connection refused")
 		}
-		a, b := net.Pipe()
+		client, server := net.Pipe()
+		ends := endpoints{from, addr}
 		n.mu.Lock()
-		n.conns[a] = [2]string{from, addr}
+		n.connections[client] = ends
 		n.mu.Unlock()
-		go n.answer(from, addr, b, h)
-		return &conn{Conn: a, n: n}, nil
+		go n.serveConnection(ends, server, handler)
+		return &connection{Conn: client, network: n}, nil
 	}
 }
 
-type conn struct {
+// connection is the client's side of a connection.
+type connection struct {
 	net.Conn
-	n *Network
+	network *Network
 }
 
-func (c *conn) Close() error {
-	c.n.mu.Lock()
-	delete(c.n.conns, c.Conn)
-	c.n.mu.Unlock()
+// Close removes the connection from its network and closes it.
+func (c *connection) Close() error {
+	c.network.mu.Lock()
+	delete(c.network.connections, c.Conn)
+	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Statuses of answers that are never sent: the connection ends, or it does after whoever
-// asked has given up.
+// Statuses by which a fake's handler has no response sent.
 const (
-	drop = -1
-	hang = -2
+	statusDropConnection = -1 // the connection ends at once
+	statusNoResponse     = -2 // it ends after the client has given up
 )
 
-func (n *Network) answer(from, addr string, c net.Conn, h wire.Handler) {
-	defer c.Close()
+// giveUp is longer than any client waits for a response.
+const giveUp = 10 * time.Second
+
+// serveConnection answers the requests on one connection, one after the other.
+func (n *Network) serveConnection(ends endpoints, server net.Conn, handler wire.Handler) {
+	defer server.Close()
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	var buf []byte
+	defer context.AfterFunc(ctx, func() { server.Close() })()
+	var received []byte
 	chunk := make([]byte, 4096)
 	for {
-		req, used, err := wire.ParseRequest(buf)
-		if err == nil {
-			n.again(addr, req)
-			n.mu.Lock()
-			hold, linger := n.hold, n.linger
-			n.mu.Unlock()
-			if hold != nil {
-				time.Sleep(hold(from, addr))
-			}
-			resp := h(ctx, &req)
-			if linger != nil {
-				time.Sleep(linger(from, addr))
-			}
-			if resp.Status == hang {
-				time.Sleep(10 * time.Second)
-			}
-			if resp.Status == drop || resp.Status == hang {
+		req, used, err := wire.ParseRequest(received)
+		if errors.Is(err, wire.ErrIncomplete) {
+			size, err := server.Read(chunk)
+			if err != nil {
 				return
 			}
-			if _, err := c.Write(wire.AppendResponse(nil, resp)); err != nil {
-				return
-			}
-			buf = append([]byte(nil), buf[used:]...)
+			received = append(received, chunk[:size]...)
 			continue
 		}
-		if !errors.Is(err, wire.ErrIncomplete) {
+		if err != nil {
 			return
 		}
-		m, err := c.Read(chunk)
-		if err != nil {
+		resp := n.handle(ctx, ends, &req, handler)
+		if resp.Status == statusNoResponse {
+			time.Sleep(giveUp)
+		}
+		if resp.Status == statusDropConnection || resp.Status == statusNoResponse {
 			return
 		}
-		buf = append(buf, chunk[:m]...)
+		if _, err := server.Write(wire.AppendResponse(nil, resp)); err != nil {
+			return
+		}
+		received = append([]byte(nil), received[used:]...)
+	}
+}
+
+// handle carries out one request, with the delays that hold as it arrives.
+func (n *Network) handle(ctx context.Context, ends endpoints, req *wire.Request, handler wire.Handler) wire.Response {
+	n.countAndDuplicate(ends.to, *req)
+	n.mu.Lock()
+	requestDelay, responseDelay := n.faults.RequestDelay, n.faults.ResponseDelay
+	n.mu.Unlock()
+	if requestDelay != nil {
+		time.Sleep(requestDelay(ends.from, ends.to))
+	}
+	resp := handler(ctx, req)
+	if responseDelay != nil {
+		time.Sleep(responseDelay(ends.from, ends.to))
+	}
+	return resp
+}
+
+// countAndDuplicate counts a request and schedules its duplicates, which go to whatever serves the
+// address by then.
+func (n *Network) countAndDuplicate(addr string, req wire.Request) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.requests[addr]++
+	for _, delay := range n.faults.DuplicateAfter {
+		duplicate := req
+		duplicate.Body = append([]byte(nil), req.Body...)
+		time.AfterFunc(delay, func() {
+			n.mu.Lock()
+			handler := n.servers[addr]
+			n.mu.Unlock()
+			if handler != nil && n.ctx.Err() == nil {
+				handler(n.ctx, &duplicate)
+			}
+		})
 	}
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,11 +1,11 @@
 package fake
 
+// The key-value store: revisions, transactions on conditions, leases and watches. Its faults and limits
+// are in store_faults.go.
+
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"math/rand/v2"
-	"slices"
 	"sort"
 	"strconv"
 	"strings"
@@ -18,78 +18,58 @@
 	"tulipshelf/internal/wire"
 )
 
-// Store is the state service.
-type Store struct {
-	mu                sync.Mutex
-	rev               uint64
-	keys              map[string]entry
-	events            []kvstore.Event // the last keptChanges
-	dropped           uint64          // revision of the last change that is no longer kept
-	changed           chan struct{}
-	leases            map[uint64]*lease
-	next              uint64
-	down              bool
-	lose              int // answers of so many transactions to come are lost after they were applied
-	late              []func()
-	hold              int    // so many transactions to come are held back and go unanswered
-	holdKey           string // only those that change a key which begins so
-	downKey           string // an outage begins once a key is changed that begins so; "": it does not
-	every             int    // of so many transactions one goes unanswered and is applied late; 0: none
-	count             int
-	atOnce            int     // of so many transactions one is applied and goes unanswered; 0: none
-	limits            *limits // nil: none
-	tooLarge, tooMany int
-	luck              *rand.Rand
-	silent            int           // transactions so far that went unanswered
-	slow              time.Duration // that a request takes longer than usual
-	changes           int           // puts and deletes so far
-	asked             int           // requests so far
-}
+const (
+	// storeLatency is the time that each request takes.
+	storeLatency = 5 * time.Millisecond
+	// keptChanges is how many changes the store keeps for watches.
+	keptChanges = 10_000
+	// A page of a listing has at most so many keys, and values of so many bytes.
+	maxPageKeys  = 1000
+	maxPageBytes = 512 << 10
+)
 
+// Store is a key-value store.
+type Store struct {
+	mu             sync.Mutex // guards all below
+	rev            uint64
+	keys           map[string]entry
+	events         []kvstore.Event // the last keptChanges
+	dropped        uint64          // revision of the last change that is no longer kept
+	changed        chan struct{}   // closed and replaced at each change
+	leases         map[uint64]*lease
+	lastLease      uint64
+	faults         StoreFaults
+	random         *rand.Rand   // decides which responses are lost
+	held           []func()     // apply the transactions that are held back
+	limits         *StoreLimits // nil: none
+	writes         *rate.Limiter
+	refusals       StoreRefusals
+	requests       int // so far
+	transactions   int // so far, within the limits
+	unacknowledged int // of these
+	mutations      int // asked for so far
+}
+
+// entry is a stored value.
 type entry struct {
 	value wire.Raw
 	rev   uint64
-	lease uint64
+	lease uint64 // 0: none
 }
 
+// lease is a lease that has not expired.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store without limits.
 func NewStore() *Store {
 	return &Store{keys: map[string]entry{}, changed: make(chan struct{}), leases: map[uint64]*lease{}, rev: 1,
-		luck: rand.New(rand.NewPCG(7, 11))}
+		random: rand.New(rand.NewPCG(7, 11))} // any fixed seed
 }
 
-// Down starts or ends an outage. After it every lease has its full time again.
-func (s *Store) Down(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.outage(down)
-}
-
-func (s *Store) outage(down bool) {
-	s.down = down
-	for _, l := range s.leases {
-		if down {
-			l.timer.Stop()
-		} else {
-			l.timer.Reset(l.ttl)
-		}
-	}
-}
-
-// DownAfter begins an outage with the next transaction, answered still, that changes a
-// key with the given prefix.
-func (s *Store) DownAfter(prefix string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.downKey = prefix
-}
-
-// Put writes a key, as somebody did before the test began.
+// Put writes a key, as another client did before the test began.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,355 +77,235 @@
 	s.keys[key] = entry{value: value, rev: s.rev}
 }
 
-// Limit refuses larger values (counted in JSON) and transactions, and more changes a
-// second, from now on.
-func (s *Store) Limit(valueBytes, txnOps int, writeRPS float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limits = &limits{valueBytes, txnOps, rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))}
-}
-
-// Refused returns how many transactions were refused as too large, and as too many.
-func (s *Store) Refused() (tooLarge, tooMany int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.tooLarge, s.tooMany
-}
-
-// limits is what the state service allows.
-type limits struct {
-	valueBytes, txnOps int
-	writes             *rate.Limiter
-}
-
-// check returns the answer to a transaction that is over the limits, or status 0.
-func (s *Store) check(body []byte) wire.Response {
-	var in struct {
-		Then []struct {
-			Value any `cbor:"value"`
-		} `cbor:"then"`
-	}
-	if s.limits == nil || wire.Unmarshal(body, &in) != nil {
-		return wire.Response{}
-	}
-	large := len(in.Then) > s.limits.txnOps
-	for _, op := range in.Then {
-		text, err := json.Marshal(plain(op.Value))
-		large = large || err != nil || len(text) > s.limits.valueBytes
-	}
-	switch {
-	case large:
-		s.tooLarge++
-		return wire.Response{Status: 400, Body: wire.Marshal(map[string]string{"error": "too large"})}
-	case !s.limits.writes.AllowN(time.Now(), len(in.Then)):
-		s.tooMany++
-		return wire.Response{Status: 429}
-	}
-	return wire.Response{}
-}
-
-// plain returns a decoded value in a form that JSON has.
-func plain(v any) any {
-	switch v := v.(type) {
-	case map[any]any:
-		out := map[string]any{}
-		for k, e := range v {
-			out[fmt.Sprint(k)] = plain(e)
-		}
-		return out
-	case []any:
-		for i := range v {
-			v[i] = plain(v[i])
-		}
-	}
-	return v
-}
-
-// LoseResponses applies the next n transactions without answering them.
-func (s *Store) LoseResponses(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lose = n
-}
-
-// DelayTransactions keeps the next n transactions that change a key with the given prefix,
-// unanswered, until Release.
-func (s *Store) DelayTransactions(n int, prefix string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.hold, s.holdKey = n, prefix
-}
-
-// Release applies what was held back, late.
-func (s *Store) Release() {
-	s.mu.Lock()
-	late := s.late
-	s.late = nil
-	s.mu.Unlock()
-	for _, f := range late {
-		f()
-	}
-}
-
-// DelayOneWriteIn lets one in so many transactions go unanswered and be applied 2 to 12 s
-// later, after newer ones; 0 ends that.
-func (s *Store) DelayOneWriteIn(every int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.every = every
-}
-
-// LoseOneResponseIn lets one in so many transactions go unanswered though it is applied; 0 ends
-// that.
-func (s *Store) LoseOneResponseIn(every int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.atOnce = every
-}
-
-// Unanswered returns how many transactions have gone unanswered so far.
-func (s *Store) Unanswered() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.silent
-}
-
-// Delay lets every request take so much longer.
-func (s *Store) Delay(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.slow = d
-}
-
-// Changes returns how many puts and deletes have been asked for.
+// Changes returns how many mutations transactions have asked for so far.
 func (s *Store) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes
+	return s.mutations
 }
 
-// Requests returns how many requests have come.
+// Requests returns how many requests there were so far.
 func (s *Store) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.requests
 }
 
-// Keys returns the keys that begin with prefix.
+// Keys returns the keys with a prefix, in order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(prefix)
+	return s.sortedKeys(prefix)
 }
 
-func (s *Store) list(prefix string) []string {
-	var out []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, k)
+// sortedKeys does so for a caller that holds mu.
+func (s *Store) sortedKeys(prefix string) []string {
+	var keys []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(keys)
+	return keys
 }
 
 // Handle answers one request.
 func (s *Store) Handle(ctx context.Context, req *wire.Request) wire.Response {
 	s.mu.Lock()
-	s.asked++
-	slow := s.slow
+	s.requests++
+	delay := s.faults.Delay
 	s.mu.Unlock()
-	time.Sleep(5*time.Millisecond + slow)
-	q := query(req.Query)
+	time.Sleep(storeLatency + delay)
+	query := parseQuery(req.Query)
 	if req.Path == "/changes" {
-		return s.watch(ctx, q)
+		return s.watch(ctx, query)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.faults.Down {
 		return wire.Response{Status: 503}
 	}
 	switch {
 	case req.Method == "GET" && req.Path == "/keys":
-		limit, _ := strconv.Atoi(q["limit"])
-		page, size := kvstore.Page{Revision: s.rev}, 0
-		for _, k := range s.list(q["starts"]) {
-			if k <= q["after"] {
-				continue
-			}
-			if size += len(s.keys[k].value); len(page.Items) == min(limit, 1000) || size > 512<<10 {
-				page.More = true
-				break
-			}
-			page.Items = append(page.Items, kvstore.Item{Key: k, Value: s.keys[k].value, Revision: s.keys[k].rev})
-		}
-		return ok(page)
+		return s.list(query)
 	case req.Method == "GET" && strings.HasPrefix(req.Path, "/keys/"):
-		k := strings.TrimPrefix(req.Path, "/keys/")
-		e, found := s.keys[k]
-		if !found {
-			return wire.Response{Status: 404}
-		}
-		return ok(kvstore.Item{Key: k, Value: e.value, Revision: e.rev})
+		return s.get(strings.TrimPrefix(req.Path, "/keys/"))
 	case req.Path == "/txn":
-		return s.txn(append([]byte(nil), req.Body...))
+		return s.transactWithFaults(append([]byte(nil), req.Body...))
 	case req.Method == "POST" && req.Path == "/leases":
-		var in struct {
-			TTL int64 `cbor:"ttl_ms"`
-		}
-		if wire.Unmarshal(req.Body, &in) != nil {
-			return wire.Response{Status: 400}
-		}
-		s.next++
-		id, ttl := s.next, time.Duration(in.TTL)*time.Millisecond
-		s.leases[id] = &lease{ttl, time.AfterFunc(ttl, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.end(id)
-		})}
-		return ok(map[string]uint64{"hold": id})
+		return s.grantLease(req.Body)
 	case strings.HasPrefix(req.Path, "/leases/"):
 		text, extend := strings.CutSuffix(strings.TrimPrefix(req.Path, "/leases/"), "/extend")
 		id, _ := strconv.ParseUint(text, 10, 64)
-		l := s.leases[id]
-		if l == nil {
-			return wire.Response{Status: 404}
-		}
 		if extend {
-			l.timer.Reset(l.ttl)
-		} else {
-			s.end(id)
+			return s.extendLease(id)
 		}
-		return ok(map[string]uint64{"hold": id})
+		return s.revokeLease(id)
 	}
 	return wire.Response{Status: 400}
 }
 
+// ok answers with a value.
 func ok(v any) wire.Response { return wire.Response{Status: 200, Body: wire.Marshal(v)} }
 
-func query(s string) map[string]string {
-	out := map[string]string{}
-	for _, part := range strings.Split(s, "&") {
-		k, v, _ := strings.Cut(part, "=")
-		out[k] = v
+// parseQuery returns the parameters of a request by name.
+func parseQuery(text string) map[string]string {
+	parameters := map[string]string{}
+	for _, part := range strings.Split(text, "&") {
+		name, value, _ := strings.Cut(part, "=")
+		parameters[name] = value
 	}
-	return out
+	return parameters
 }
 
-// end removes a lease with its keys.
-func (s *Store) end(id uint64) {
-	l := s.leases[id]
-	if l == nil || s.down {
-		return
-	}
-	l.timer.Stop()
-	delete(s.leases, id)
-	for _, k := range s.list("") {
-		if s.keys[k].lease == id {
-			s.rev++
-			delete(s.keys, k)
-			s.event(kvstore.Event{Delete: k, Revision: s.rev})
+// list answers with a page of the keys with a prefix. The caller holds mu.
+func (s *Store) list(query map[string]string) wire.Response {
+	limit, _ := strconv.Atoi(query["limit"])
+	page, size := kvstore.Page{Revision: s.rev}, 0
+	for _, key := range s.sortedKeys(query["starts"]) {
+		if key <= query["after"] {
+			continue
+		}
+		stored := s.keys[key]
+		if size += len(stored.value); len(page.Items) == min(limit, maxPageKeys) || size > maxPageBytes {
+			page.More = true
+			break
 		}
+		page.Items = append(page.Items, kvstore.Item{Key: key, Value: stored.value, Revision: stored.rev})
 	}
+	return ok(page)
 }
 
-// keptChanges is how many changes the service keeps for watches.
-const keptChanges = 10_000
-
-func (s *Store) event(e kvstore.Event) {
-	s.events = append(s.events, e)
-	for len(s.events) > keptChanges {
-		s.dropped, s.events = s.events[0].Revision, s.events[1:]
+// get answers with a key's value. The caller holds mu.
+func (s *Store) get(key string) wire.Response {
+	stored, found := s.keys[key]
+	if !found {
+		return wire.Response{Status: 404}
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	return ok(kvstore.Item{Key: key, Value: stored.value, Revision: stored.rev})
 }
 
-func (s *Store) txn(body []byte) wire.Response {
-	later := func() {
+// grantLease answers with a new lease. The caller holds mu.
+func (s *Store) grantLease(body []byte) wire.Response {
+	var request struct {
+		TTL int64 `cbor:"ttl_ms"`
+	}
+	if wire.Unmarshal(body, &request) != nil {
+		return wire.Response{Status: 400}
+	}
+	s.lastLease++
+	id, ttl := s.lastLease, time.Duration(request.TTL)*time.Millisecond
+	s.leases[id] = &lease{ttl, time.AfterFunc(ttl, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.apply(body)
-	}
-	if resp := s.check(body); resp.Status != 0 {
-		return resp
+		s.endLease(id)
+	})}
+	return ok(map[string]uint64{"hold": id})
+}
+
+// extendLease renews a lease for its full time. The caller holds mu.
+func (s *Store) extendLease(id uint64) wire.Response {
+	l := s.leases[id]
+	if l == nil {
+		return wire.Response{Status: 404}
 	}
-	s.count++
-	s.silent++
-	switch {
-	case s.every > 0 && s.count%s.every == 0:
-		time.AfterFunc(time.Duration(2+s.count%11)*time.Second, later)
-		return wire.Response{Status: hang}
-	case s.hold > 0 && changes(body, s.holdKey):
-		s.hold--
-		s.late = append(s.late, later)
-		return wire.Response{Status: drop}
-	case s.lose > 0, s.atOnce > 0 && s.luck.IntN(s.atOnce) == 0:
-		s.lose = max(0, s.lose-1)
-		s.apply(body)
-		return wire.Response{Status: drop}
+	l.timer.Reset(l.ttl)
+	return ok(map[string]uint64{"hold": id})
+}
+
+// revokeLease ends a lease at once. The caller holds mu.
+func (s *Store) revokeLease(id uint64) wire.Response {
+	if s.leases[id] == nil {
+		return wire.Response{Status: 404}
 	}
-	s.silent--
-	return s.apply(body)
+	s.endLease(id)
+	return ok(map[string]uint64{"hold": id})
 }
 
-// changes tells whether a transaction changes a key that begins with prefix.
-func changes(body []byte, prefix string) bool {
-	var in struct {
-		Then []kvstore.Mutation `cbor:"then"`
+// endLease removes a lease with its keys; in an outage it stays. The caller holds mu.
+func (s *Store) endLease(id uint64) {
+	l := s.leases[id]
+	if l == nil || s.faults.Down {
+		return
+	}
+	l.timer.Stop()
+	delete(s.leases, id)
+	for _, key := range s.sortedKeys("") {
+		if s.keys[key].lease == id {
+			s.rev++
+			delete(s.keys, key)
+			s.addEvent(kvstore.Event{Delete: key, Revision: s.rev})
+		}
 	}
-	return wire.Unmarshal(body, &in) == nil && slices.ContainsFunc(in.Then, func(o kvstore.Mutation) bool {
-		return strings.HasPrefix(o.Put+o.Delete, prefix)
-	})
 }
 
-func (s *Store) apply(body []byte) wire.Response {
-	var in struct {
-		When []kvstore.Compare  `cbor:"when"`
-		Then []kvstore.Mutation `cbor:"then"`
+// transact carries out a transaction if its conditions hold. The caller holds mu.
+func (s *Store) transact(body []byte) wire.Response {
+	var transaction struct {
+		Compares  []kvstore.Compare  `cbor:"when"`
+		Mutations []kvstore.Mutation `cbor:"then"`
 	}
-	if wire.Unmarshal(body, &in) != nil {
+	if wire.Unmarshal(body, &transaction) != nil {
 		return wire.Response{Status: 400}
 	}
-	s.changes += len(in.Then)
+	s.mutations += len(transaction.Mutations)
 	var failed []string
-	for _, c := range in.When {
-		if s.keys[c.Key].rev != c.Revision {
-			failed = append(failed, c.Key)
+	for _, compare := range transaction.Compares {
+		if s.keys[compare.Key].rev != compare.Revision {
+			failed = append(failed, compare.Key)
 		}
 	}
 	if failed != nil {
 		return wire.Response{Status: 409, Body: wire.Marshal(map[string]any{"failed": failed, "epoch": s.rev})}
 	}
-	for _, op := range in.Then {
-		if op.Lease != 0 && s.leases[op.Lease] == nil {
+	for _, mutation := range transaction.Mutations {
+		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
 			return wire.Response{Status: 400, Body: wire.Marshal(map[string]string{"error": "no such lease"})}
 		}
 	}
 	s.rev++
-	for _, op := range in.Then {
-		if op.Put != "" {
-			s.keys[op.Put] = entry{op.Value, s.rev, op.Lease}
-			s.event(kvstore.Event{Put: op.Put, Value: op.Value, Revision: s.rev})
-		} else if _, found := s.keys[op.Delete]; found {
-			delete(s.keys, op.Delete)
-			s.event(kvstore.Event{Delete: op.Delete, Revision: s.rev})
-		}
+	for _, mutation := range transaction.Mutations {
+		s.mutate(mutation)
 	}
-	if s.downKey != "" && changes(body, s.downKey) {
-		s.downKey = ""
-		s.outage(true)
+	if prefix := s.faults.DownAfterPrefix; prefix != "" && changesPrefix(body, prefix) {
+		s.faults.DownAfterPrefix = ""
+		s.faults.Down = true
+		s.suspendLeases(true)
 	}
 	return ok(map[string]uint64{"epoch": s.rev})
 }
 
+// mutate puts or deletes one key at the present revision. The caller holds mu.
+func (s *Store) mutate(mutation kvstore.Mutation) {
+	if mutation.Put != "" {
+		s.keys[mutation.Put] = entry{mutation.Value, s.rev, mutation.Lease}
+		s.addEvent(kvstore.Event{Put: mutation.Put, Value: mutation.Value, Revision: s.rev})
+	} else if _, found := s.keys[mutation.Delete]; found {
+		delete(s.keys, mutation.Delete)
+		s.addEvent(kvstore.Event{Delete: mutation.Delete, Revision: s.rev})
+	}
+}
+
+// addEvent keeps a change for watches and wakes those that wait. The caller holds mu.
+func (s *Store) addEvent(event kvstore.Event) {
+	s.events = append(s.events, event)
+	for len(s.events) > keptChanges {
+		s.dropped, s.events = s.events[0].Revision, s.events[1:]
+	}
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// watch answers with the changes of keys with a prefix after a revision, as soon as there are any, or
+// with none after a time.
 func (s *Store) watch(ctx context.Context, q map[string]string) wire.Response {
 	after, _ := strconv.ParseUint(q["after"], 10, 64)
 	ms, _ := strconv.Atoi(q["wait_ms"])
 	deadline := time.After(time.Duration(ms) * time.Millisecond)
 	for begun := false; ; begun = true {
 		s.mu.Lock()
-		if s.down && !begun {
+		if s.faults.Down && !begun {
 			s.mu.Unlock()
 			return wire.Response{Status: 503} // only watches that are open stay open
 		}
@@ -459,7 +319,7 @@
 				found = append(found, e)
 			}
 		}
-		changed, rev, down := s.changed, s.rev, s.down
+		changed, rev, down := s.changed, s.rev, s.faults.Down
 		s.mu.Unlock()
 		if len(found) > 0 && !down {
 			return ok(map[string]any{"epoch": rev, "events": found})
@@ -469,7 +329,7 @@
 		case <-deadline:
 			return ok(map[string]any{"epoch": rev})
 		case <-ctx.Done():
-			return wire.Response{Status: drop}
+			return wire.Response{Status: statusDropConnection}
 		}
 	}
 }
