--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,13 @@
-// Package golden runs kept traces: texts that people read, in which lines
-// that begin with ">" are what the code answered and all others what is given.
+// Package golden compares the output of code under test with golden files that people read and
+// review: testdata/*.trace of the package under test.
+//
+// A trace is a sequence of lines. A line that begins with ">" is output, and every other one is input:
+// a command with its arguments, a comment that begins with "#", or an empty line. The output of a
+// command stands behind it. After a change that is meant,
+//
+//	go test ./internal/PACKAGE -update
+//
+// writes the output anew; the difference is to be read like code.
 package golden
 
 import (
@@ -13,11 +21,11 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
 
-// Run replays each trace under testdata and compares what comes out, which
-// holds the given lines as well, with what is kept.
-func Run(t *testing.T, replay func(*testing.T, []byte) []byte) {
+// Run replays each trace below testdata in a subtest of its own and compares the result, which has the
+// input lines as well, with the file. With -update it writes the file instead.
+func Run(t *testing.T, replay func(t *testing.T, trace []byte) []byte) {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
@@ -43,19 +51,21 @@
 	}
 }
 
-// Replay hands the given lines of a trace to do, word by word, and returns the
-// trace with what do writes behind each. Comments and empty lines are kept.
-func Replay(trace []byte, do func(out *bytes.Buffer, line string, word []string)) []byte {
+// Replay calls do with each command of a trace and the words that it consists of. It returns the trace
+// with what do writes to out behind each command, in place of the output that the trace had; do begins
+// each line that it writes with ">". Comments and empty lines stay as they are.
+func Replay(trace []byte, do func(out *bytes.Buffer, line string, words []string)) []byte {
 	var out bytes.Buffer
-	sc := bufio.NewScanner(bytes.NewReader(trace))
-	for sc.Scan() {
-		line := sc.Text()
-		if strings.HasPrefix(line, ">") {
+	lines := bufio.NewScanner(bytes.NewReader(trace))
+	for lines.Scan() {
+		line := lines.Text()
+		if isOutput := strings.HasPrefix(line, ">"); isOutput {
 			continue
 		}
 		fmt.Fprintln(&out, line)
-		if word := strings.Fields(line); len(word) > 0 && word[0] != "#" {
-			do(&out, line, word)
+		words := strings.Fields(line)
+		if isCommand := len(words) > 0 && words[0] != "#"; isCommand {
+			do(&out, line, words)
 		}
 	}
 	return out.Bytes()
