--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -70,7 +70,7 @@
 		c.waitForElection()
 		const jobs = 60
 		for i := range jobs {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(i), job.Service, 1, 0))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Service, 1, 0))
 		}
 		time.Sleep(30 * time.Second)
 		before := c.store.Requests()
@@ -87,10 +87,10 @@
 			t.Errorf("%d concurrent polls took %d requests", jobs, n)
 		}
 		for i := range 20 {
-			if status := c.requestCancel(i%3, jobID(i)).Status; status != 200 {
+			if status := c.requestCancel(i%controllers, jobID(i)).Status; status != 200 {
 				t.Errorf("cancellation: %d", status)
 			}
-			if status := c.status((i+1)%3, jobID(i)); status != jobstore.StatusCancelled {
+			if status := c.status((i+1)%controllers, jobID(i)); status != jobstore.StatusCancelled {
 				t.Errorf("another controller answers %s after the cancellation was confirmed", status)
 			}
 		}
@@ -112,11 +112,11 @@
 		for user := range 40 { // two queries a second each
 			go func() {
 				for i := 0; time.Now().Before(end); i++ {
-					status := c.status(user%3, jobID(500+(user*37+i)%400))
+					status := c.status(user%controllers, jobID(500+(user*37+i)%400))
 					if status != "404" && status != "503" {
 						t.Errorf("a job that nobody submitted is %s", status)
 					}
-					status = c.status(user%3, "wk-000001")
+					status = c.status(user%controllers, "wk-000001")
 					mu.Lock()
 					if status == "running" {
 						answered++
@@ -132,10 +132,10 @@
 			if status := c.status(0, id); status != "404" && status != "503" {
 				t.Errorf("%s before its submission: %s", id, status)
 			}
-			if status := c.submit(i%3, newJob(id, job.Array, 1, 2)); status != 201 {
+			if status := c.submit(i%controllers, newJob(id, job.Array, 1, 2)); status != 201 {
 				t.Errorf("submission under load: %d", status)
 			}
-			if status := c.status((i+1)%3, id); status == "404" {
+			if status := c.status((i+1)%controllers, id); status == "404" {
 				t.Errorf("%s unknown after its submission", id)
 			}
 			time.Sleep(3 * time.Second)
@@ -160,7 +160,7 @@
 		c.waitForElection()
 		const jobs = 150
 		for i := range jobs {
-			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Service, 1, 0))
+			c.submitUntilAccepted(time.Minute, i%controllers, newJob(jobID(i), job.Service, 1, 0))
 		}
 		c.beginStoreOutage()
 		c.restartEach()
@@ -199,13 +199,13 @@
 		for i := range 30 {
 			id := jobID(i)
 			request := newJob(id, job.Array, 1, 2)
-			c.submitUntilAccepted(10*time.Second, i%3, request)
+			c.submitUntilAccepted(10*time.Second, i%controllers, request)
 			readers.read(id, request)
 			if i%3 == 0 {
 				if i%6 == 0 {
 					time.Sleep(time.Second)
 				}
-				c.cancelUntilConfirmed(10*time.Second, (i+1)%3, id)
+				c.cancelUntilConfirmed(10*time.Second, (i+1)%controllers, id)
 				readers.read(id, request)
 				continue
 			}
@@ -232,7 +232,7 @@
 }
 
 // read lets 12 users send a request within 6 ms, without waiting for them. One in four repeats the
-// submission; none may be told that the job is unknown.
+// submission; none may get the answer that the job is unknown.
 func (r *consistentReaders) read(id string, request jobRequest) {
 	for user := range 12 {
 		r.running.Add(1)
@@ -241,13 +241,13 @@
 			time.Sleep(time.Duration(user/3) * 2 * time.Millisecond)
 			ok := false
 			if user%4 == 3 {
-				status := r.c.submit(user%3, request)
+				status := r.c.submit(user%controllers, request)
 				ok = status == 200
 				if status == 201 || status == 404 {
 					r.t.Errorf("repeated submission of %s: %d", id, status)
 				}
 			} else {
-				status := r.c.status(user%3, id)
+				status := r.c.status(user%controllers, id)
 				ok = status != "503"
 				if status == "404" {
 					r.t.Errorf("%s is unknown", id)
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -21,7 +21,7 @@
 		c.runService(8)
 		old := c.partitionLeader()
 		time.Sleep(time.Second)
-		c.cancel((old+1)%3, "wk-000001")
+		c.cancel((old+1)%controllers, "wk-000001")
 		c.beginStoreOutage()
 		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.heal()
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Cancellations: once a user is told that a job is cancelled, its tasks are gone within the deadline
-// and none of them starts again.
+// Cancellations: once one is confirmed to a user, the tasks of the job are gone within the deadline and
+// none of them starts again.
 
 import (
 	"sync"
@@ -71,7 +71,7 @@
 			}
 			return isMachine(from) && isController(to) || isController(from) && isMachine(to)
 		})
-		c.cancel((old+1)%3, "wk-000001")
+		c.cancel((old+1)%controllers, "wk-000001")
 		c.beginStoreOutage()
 		time.Sleep(32 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 8 {
@@ -120,7 +120,7 @@
 		c.restartWithLargeFleet()
 		const jobs = 24
 		for i := range jobs {
-			c.submitUntilAccepted(5*time.Second, i%3, newJob(jobID(i), job.Service, 2, 0))
+			c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Service, 2, 0))
 		}
 		c.waitUntil("all run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
 		time.Sleep(12 * time.Second)
@@ -132,16 +132,16 @@
 		for i := range jobs {
 			time.Sleep(500 * time.Millisecond)
 			cancelledUnder[c.leader()]++
-			c.cancelUntilConfirmed(10*time.Second, i%3, jobID(i))
+			c.cancelUntilConfirmed(10*time.Second, i%controllers, jobID(i))
 			// And one that has just been accepted.
 			small := newJob(jobID(100+i), job.Array, 8, 60).withResources(0.25, 0.5)
 			if i%4 == 0 {
 				// Its starts stay unrecorded.
 				c.store.SetFaults(fake.StoreFaults{Delay: delay, HoldNext: 3, HoldPrefix: jobstore.JobKey(jobID(100+i)) + "/"})
 			}
-			c.submitUntilAccepted(10*time.Second, i%3, small)
+			c.submitUntilAccepted(10*time.Second, i%controllers, small)
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
-			c.cancelUntilConfirmed(10*time.Second, (i+1)%3, jobID(100+i))
+			c.cancelUntilConfirmed(10*time.Second, (i+1)%controllers, jobID(100+i))
 		}
 		if cancelledUnder[old] < 5 || cancelledUnder[old] > jobs-5 {
 			t.Errorf("cancelled by leader: %v, the first is %d", cancelledUnder, old)
@@ -168,7 +168,7 @@
 		for i := 10; i < 60; i++ {
 			id := jobID(i)
 			request := newJob(id, job.Array, 1, 3)
-			c.submitUntilAccepted(10*time.Second, i%3, request)
+			c.submitUntilAccepted(10*time.Second, i%controllers, request)
 			c.waitUntilRunningOf(id, 1, 20*time.Second)
 			if i == 20 {
 				c.store.SetFaults(fake.StoreFaults{Delay: 60 * time.Millisecond}) // so that more requests overlap
@@ -189,8 +189,8 @@
 				}()
 			}
 			wg.Wait()
-			c.waitUntil("job has ended", 20*time.Second, func() bool { return progressOf(c.status(i%3, id)) == final })
-			jobsByStatus[c.status(i%3, id)]++
+			c.waitUntil("job has ended", 20*time.Second, func() bool { return progressOf(c.status(i%controllers, id)) == final })
+			jobsByStatus[c.status(i%controllers, id)]++
 		}
 		if jobsByStatus[jobstore.StatusDone] == 0 || jobsByStatus[jobstore.StatusCancelled] == 0 {
 			t.Errorf("no race was won by either side: %v", jobsByStatus)
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -17,7 +17,7 @@
 	"tulipshelf/internal/wire"
 )
 
-// answerLog keeps the last status that users were told of each job.
+// answerLog keeps the last status of each job in users' answers.
 type answerLog struct {
 	invariants *fake.InvariantChecker
 
@@ -25,7 +25,7 @@
 	lastStatus map[string]string // by job
 }
 
-// of returns the last status that users were told of a job; "" if none.
+// of returns the last status of a job in users' answers; "" if there was none.
 func (a *answerLog) of(id string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -120,11 +120,11 @@
 		first := c.termOf(c.leader())
 		begin := time.Now()
 		for i := 2; i < 12; i++ {
-			c.submitUntilAccepted(20*time.Second, i%3, newJob(jobID(i), job.Array, 4, 15))
+			c.submitUntilAccepted(20*time.Second, i%controllers, newJob(jobID(i), job.Array, 4, 15))
 			want[jobID(i)] = jobstore.StatusDone
 			if i%3 == 0 {
-				c.cancelUntilConfirmed(20*time.Second, i%3, jobID(i))
-				want[jobID(i)] = c.status(i%3, jobID(i))
+				c.cancelUntilConfirmed(20*time.Second, i%controllers, jobID(i))
+				want[jobID(i)] = c.status(i%controllers, jobID(i))
 			}
 			if i == 5 || i == 8 {
 				// Two changes at once: the leader ends in an outage, and restarts while the store
@@ -160,7 +160,7 @@
 		c.restartEach()
 		c.waitForElection()
 		for i := range 4 {
-			c.submitUntilAccepted(5*time.Second, i%3, newJob(jobID(i), job.Array, 3, 20))
+			c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Array, 3, 20))
 		}
 		for range 3 {
 			time.Sleep(15 * time.Second)
@@ -172,7 +172,7 @@
 						ended++
 					}
 				}
-				if status := c.status(i%3, jobID(i)); status == jobstore.StatusDone && ended < 3 {
+				if status := c.status(i%controllers, jobID(i)); status == jobstore.StatusDone && ended < 3 {
 					t.Errorf("%s is answered as done with %d of 3 tasks", jobID(i), ended)
 				}
 			}
--- a/internal/controller/gang_recovery_test.go
+++ b/internal/controller/gang_recovery_test.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// If one of a gang's machines cannot be told in time to save, no task is told: a save that is not
-// complete would stop the others for nothing.
+// If one of a gang's machines cannot be reached in time to save, no task is halted: a checkpoint that is
+// not complete would stop the others for nothing.
 func TestGangNotStoppedWhileMemberUnreachable(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 30))
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -38,7 +38,7 @@
 		go func() {
 			defer close(ended)
 			for i := 1; !stop.Load() && i < 400; i++ {
-				c.submitUntilAccepted(20*time.Second, i%3, newJob(jobID(i), job.Array, 12, 8))
+				c.submitUntilAccepted(20*time.Second, i%controllers, newJob(jobID(i), job.Array, 12, 8))
 				time.Sleep(3 * time.Second)
 			}
 		}()
@@ -90,7 +90,7 @@
 		c.restartWithCapacity(6, 96)
 		c.runGang(newGang(16, 60)) // one as large may come again
 		for i := 1; i <= 3; i++ {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(i), job.Array, 8, 600))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Array, 8, 600))
 		}
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000009", job.Array, 2, 600).withPriority(lowPriority))
 		for i := 1; i <= 3; i++ {
--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -44,7 +44,7 @@
 }
 
 // All controllers restart, one after the other, in an outage that outlasts the agents' leases. They know
-// no term, but what each was told of cancellations by those before it. An agent that finds no other
+// no term, but what each learned of cancellations from those before it. An agent that finds no other
 // controller keeps its tasks, and is now and then refused so that it looks for a leader
 // (docs/incidents/inc-008f.md).
 func TestAllControllersRestartInStoreOutage(t *testing.T) {
@@ -88,7 +88,7 @@
 		c.cancelUntilConfirmed(10*time.Second, 1, "wk-000001")
 		answered := 0
 		for i := range 20 {
-			if c.status(i%3, "wk-000002") == "running" {
+			if c.status(i%controllers, "wk-000002") == "running" {
 				answered++
 			}
 			time.Sleep(time.Second)
--- a/internal/controller/kvstore_transaction_test.go
+++ b/internal/controller/kvstore_transaction_test.go
@@ -50,15 +50,15 @@
 			accepted := make(chan struct{})
 			go func() {
 				defer close(accepted)
-				c.submitUntilAccepted(time.Minute, i%3, newJob(id, job.Array, 3, 4))
+				c.submitUntilAccepted(time.Minute, i%controllers, newJob(id, job.Array, 3, 4))
 			}()
-			c.waitUntil("another controller knows the job", time.Minute, func() bool { return c.status((i+1)%3, id) != "404" })
+			c.waitUntil("another controller knows the job", time.Minute, func() bool { return c.status((i+1)%controllers, id) != "404" })
 			<-accepted
 			want[id] = jobstore.StatusDone
 			if i%4 == 1 {
-				c.cancelUntilConfirmed(time.Minute, (i+2)%3, id)
-				c.waitUntil("final status answered", time.Minute, func() bool { return progressOf(c.status(i%3, id)) == final })
-				want[id] = c.status(i%3, id)
+				c.cancelUntilConfirmed(time.Minute, (i+2)%controllers, id)
+				c.waitUntil("final status answered", time.Minute, func() bool { return progressOf(c.status(i%controllers, id)) == final })
+				want[id] = c.status(i%controllers, id)
 			}
 			if i%8 == 7 {
 				c.failOver()
@@ -80,10 +80,10 @@
 		c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 4})
 		cancelled := map[int]bool{}
 		for i := range 12 {
-			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Array, 2, 8))
+			c.submitUntilAccepted(time.Minute, i%controllers, newJob(jobID(i), job.Array, 2, 8))
 			if i%3 == 2 {
 				c.cancelUntilConfirmed(time.Minute, 0, jobID(i))
-				cancelled[i] = c.status((i+1)%3, jobID(i)) == jobstore.StatusCancelled
+				cancelled[i] = c.status((i+1)%controllers, jobID(i)) == jobstore.StatusCancelled
 			}
 			if i%5 == 4 {
 				c.failOver()
@@ -96,7 +96,7 @@
 			if cancelled[i] {
 				want = jobstore.StatusCancelled
 			}
-			c.waitUntil(jobID(i)+" "+want, 3*time.Minute, func() bool { return c.status(i%3, jobID(i)) == want })
+			c.waitUntil(jobID(i)+" "+want, 3*time.Minute, func() bool { return c.status(i%controllers, jobID(i)) == want })
 		}
 	})
 }
@@ -112,7 +112,7 @@
 		for i := range 6 {
 			submittedAt := time.Now()
 			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3, HoldNext: 20, HoldPrefix: jobstore.JobKey(jobID(i)) + "/"})
-			c.submitUntilAccepted(time.Minute, i%3, newJob(jobID(i), job.Array, 8, 6))
+			c.submitUntilAccepted(time.Minute, i%controllers, newJob(jobID(i), job.Array, 8, 6))
 			want[jobID(i)] = jobstore.StatusDone
 			time.Sleep(5 * time.Second)
 			if n := c.invariants.RunningTasksOf(jobID(i)); n != 0 {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -44,7 +44,7 @@
 	c.submitUntilAccepted(10*time.Second, 1, newJob("wk-000101", job.Array, 300, 20))
 	c.submitUntilAccepted(10*time.Second, 2, newGang(80, 60)) // more than one chunk of 2 KiB
 	for i := range cancelled {
-		c.submitUntilAccepted(20*time.Second, i%3, newJob(jobID(200+i), job.Array, 2, 300))
+		c.submitUntilAccepted(20*time.Second, i%controllers, newJob(jobID(200+i), job.Array, 2, 300))
 	}
 	c.waitUntil("all have begun", 3*time.Minute, func() bool {
 		for i := range cancelled {
@@ -56,7 +56,7 @@
 	})
 	for i := range cancelled {
 		id := jobID(200 + i)
-		c.cancelUntilConfirmed(10*time.Second, i%3, id)
+		c.cancelUntilConfirmed(10*time.Second, i%controllers, id)
 		want[id] = jobstore.StatusCancelled
 	}
 	if ended() == cancelled {
@@ -101,7 +101,7 @@
 		c.waitUntilRunningOf("wk-000050", 80, time.Minute)
 		want := map[string]string{}
 		for i := 2; i < 6; i++ {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(i), job.Array, 200, 12))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Array, 200, 12))
 			want[jobID(i)] = jobstore.StatusDone
 		}
 		c.nextStoreLimits = &config.StoreLimits{RPS: 200, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
@@ -114,7 +114,7 @@
 			}
 		}
 		for i := 6; i < 10; i++ {
-			c.submitUntilAccepted(30*time.Second, i%3, newJob(jobID(i), job.Array, 100, 8))
+			c.submitUntilAccepted(30*time.Second, i%controllers, newJob(jobID(i), job.Array, 100, 8))
 			want[jobID(i)] = jobstore.StatusDone
 		}
 		c.submitUntilAccepted(30*time.Second, 0, newGang(8, 10))
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -160,7 +160,7 @@
 		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
 		c.waitForElection()
 		for i := range 4 {
-			c.submit(i%3, newJob(jobID(i), job.Array, 6, 4))
+			c.submit(i%controllers, newJob(jobID(i), job.Array, 6, 4))
 		}
 		c.submit(0, newJob(jobID(4), job.Service, 3, 0))
 		c.submit(1, newJob(jobID(5), job.Service, 2, 0))
@@ -176,7 +176,7 @@
 		c.heal()
 		for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(5 * time.Second) {
 			for i, want := range []string{"done", "done", "done", "done", "withdrawn", "running", "done"} {
-				if got := c.status(i%3, jobID(i)); got != want && got != "503" {
+				if got := c.status(i%controllers, jobID(i)); got != want && got != "503" {
 					t.Fatalf("%s is %s, was %s", jobID(i), got, want)
 				}
 			}
--- a/internal/controller/previous_fixture_test.go
+++ b/internal/controller/previous_fixture_test.go
@@ -21,7 +21,7 @@
 )
 
 // writeFixture writes the fixture instead of comparing with it.
-var writeFixture = flag.Bool("write-fixture", false, "write testdata/previous.txt anew")
+var writeFixture = flag.Bool("write-fixture", false, "overwrite testdata/previous.txt")
 
 // previousHeader begins the file, which is compared byte for byte.
 const previousHeader = `# What the version before the last keeps in the state service and sends to other controllers:
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -103,8 +103,8 @@
 		for turn := range 6 {
 			c.makeOlderVersionLead(turn%2 == 1)
 			finishing, cancelled := jobID(10+2*turn), jobID(11+2*turn)
-			c.submitUntilAccepted(10*time.Second, turn%3, newJob(finishing, job.Array, 30, 6))
-			c.submitUntilAccepted(10*time.Second, (turn+1)%3, newJob(cancelled, job.Array, 30, 60))
+			c.submitUntilAccepted(10*time.Second, turn%controllers, newJob(finishing, job.Array, 30, 6))
+			c.submitUntilAccepted(10*time.Second, (turn+1)%controllers, newJob(cancelled, job.Array, 30, 60))
 			c.waitUntil("both have begun", time.Minute, func() bool { return c.startsOf(finishing) > 0 && c.startsOf(cancelled) > 0 })
 			want[finishing] = jobstore.StatusDone
 			if turn > 0 { // the version that does not lead cancels a job that it accepted as the leader
@@ -342,7 +342,7 @@
 	})
 }
 
-// The limits of the store are lowered while either version leads, which chunks anew the records that are
+// The limits of the store are lowered while either version leads, which rechunks the records that are
 // too large by then; the other version takes them over.
 func TestRollingUpgradeRechunksRecords(t *testing.T) {
 	for name, olderFirst := range map[string]bool{"older version chunks": true, "newer version chunks": false} {
@@ -358,7 +358,7 @@
 				c.enforceStoreLimits(*c.nextStoreLimits)
 				c.replaceHungMachineOf("wk-000050", 80)
 				rechunked := func() bool { return len(c.store.Keys(jobstore.JobKey("wk-000050")+"/1")) > 1 }
-				c.waitUntil("chunked anew", time.Minute, rechunked)
+				c.waitUntil("records rechunked", time.Minute, rechunked)
 				startsBefore := c.startsOf("wk-000050")
 				c.makeOlderVersionLead(!olderFirst)
 				time.Sleep(12 * time.Second)
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -22,10 +22,10 @@
 		c.storeRPS = 800
 		c.restartWithCapacity(machines, 1e6)
 		for i := range arrays {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(i), job.Array, 500, 60))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Array, 500, 60))
 		}
 		for i := range services {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(100+i), job.Service, 1, 0))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(100+i), job.Service, 1, 0))
 		}
 		c.waitUntil("most tasks run", 3*time.Minute, func() bool { return c.invariants.RunningTasks() > 10_000 })
 		hung := 0
@@ -76,7 +76,7 @@
 		before := c.store.Changes()
 		const jobs = 40
 		for i := range jobs {
-			c.submitUntilAccepted(10*time.Second, i%3, newJob(jobID(10+i), job.Array, 1, 4))
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(10+i), job.Array, 1, 4))
 		}
 		for i := range jobs {
 			c.waitUntil("done", 2*time.Minute, c.isDone(jobID(10+i)))
@@ -129,13 +129,13 @@
 			go func() {
 				defer wg.Done()
 				id := jobID(i)
-				c.submitUntilAccepted(time.Minute, i%3, newJob(id, job.Array, 1, 3))
+				c.submitUntilAccepted(time.Minute, i%controllers, newJob(id, job.Array, 1, 3))
 				finalStatus := jobstore.StatusDone
 				if i%4 == 0 {
 					time.Sleep(time.Duration(i%5) * time.Second)
 					var body statusBody
 					c.waitUntil("cancelled or done", time.Minute, func() bool {
-						resp := c.requestCancel((i+1)%3, id)
+						resp := c.requestCancel((i+1)%controllers, id)
 						return resp.Status == 200 && wire.Unmarshal(resp.Body, &body) == nil
 					})
 					finalStatus = body.Status
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -49,7 +49,7 @@
 				c.submit(0, newJob("wk-000000", job.Array, 60, 10))
 				c.submit(0, waiting)
 				for i := 1; time.Since(begin) < 4*time.Minute; i++ {
-					c.submit(i%3, newJob(jobID(i), job.Array, 24, 10))
+					c.submit(i%controllers, newJob(jobID(i), job.Array, 24, 10))
 					time.Sleep(10 * time.Second)
 				}
 				if c.startsOf("wk-900000") == 0 {
@@ -86,7 +86,7 @@
 				c.setCapacity(24, c.teamCPUs)
 				c.waitForElection()
 				for i := range 4 {
-					c.submitUntilAccepted(5*time.Second, i%3, newJob(jobID(i), job.Service, 4, 0))
+					c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Service, 4, 0))
 				}
 				c.waitUntilRunning(16, time.Minute)
 				c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000010", job.Array, 32, 10))
@@ -99,7 +99,7 @@
 					c.partitionMachines(func(addr string) bool { return unreachable[addr] })
 				}
 				for i := range 4 {
-					c.cancel(i%3, jobID(i))
+					c.cancel(i%controllers, jobID(i))
 				}
 				term := c.termOf(c.leader())
 				c.failOver()
@@ -169,7 +169,7 @@
 			if i%2 == 1 {
 				request.withPriority(lowPriority)
 			}
-			c.submitUntilAccepted(10*time.Second, i%3, request)
+			c.submitUntilAccepted(10*time.Second, i%controllers, request)
 			want[jobID(i)] = jobstore.StatusDone
 		}
 		time.Sleep(20 * time.Second)
@@ -201,7 +201,7 @@
 			} else {
 				request.inZone("b")
 			}
-			c.submitUntilAccepted(5*time.Second, i%3, request)
+			c.submitUntilAccepted(5*time.Second, i%controllers, request)
 		}
 		c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 24 })
 		for round := range 3 {
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -18,7 +18,7 @@
 // InvariantChecker.
 type Gangs struct {
 	wait   time.Duration // for which a task waits for the others of its attempt
-	notice time.Duration // within which tasks notice that one is gone, and all must be told to save
+	notice time.Duration // within which tasks notice that one is gone, and all must be halted to save
 
 	mu     sync.Mutex // guards all below, and gangJob, gangAttempt and gangMember
 	jobs   map[string]*gangJob
@@ -46,7 +46,7 @@
 	job        *gangJob
 	members    map[string]*gangMember // by task
 	beganAt    time.Time              // zero: tasks wait for each other
-	haltedAt   time.Time              // when the first task was told to save and stop; zero: none was
+	haltedAt   time.Time              // when the first task was halted to save; zero: none was
 	over       bool
 	rolledBack bool // the job's progress is that of the last checkpoint
 }
@@ -57,7 +57,7 @@
 	task    *task // guarded by the machine's lock
 	id      job.AttemptID
 	attempt *gangAttempt
-	saving  bool // it was told to save and stop
+	saving  bool // it was halted and saves
 	absent  bool // it is gone, or its machine hangs
 }
 
@@ -191,7 +191,7 @@
 	}
 }
 
-// memberHalted is called when a task is told to stop. The task saves first, and its status says so, if
+// memberHalted is called when a task is halted. The task saves first, and its status says so, if
 // the grace period allows it and the gang can save whole. The caller holds the machine's lock.
 func (g *Gangs) memberHalted(member *gangMember, gracePeriodS float64) {
 	g.mu.Lock()
@@ -261,7 +261,7 @@
 	}
 }
 
-// save saves and stops an attempt if all of its tasks were told in time; otherwise it fails.
+// save saves and stops an attempt if all of its tasks were halted in time; otherwise it fails.
 func (g *Gangs) save(attempt *gangAttempt) {
 	g.mu.Lock()
 	if attempt.over {
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -58,8 +58,8 @@
 	c.jobs[spec.ID] = spec
 }
 
-// CancellationConfirmed records that a user was told that a job is cancelled. From the first time on
-// its tasks have CancelDeadline to be gone.
+// CancellationConfirmed records that the cancellation of a job was confirmed to a user. From the first
+// time on its tasks have CancelDeadline to be gone.
 func (c *InvariantChecker) CancellationConfirmed(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
