--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -355,7 +355,7 @@
 			r.t.Errorf("%s: %+v", key, end)
 		}
 		kind = "end"
-	case key == estimatesKey:
+	case key == "rental/memo":
 		var stored productionEstimates
 		if r.decode(item, &stored); stored.Estimates.Sum == 0 || stored.Estimates.LastMS == 0 {
 			r.t.Errorf("%s: %+v", key, stored)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -53,7 +53,7 @@
 		if unstarted.queuedEvents() == 0 || resp.Status != 0 {
 			t.Errorf("%d heartbeats wait, answered %d", unstarted.queuedEvents(), resp.Status)
 		}
-		unstarted.end(nil)
+		unstarted.end()
 		synctest.Wait()
 		if resp.Status != 503 {
 			t.Errorf("answered %d", resp.Status)
