--- /dev/null
+++ b/internal/api/poll.go
@@ -0,0 +1,67 @@
+package api
+
+// This file has polls, and how the state of a job is looked up for all requests.
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/wire"
+)
+
+// poll answers the question for a job's state.
+func (h *Handler) poll(ctx context.Context, id string) wire.Response {
+	if status, cached := h.finalStates.get(id); cached {
+		return respondOK(jobSummary{id, status})
+	}
+	state, err := h.lookup(ctx, id)
+	switch {
+	case err == nil:
+		return respondOK(state)
+	case errors.Is(err, kvstore.ErrNotFound):
+		return noSuchJob()
+	}
+	return unavailable()
+}
+
+// lookup returns a job's state, no older than the call, as it may be told to the user:
+// kvstore.ErrNotFound if there is no such job, any other error if it cannot be told now. The
+// replica of the unfinished jobs comes first: a job that ends in between is found by the read of
+// its final state, while the other order would miss it.
+func (h *Handler) lookup(ctx context.Context, id string) (jobState, error) {
+	if err := h.replica.confirmFresh(ctx); err != nil {
+		return jobState{}, err
+	}
+	state, err := h.replica.state(id)
+	switch {
+	case errors.Is(err, errNotUnfinished):
+		return h.readFinalState(ctx, id)
+	case err != nil:
+		return jobState{}, err
+	case state.Status == StatusCancelled:
+		return state, h.confirmReplicated(ctx, id)
+	}
+	return state, nil
+}
+
+// readFinalState reads the state of a job that has ended.
+func (h *Handler) readFinalState(ctx context.Context, id string) (jobState, error) {
+	item, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
+	if err != nil {
+		return jobState{}, fmt.Errorf("api: final state: %w", err)
+	}
+	var final jobstore.FinalState
+	if err := wire.Unmarshal(item.Value, &final); err != nil {
+		return jobState{}, fmt.Errorf("api: final state: %w", err)
+	}
+	status := JobStatus(final.Status)
+	h.finalStates.put(id, status)
+	state := jobState{ID: id, Status: status}
+	if status == StatusDone {
+		state.Done = final.Tasks
+	}
+	return state, nil
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -85,38 +85,26 @@
 	}
 	n.proxy = &relay.Proxy{Node: settings.Node, Store: n.store, Dial: network.Dial,
 		ValueBytes: settings.Store.ValueBytes, TxnOps: settings.Store.TxnOps}
-	n.candidate = &leadership.Candidate{Node: settings.Node, TTL: operator.LeaderLease, Store: n.store, PreferOther: n.prefersOther}
+	n.candidate = &leadership.Candidate{Node: settings.Node, LeaseTTL: operator.LeaderLease, Store: n.store, PreferOther: n.prefersOther}
 	n.api = n.newAPI()
-	n.peers = n.newPeers()
+	n.peers = newPeerGroup(n)
 	return n
 }
 
 // newAPI returns the handler of users' requests.
 func (n *Node) newAPI() *api.Handler {
-	handler := &api.Handler{
+	return api.New(api.Config{
 		Store:                 n.store,
+		StoreRPS:              n.settings.Store.RPS,
 		Teams:                 n.settings.Teams,
-		ChunkSize:             jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
-		Types:                 n.MachineTypes,
-		OnChanged:             n.notifyChanged,
-		OnCancelled:           func(id string) { n.onCancelled(n.cancelled.Add(id)) },
+		TasksPerChunk:         jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
+		MachineTypes:          n.machineTypes,
+		OnJobChanged:          n.notifyChanged,
+		OnJobCancelled:        func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		GangsSupported:        n.gangsSupported.Load,
 		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.ReplicateCancellation(ctx, id) },
 		OnCancellationsRead:   func(ids []string, asOf time.Time) { n.onCancelled(n.cancelled.MergeRead(ids, asOf)) },
-	}
-	handler.Init(n.settings.Store.RPS)
-	return handler
-}
-
-// newPeers returns what exchanges heartbeats with the other controllers.
-func (n *Node) newPeers() *peer.Group {
-	group := &peer.Group{Dial: n.dial, Node: n.settings.Node, Leadership: n.candidate.Leader, OnLeadership: n.candidate.ObserveTerm,
-		OnChanged: n.onChanged, Redirected: n.redirectedCount, Register: n.cancelled, OnCancelled: n.onCancelled,
-		ConfirmedGone: n.gone.all, OnConfirmedGone: n.gone.merge, StoreReachable: n.storeReachable}
-	for _, other := range n.settings.Peers {
-		group.Members = append(group.Members, peer.Member{Node: other.Node, Addr: other.Addr})
-	}
-	return group
+	})
 }
 
 // Shares of the sockets that servers may hold, and their timeouts.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -9,7 +9,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"time"
 
 	"tulipshelf/internal/agent"
@@ -123,8 +123,8 @@
 	return l
 }
 
-// ErrDeposed ends Run where a write was refused because another term has begun.
-var ErrDeposed = errors.New("leader: deposed: the compare on the term's key failed")
+// errTermSucceeded ends Run where a write was refused because another term has begun.
+var errTermSucceeded = fmt.Errorf("%w: the compare on the term's key failed", leadership.ErrDeposed)
 
 // Intervals of the loop: how often it looks at what time alone brings about, and the least time
 // between two rounds. Heartbeats come by the hundred a second and a round visits all machines: one
@@ -135,7 +135,7 @@
 )
 
 // Run reads the records and then runs the event loop until the leader's context ends or it finds
-// that it is deposed. It returns the reason, ErrDeposed in the latter case.
+// that it is deposed. It returns the reason, which wraps leadership.ErrDeposed in the latter case.
 func (l *Leader) Run() error {
 	ctx := l.loop.ctx
 	defer l.loop.wait()
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -83,7 +83,7 @@
 	slog.Debug("batch met a conflict", "keys", conflict.Keys)
 	for _, key := range conflict.Keys {
 		if key == e.fence.Key && l.term.Fence() == e.fence {
-			l.stop(ErrDeposed)
+			l.stop(errTermSucceeded)
 			return
 		}
 	}
