--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -69,6 +69,20 @@
 	c.store.SetFaults(fake.StoreFaults{})
 	c.waitUntil("all ends are recorded", 2*time.Minute, func() bool { return ended() == cancelled })
 
+	checkOnlyServiceLeft(t, c)
+	if refused := c.store.Refusals(); refused.TooLarge > 0 || refused.TooMany == 0 {
+		t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
+	}
+	for i := range 600 {
+		if n := c.invariants.StartsByTask()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
+			t.Errorf("wk-000100/%d was started %d times", i, n)
+		}
+	}
+}
+
+// checkOnlyServiceLeft waits for a minute until the store holds nothing but the records of one service.
+func checkOnlyServiceLeft(t *testing.T, c *cluster) {
+	t.Helper()
 	const serviceKeys = 2 // of the service and its tasks
 	for range 600 {
 		if len(c.store.Keys(jobstore.JobPrefix)) == serviceKeys {
@@ -79,14 +93,6 @@
 	if left := c.store.Keys(jobstore.JobPrefix); len(left) != serviceKeys {
 		t.Errorf("left behind: %v", left)
 	}
-	if refused := c.store.Refusals(); refused.TooLarge > 0 || refused.TooMany == 0 {
-		t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
-	}
-	for i := range 600 {
-		if n := c.invariants.StartsByTask()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
-			t.Errorf("wk-000100/%d was started %d times", i, n)
-		}
-	}
 }
 
 // The limits are lowered under load while large arrays run that were chunked for larger values, some are
--- /dev/null
+++ b/internal/controller/production_reader_test.go
@@ -0,0 +1,157 @@
+package controller
+
+// A reader of stored values that knows only what production does.
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/relay"
+	"tulipshelf/internal/wire"
+)
+
+// What production reads of a job's record, of a chunk of its tasks, of its end, of the autoscaler's
+// estimates and of the term.
+type (
+	productionRecord struct {
+		Spec        *job.Spec `cbor:"spec"`
+		AtMS        int64     `cbor:"at_ms"`
+		Arrival     uint64    `cbor:"arrival"`
+		CancelledMS int64     `cbor:"cancelled_ms"`
+		Chunk       int       `cbor:"chunk"`
+	}
+	productionAttempt struct {
+		_       struct{} `cbor:",toarray"`
+		Task    int
+		Try     uint64
+		Machine string
+		Session uint64
+	}
+	productionChunk struct {
+		Done string              `cbor:"done"`
+		Live []productionAttempt `cbor:"live"`
+	}
+	productionEnd struct {
+		Status string `cbor:"status"`
+		Tasks  int    `cbor:"tasks"`
+	}
+	productionEstimates struct {
+		Estimates struct {
+			Sum     float64               `cbor:"sum"`
+			LastMS  int64                 `cbor:"last_ms"`
+			Learned map[string][2]float64 `cbor:"learned"`
+		} `cbor:"estimates"`
+		Failing []string `cbor:"failing"`
+	}
+	productionTerm struct {
+		Term uint64 `cbor:"term"`
+	}
+)
+
+// All that this version stores, gangs included, is read by one that knows only what production does,
+// and keys have the patterns that it knows or ignores.
+func TestProductionReadsStoredValues(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		c.runService(6)
+		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Array, 300, 20))
+		c.runGang(newGang(6, 300))
+		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000003", job.Array, 2, 2))
+		c.waitUntil("done", time.Minute, c.isDone("wk-000003"))
+		c.waitUntil("some tasks done", 2*time.Minute, func() bool { return c.invariants.Completed("wk-000002/40") })
+		time.Sleep(12 * time.Second)
+		c.partitionZone()
+		time.Sleep(16 * time.Second)
+		c.hangMachines()
+		c.waitUntil("cancelled", 10*time.Second, func() bool { return c.requestCancel(c.leader(), "wk-000001").Status == 200 })
+
+		reader := productionReader{t: t, cancelledJob: "wk-000001", read: map[string]int{}}
+		for _, item := range c.storedItems() {
+			reader.readItem(item)
+		}
+		for _, kind := range []string{"job", "chunk", "end", "rental/memo", "lead/term", "relay/up/", "relay/down/", gangsKey} {
+			if reader.read[kind] == 0 {
+				t.Errorf("nothing written of %s: %v", kind, reader.read)
+			}
+		}
+		delete(reader.read, gangsKey)
+		if len(reader.read) > 9 {
+			t.Errorf("keys that production does not know: %v", reader.read)
+		}
+		c.resumeMachines()
+		c.heal()
+	})
+}
+
+// productionReader reads stored values as production does.
+type productionReader struct {
+	t            *testing.T
+	cancelledJob string         // the one job that was cancelled
+	read         map[string]int // values read, by kind; other keys by their first parts
+}
+
+// readItem reads one value and checks the fields that production needs.
+func (r *productionReader) readItem(item kvstore.Item) {
+	key := item.Key
+	id, chunk, isJobKey := jobstore.SplitKey(key)
+	isJobKey = isJobKey && strings.HasPrefix(key, jobstore.JobPrefix)
+	kind := strings.Join(strings.SplitAfterN(key, "/", 3)[:min(2, strings.Count(key, "/")+1)], "")
+	switch {
+	case isJobKey && chunk < 0:
+		r.readRecord(item, id)
+		kind = "job"
+	case isJobKey:
+		r.readChunk(item)
+		kind = "chunk"
+	case strings.HasPrefix(key, "end/"):
+		var end productionEnd
+		r.decode(item, &end)
+		if end.Status != jobstore.StatusDone || end.Tasks != 2 {
+			r.t.Errorf("%s: %+v", key, end)
+		}
+		kind = "end"
+	case key == "rental/memo":
+		var stored productionEstimates
+		if r.decode(item, &stored); stored.Estimates.Sum == 0 || stored.Estimates.LastMS == 0 {
+			r.t.Errorf("%s: %+v", key, stored)
+		}
+	case key == "lead/term":
+		var term productionTerm
+		if r.decode(item, &term); term.Term == 0 {
+			r.t.Errorf("%s: %+v", key, term)
+		}
+	case strings.HasPrefix(key, relay.UpPrefix):
+		r.decode(item, &relay.HeartbeatBatch{})
+	case strings.HasPrefix(key, "relay/down/"):
+		r.decode(item, &relay.CommandBatch{})
+	}
+	r.read[kind]++
+}
+
+func (r *productionReader) readRecord(item kvstore.Item, id string) {
+	var record productionRecord
+	r.decode(item, &record)
+	if record.Spec == nil || record.Spec.ID != id || record.Chunk < 1 || record.AtMS == 0 || (id == r.cancelledJob) != (record.CancelledMS != 0) {
+		r.t.Errorf("%s: %+v", item.Key, record)
+	}
+}
+
+func (r *productionReader) readChunk(item kvstore.Item) {
+	var chunk productionChunk
+	r.decode(item, &chunk)
+	for _, attempt := range chunk.Live {
+		if attempt.Machine == "" || attempt.Session == 0 || attempt.Try == 0 {
+			r.t.Errorf("%s: %+v", item.Key, attempt)
+		}
+	}
+}
+
+func (r *productionReader) decode(item kvstore.Item, into any) {
+	if err := wire.Unmarshal(item.Value, into); err != nil {
+		r.t.Errorf("%s: %v", item.Key, err)
+	}
+}
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -233,42 +233,44 @@
 	}
 }
 
+// upgradeFaults are injected in the middle of an upgrade; each is over when its function returns.
+var upgradeFaults = map[string]func(c *cluster){
+	"zone partition": func(c *cluster) {
+		inside := c.nodeOfOtherVersion()
+		c.partitionZoneWith(inside)
+		time.Sleep(15 * time.Second)
+		c.submitUntilAccepted(10*time.Second, inside, newJob("wk-000012", job.Array, 4, 5))
+		c.waitUntil("work goes on in the zone", time.Minute, c.isDone("wk-000012"))
+		time.Sleep(35 * time.Second) // longer than a lease
+		c.heal()
+	},
+	"store outage": func(c *cluster) {
+		c.beginStoreOutage()
+		time.Sleep(40 * time.Second)
+		c.endStoreOutage()
+	},
+	"leader separated from store": func(c *cluster) {
+		old := c.leader()
+		c.partitionFromStore(old)
+		c.waitForLeaderOtherThan(old, 15*time.Second)
+		time.Sleep(20 * time.Second)
+		c.heal()
+	},
+	"all controllers end": func(c *cluster) {
+		c.killAll()
+		if c.leader() >= 0 {
+			c.t.Error("a controller leads that has ended")
+		}
+		time.Sleep(3 * time.Second)
+		c.startAll()
+	},
+}
+
 // Faults in the middle of an upgrade, under a leader of either version: a partition between zones, an
 // outage longer than a lease, a leader that is separated from the store, and the end of all
 // controllers.
 func TestRollingUpgradeFaults(t *testing.T) {
-	faults := map[string]func(c *cluster){
-		"zone partition": func(c *cluster) {
-			inside := c.nodeOfOtherVersion()
-			c.partitionZoneWith(inside)
-			time.Sleep(15 * time.Second)
-			c.submitUntilAccepted(10*time.Second, inside, newJob("wk-000012", job.Array, 4, 5))
-			c.waitUntil("work goes on in the zone", time.Minute, c.isDone("wk-000012"))
-			time.Sleep(35 * time.Second) // longer than a lease
-			c.heal()
-		},
-		"store outage": func(c *cluster) {
-			c.beginStoreOutage()
-			time.Sleep(40 * time.Second)
-			c.endStoreOutage()
-		},
-		"leader separated from store": func(c *cluster) {
-			old := c.leader()
-			c.partitionFromStore(old)
-			c.waitForLeaderOtherThan(old, 15*time.Second)
-			time.Sleep(20 * time.Second)
-			c.heal()
-		},
-		"all controllers end": func(c *cluster) {
-			c.killAll()
-			if c.leader() >= 0 {
-				c.t.Error("a controller leads that has ended")
-			}
-			time.Sleep(3 * time.Second)
-			c.startAll()
-		},
-	}
-	for name, inject := range faults {
+	for name, inject := range upgradeFaults {
 		for version, olderLeads := range map[string]bool{"older leads": true, "newer leads": false} {
 			t.Run(name+", "+version, func(t *testing.T) {
 				withEachOlderVersion(t, func(c *cluster) {
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -1,6 +1,7 @@
 package fake
 
-// The agent on a rented machine: it sends heartbeats, holds a lease and runs tasks.
+// The agent on a rented machine: it sends heartbeats and holds a lease. The tasks that it runs are in
+// agent_tasks.go.
 
 import (
 	"context"
@@ -14,9 +15,6 @@
 	"tulipshelf/internal/wire"
 )
 
-// FailingClass is the class of jobs whose tasks fail on every machine.
-const FailingClass = "mistaken"
-
 const (
 	heartbeatInterval = 3 * time.Second
 	// heartbeatAfterChange is the pause before a heartbeat that reports a task's change.
@@ -27,8 +25,6 @@
 	retryPause = time.Second
 	// hungPoll is how often a hung agent looks whether it may go on.
 	hungPoll = 100 * time.Millisecond
-	// serviceRuntime is longer than any test.
-	serviceRuntime = 1000 * time.Hour
 )
 
 // Agent is one machine with the agent on it.
@@ -49,7 +45,7 @@
 	fencingToken   uint64 // the highest seen
 	leaseRenewedAt time.Time
 	terminationAt  time.Time // as announced by the cloud; zero: not announced
-	tasks          map[job.AttemptID]*task
+	tasks          map[job.AttemptID]*machineTask
 	faults         AgentFaults
 }
 
@@ -66,19 +62,11 @@
 	FailTasks bool
 }
 
-// task is one attempt on a machine, guarded by the machine's lock.
-type task struct {
-	status agent.TaskStatus
-	cause  agent.ExitCause
-	end    *time.Timer // ends the task by itself
-	member *gangMember // nil: it belongs to no gang
-}
-
 // newAgent returns the agent of a machine that has not booted.
 func newAgent(c *Cloud, name, zone string) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rentedAt: time.Now(), ctx: ctx, cancel: cancel,
-		incarnation: 1, tasks: map[job.AttemptID]*task{}, changes: make(chan struct{}, 1)}
+		incarnation: 1, tasks: map[job.AttemptID]*machineTask{}, changes: make(chan struct{}, 1)}
 }
 
 // terminate ends the machine with all that is on it.
@@ -103,9 +91,9 @@
 	if !wasHung && !a.faults.Hung {
 		return
 	}
-	for _, t := range a.tasks {
-		if t.member != nil && t.status != agent.StatusExited {
-			a.cloud.Gangs.memberHung(t.member, a.faults.Hung)
+	for _, task := range a.tasks {
+		if task.member != nil && task.status != agent.StatusExited {
+			a.cloud.Gangs.memberHung(task.member, a.faults.Hung)
 		}
 	}
 }
@@ -137,15 +125,15 @@
 func (a *Agent) CurrentHeartbeat() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.heartbeat()
+	return a.nextHeartbeat()
 }
 
 // HasTasksOf reports whether a task of a job is on the machine.
 func (a *Agent) HasTasksOf(jobID string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for attempt, t := range a.tasks {
-		if jobOf(attempt.Task) == jobID && t.status != agent.StatusExited {
+	for attempt, task := range a.tasks {
+		if jobOf(attempt.Task) == jobID && task.status != agent.StatusExited {
 			return true
 		}
 	}
@@ -157,8 +145,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := 0
-	for _, t := range a.tasks {
-		if t.status != agent.StatusExited {
+	for _, task := range a.tasks {
+		if task.status != agent.StatusExited {
 			count++
 		}
 	}
@@ -256,40 +244,26 @@
 	a.leaseRenewedAt = time.Now()
 }
 
-// killTasks kills and forgets all tasks. The caller holds mu.
-func (a *Agent) killTasks() {
-	for attempt, t := range a.tasks {
-		if t.status != agent.StatusExited {
-			t.end.Stop()
-			if t.member != nil {
-				a.cloud.Gangs.memberKilled(t.member)
-			}
-			a.cloud.invariants.taskEnded(attempt.Task, a.Name, false)
-		}
-	}
-	clear(a.tasks)
-}
-
-// heartbeat returns the body of the next heartbeat. The caller holds mu.
-func (a *Agent) heartbeat() []byte {
+// nextHeartbeat returns the body of the next heartbeat, with a sequence number of its own. The caller holds mu.
+func (a *Agent) nextHeartbeat() []byte {
 	a.sequence++
-	h := agent.Heartbeat{Machine: a.Name, Addr: a.Addr, Type: a.cloud.Type.Name, Zone: a.Zone,
+	heartbeat := agent.Heartbeat{Machine: a.Name, Addr: a.Addr, Type: a.cloud.Type.Name, Zone: a.Zone,
 		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.fencingToken}
 	if !a.terminationAt.IsZero() {
 		left := time.Until(a.terminationAt).Seconds()
-		h.TerminationNoticeS = &left
+		heartbeat.TerminationNoticeS = &left
 	}
-	for attempt, t := range a.tasks {
-		h.Tasks = append(h.Tasks, agent.ReportedTask{Task: attempt.Task, Attempt: attempt.Number, Status: t.status, Cause: t.cause})
+	for attempt, task := range a.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, agent.ReportedTask{Task: attempt.Task, Attempt: attempt.Number, Status: task.status, Cause: task.cause})
 	}
-	sort.Slice(h.Tasks, func(i, j int) bool { return h.Tasks[i].Task < h.Tasks[j].Task })
-	return wire.Marshal(h)
+	sort.Slice(heartbeat.Tasks, func(i, j int) bool { return heartbeat.Tasks[i].Task < heartbeat.Tasks[j].Task })
+	return wire.Marshal(heartbeat)
 }
 
 // sendHeartbeat sends a heartbeat to a controller and returns its response; status 0: none.
 func (a *Agent) sendHeartbeat(addr string) wire.Response {
 	a.mu.Lock()
-	body := a.heartbeat()
+	body := a.nextHeartbeat()
 	a.mu.Unlock()
 	ctx, cancel := context.WithTimeout(a.ctx, heartbeatTimeout)
 	defer cancel()
@@ -329,17 +303,17 @@
 		return wire.Response{Status: statusDropConnection}
 	}
 	if req.Path == "/status" {
-		return wire.Response{Status: 200, Body: a.heartbeat()}
+		return wire.Response{Status: 200, Body: a.nextHeartbeat()}
 	}
 	if req.Path != "/commands" || wire.Unmarshal(req.Body, &commands) != nil {
 		return wire.Response{Status: 400}
 	}
 	if commands.FencingToken < a.fencingToken || commands.Incarnation != a.incarnation {
-		return wire.Response{Status: 409, Body: a.heartbeat()}
+		return wire.Response{Status: 409, Body: a.nextHeartbeat()}
 	}
 	a.fencingToken = commands.FencingToken
 	a.execute(commands.Commands)
-	return wire.Response{Status: 200, Body: a.heartbeat()}
+	return wire.Response{Status: 200, Body: a.nextHeartbeat()}
 }
 
 // signalChange makes the next heartbeat leave soon.
@@ -349,81 +323,3 @@
 	default:
 	}
 }
-
-// execute carries out commands in their order. The caller holds mu.
-func (a *Agent) execute(commands []agent.Command) {
-	for _, command := range commands {
-		attempt := job.AttemptID{Task: command.Task, Number: command.Attempt}
-		t := a.tasks[attempt]
-		switch {
-		case command.Verb == agent.VerbRun && t == nil:
-			a.tasks[attempt] = a.startTask(attempt)
-			a.signalChange()
-		case command.Verb == agent.VerbHalt && t != nil && t.status != agent.StatusExited:
-			a.haltTask(attempt, t, command.GracePeriodS)
-		case command.Verb == agent.VerbForget && t != nil && t.status == agent.StatusExited:
-			delete(a.tasks, attempt)
-		}
-	}
-}
-
-// haltTask stops a task, unless it belongs to a gang that saves a checkpoint in the grace period. The
-// caller holds mu.
-func (a *Agent) haltTask(attempt job.AttemptID, t *task, gracePeriodS *float64) {
-	if t.member != nil {
-		gracePeriod := 0.0
-		if gracePeriodS != nil {
-			gracePeriod = *gracePeriodS
-		}
-		a.cloud.Gangs.memberHalted(t.member, gracePeriod)
-		if t.status == agent.StatusCheckpointing && gracePeriod > 0 {
-			a.signalChange()
-			return
-		}
-	}
-	t.end.Stop()
-	a.exitTask(attempt, t, agent.CauseStopped)
-}
-
-// exitTask records that a task has exited. The caller holds mu.
-func (a *Agent) exitTask(attempt job.AttemptID, t *task, cause agent.ExitCause) {
-	t.status, t.cause = agent.StatusExited, cause
-	a.cloud.invariants.taskEnded(attempt.Task, a.Name, cause == agent.CauseDone)
-	a.signalChange()
-}
-
-// startTask starts an attempt, or returns one that has exited at once. The caller holds mu.
-func (a *Agent) startTask(attempt job.AttemptID) *task {
-	for other, t := range a.tasks {
-		if other.Task == attempt.Task && t.status != agent.StatusExited {
-			return &task{status: agent.StatusExited, cause: agent.CauseInUse}
-		}
-	}
-	spec := a.cloud.invariants.taskStarted(attempt.Task, placement{a.Name, a.Zone, attempt.Number})
-	if spec == nil {
-		return &task{status: agent.StatusExited, cause: agent.CauseUnknownJob}
-	}
-	if a.faults.FailTasks || spec.Class == FailingClass {
-		a.cloud.invariants.taskEnded(attempt.Task, a.Name, false)
-		a.signalChange()
-		return &task{status: agent.StatusExited, cause: agent.CauseError}
-	}
-	if spec.Shape == job.Gang {
-		t := &task{status: agent.StatusWaiting}
-		a.cloud.Gangs.join(spec, a, attempt, t)
-		return t
-	}
-	runtime := time.Duration(spec.ExpectS * float64(time.Second))
-	if spec.Shape == job.Service {
-		runtime = serviceRuntime
-	}
-	t := &task{status: agent.StatusRunning}
-	t.end = time.AfterFunc(runtime, func() {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		if t.status == agent.StatusRunning {
-			a.exitTask(attempt, t, agent.CauseDone)
-		}
-	})
-	return t
-}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -47,14 +47,14 @@
 	members    map[string]*gangMember // by task
 	beganAt    time.Time              // zero: tasks wait for each other
 	haltedAt   time.Time              // when the first task was halted to save; zero: none was
-	over       bool
+	ended      bool
 	rolledBack bool // the job's progress is that of the last checkpoint
 }
 
 // gangMember is one task of an attempt on its machine.
 type gangMember struct {
 	machine *Agent
-	task    *task // guarded by the machine's lock
+	task    *machineTask // guarded by the machine's lock
 	id      job.AttemptID
 	attempt *gangAttempt
 	saving  bool // it was halted and saves
@@ -84,7 +84,7 @@
 
 // join adds a task that waits to its attempt, and begins the attempt if it is the last. The caller holds
 // the machine's lock.
-func (g *Gangs) join(spec *job.Spec, machine *Agent, id job.AttemptID, t *task) {
+func (g *Gangs) join(spec *job.Spec, machine *Agent, id job.AttemptID, task *machineTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	gang := g.jobs[spec.ID]
@@ -97,11 +97,11 @@
 		attempt = &gangAttempt{job: gang, members: map[string]*gangMember{}}
 		gang.attempts[id.Number] = attempt
 	}
-	member := &gangMember{machine: machine, task: t, id: id, attempt: attempt}
+	member := &gangMember{machine: machine, task: task, id: id, attempt: attempt}
 	attempt.members[id.Task] = member
-	t.end = time.AfterFunc(g.wait, func() { g.exit(member, agent.CauseIncomplete) })
-	t.member = member
-	if len(attempt.members) == spec.Tasks && attempt.beganAt.IsZero() && !attempt.over {
+	task.end = time.AfterFunc(g.wait, func() { g.exit(member, agent.CauseIncomplete) })
+	task.member = member
+	if len(attempt.members) == spec.Tasks && attempt.beganAt.IsZero() && !attempt.ended {
 		g.begin(attempt)
 	}
 }
@@ -128,11 +128,11 @@
 // complete ends an attempt whose runtime is over, unless it was stopped or a task is missing.
 func (g *Gangs) complete(attempt *gangAttempt) {
 	g.mu.Lock()
-	if attempt.over || !attempt.haltedAt.IsZero() || attempt.hasAbsentMember() {
+	if attempt.ended || !attempt.haltedAt.IsZero() || attempt.hasAbsentMember() {
 		g.mu.Unlock()
 		return
 	}
-	attempt.over = true
+	attempt.ended = true
 	g.counts.Done++
 	g.mu.Unlock()
 	g.exitAll(attempt, agent.CauseDone)
@@ -157,13 +157,13 @@
 
 // exit ends a task on its machine; on one that hangs, once it goes on. The caller holds no lock.
 func (g *Gangs) exit(member *gangMember, cause agent.ExitCause) {
-	machine, t := member.machine, member.task
+	machine, task := member.machine, member.task
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
-	if t.status == agent.StatusExited || machine.tasks[member.id] != t {
+	if task.status == agent.StatusExited || machine.tasks[member.id] != task {
 		return
 	}
-	if cause == agent.CauseIncomplete && t.status != agent.StatusWaiting {
+	if cause == agent.CauseIncomplete && task.status != agent.StatusWaiting {
 		return
 	}
 	if machine.faults.Hung {
@@ -172,8 +172,8 @@
 		return
 	}
 	g.countExit(member, cause)
-	t.end.Stop()
-	machine.exitTask(member.id, t, cause)
+	task.end.Stop()
+	machine.exitTask(member.id, task, cause)
 }
 
 // countExit counts a task that ends, and removes it from an attempt that has not begun.
@@ -202,7 +202,7 @@
 	case attempt.beganAt.IsZero():
 		delete(attempt.members, member.id.Task) // the others keep waiting
 		return
-	case attempt.over, member.saving && gracePeriodS > 0:
+	case attempt.ended, member.saving && gracePeriodS > 0:
 		return
 	}
 	canSave := spec.CheckpointS > 0 && gracePeriodS >= spec.SaveS && !attempt.hasAbsentMember()
@@ -227,7 +227,7 @@
 	switch {
 	case attempt.beganAt.IsZero():
 		delete(attempt.members, member.id.Task) // the others keep waiting
-	case !attempt.over:
+	case !attempt.ended:
 		g.memberGone(member)
 	}
 }
@@ -244,7 +244,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	member.absent = hung
-	if hung && !member.attempt.beganAt.IsZero() && !member.attempt.over {
+	if hung && !member.attempt.beganAt.IsZero() && !member.attempt.ended {
 		time.AfterFunc(g.notice, func() { g.fail(member.attempt) })
 	}
 }
@@ -264,7 +264,7 @@
 // save saves and stops an attempt if all of its tasks were halted in time; otherwise it fails.
 func (g *Gangs) save(attempt *gangAttempt) {
 	g.mu.Lock()
-	if attempt.over {
+	if attempt.ended {
 		g.mu.Unlock()
 		return
 	}
@@ -275,7 +275,7 @@
 			return
 		}
 	}
-	attempt.over = true
+	attempt.ended = true
 	attempt.job.progress += attempt.haltedAt.Sub(attempt.beganAt)
 	g.counts.Checkpointed++
 	saveTime := time.Duration(attempt.job.spec.SaveS * float64(time.Second))
@@ -288,11 +288,11 @@
 // gang returns to its last checkpoint. A machine that hung and went on in time fails nothing.
 func (g *Gangs) fail(attempt *gangAttempt) {
 	g.mu.Lock()
-	if attempt.over || !attempt.hasAbsentMember() && attempt.haltedAt.IsZero() {
+	if attempt.ended || !attempt.hasAbsentMember() && attempt.haltedAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
-	attempt.over = true
+	attempt.ended = true
 	attempt.rollBack()
 	g.mu.Unlock()
 	g.exitAll(attempt, agent.CauseMembersGone)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -30,24 +30,29 @@
 
 // Store is a key-value store.
 type Store struct {
-	mu             sync.Mutex // guards all below
-	rev            uint64
-	keys           map[string]entry
-	events         []kvstore.Event // the last keptChanges
-	dropped        uint64          // revision of the last change that is no longer kept
-	changed        chan struct{}   // closed and replaced at each change
-	leases         map[uint64]*lease
-	lastLease      uint64
-	faults         StoreFaults
-	random         *rand.Rand   // decides which responses are lost
-	held           []func()     // apply the transactions that are held back
-	limits         *StoreLimits // nil: none
-	writes         *rate.Limiter
-	refusals       StoreRefusals
-	requests       int // so far
-	transactions   int // so far, within the limits
-	unacknowledged int // of these
-	mutations      int // asked for so far
+	mu        sync.Mutex // guards all below
+	rev       uint64
+	keys      map[string]entry
+	events    []kvstore.Event // the last keptChanges
+	dropped   uint64          // revision of the last change that is no longer kept
+	changed   chan struct{}   // closed and replaced at each change
+	leases    map[uint64]*lease
+	lastLease uint64
+	faults    StoreFaults
+	random    *rand.Rand   // decides which responses are lost
+	held      []func()     // apply the transactions that are held back
+	limits    *StoreLimits // nil: none
+	writes    *rate.Limiter
+	refusals  StoreRefusals
+	counts    storeCounts
+}
+
+// storeCounts counts what came so far.
+type storeCounts struct {
+	requests       int
+	transactions   int // within the limits
+	unacknowledged int // transactions without a response
+	mutations      int // that transactions asked for
 }
 
 // entry is a stored value.
@@ -81,14 +86,14 @@
 func (s *Store) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.mutations
+	return s.counts.mutations
 }
 
 // Requests returns how many requests there were so far.
 func (s *Store) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.requests
+	return s.counts.requests
 }
 
 // Keys returns the keys with a prefix, in order.
@@ -113,7 +118,7 @@
 // Handle answers one request.
 func (s *Store) Handle(ctx context.Context, req *wire.Request) wire.Response {
 	s.mu.Lock()
-	s.requests++
+	s.counts.requests++
 	delay := s.faults.Delay
 	s.mu.Unlock()
 	time.Sleep(storeLatency + delay)
@@ -249,7 +254,7 @@
 	if wire.Unmarshal(body, &transaction) != nil {
 		return wire.Response{Status: 400}
 	}
-	s.mutations += len(transaction.Mutations)
+	s.counts.mutations += len(transaction.Mutations)
 	var failed []string
 	for _, compare := range transaction.Compares {
 		if s.keys[compare.Key].rev != compare.Revision {
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -85,7 +85,7 @@
 func (s *Store) Unacknowledged() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.unacknowledged
+	return s.counts.unacknowledged
 }
 
 // transactWithFaults carries out a transaction under the present faults and limits. The caller holds
@@ -100,19 +100,19 @@
 		s.transact(body)
 	}
 	faults := &s.faults
-	s.transactions++
+	s.counts.transactions++
 	switch {
-	case faults.DelayOneWriteIn > 0 && s.transactions%faults.DelayOneWriteIn == 0:
-		s.unacknowledged++
-		time.AfterFunc(time.Duration(2+s.transactions%11)*time.Second, applyLate)
+	case faults.DelayOneWriteIn > 0 && s.counts.transactions%faults.DelayOneWriteIn == 0:
+		s.counts.unacknowledged++
+		time.AfterFunc(time.Duration(2+s.counts.transactions%11)*time.Second, applyLate)
 		return wire.Response{Status: statusNoResponse}
 	case faults.HoldNext > 0 && changesPrefix(body, faults.HoldPrefix):
-		s.unacknowledged++
+		s.counts.unacknowledged++
 		faults.HoldNext--
 		s.held = append(s.held, applyLate)
 		return wire.Response{Status: statusDropConnection}
 	case faults.LoseNextResponses > 0, faults.LoseOneResponseIn > 0 && s.random.IntN(faults.LoseOneResponseIn) == 0:
-		s.unacknowledged++
+		s.counts.unacknowledged++
 		faults.LoseNextResponses = max(0, faults.LoseNextResponses-1)
 		s.transact(body)
 		return wire.Response{Status: statusDropConnection}
