--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -130,9 +130,9 @@
 		if time.Since(machine.rentedAt) < c.Lag {
 			continue
 		}
-		status := cloud.Running
+		status := cloud.MachineRunning
 		if !machine.Booted() {
-			status = cloud.Starting
+			status = cloud.MachineStarting
 		}
 		page = append(page, cloud.Machine{Name: machine.Name, Addr: machine.Addr, Type: c.Type.Name, Zone: machine.Zone, Status: status})
 	}
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -239,8 +239,9 @@
 
 // renumberUnsent gives attempts that were never sent numbers of the term that has just begun.
 func (t *attemptTracker) renumberUnsent(now time.Time) {
-	t.jobs.store.RenumberUnrecorded(t.term.Number(), func(attempt *jobstore.Attempt, previous uint64) {
-		t.machines.machine(attempt.Machine, now).Renumber(attempt, previous)
+	t.jobs.store.RenumberUnrecorded(t.term.Number(), func(renumbered jobstore.Renumbered) {
+		attempt := renumbered.Attempt
+		t.machines.machine(attempt.Machine, now).Renumber(attempt, renumbered.PreviousNumber)
 	})
 }
 
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"tulipshelf/internal/agent"
@@ -48,8 +47,10 @@
 // their turn when others are done, or with their next heartbeat.
 func (d *dispatcher) sendUrgent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
-		silent := now.Sub(machine.LastHeartbeat) >= d.Operator.UnhealthyAfter
-		if !machine.Urgent() || silent || d.sending >= d.maxInFlight() {
+		if !machine.Urgent() || d.sending >= d.maxInFlight() {
+			return
+		}
+		if now.Sub(machine.LastHeartbeat) >= d.Operator.UnhealthyAfter {
 			return
 		}
 		if commands := d.commands.forMachine(machine, now); len(commands) > 0 {
@@ -66,7 +67,7 @@
 	d.loop.start(func() {
 		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
 		defer cancel()
-		status, err := agent.Call(ctx, client, http.MethodPost, agent.CommandsPath, body)
+		status, err := agent.Call(ctx, client, wire.MethodPost, agent.CommandsPath, body)
 		d.loop.submit(commandsAnswered{machine, status, err})
 	})
 }
@@ -124,10 +125,12 @@
 	if machine.Registered {
 		heardAt = machine.LastHeartbeat
 	}
-	suspect := now.Sub(heardAt) >= d.heartbeatOverdue() || !machine.UnresponsiveSince.IsZero()
+	if now.Sub(heardAt) < d.heartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
+		return false
+	}
 	direct := machine.Addr != "" && machine.RelayedBy == "" && !machine.RequestInFlight
 	staying := machine.RetireReason == agent.NotRetired && !machine.Booting
-	return suspect && direct && staying && now.Sub(machine.LastProbe) >= probeInterval
+	return direct && staying && now.Sub(machine.LastProbe) >= probeInterval
 }
 
 func (d *dispatcher) probe(machine *agent.Machine, now time.Time) {
@@ -137,10 +140,10 @@
 	d.loop.start(func() {
 		ctx, cancel := context.WithTimeout(d.loop.ctx, agentRequestTimeout)
 		defer cancel()
-		status, err := agent.Call(ctx, client, http.MethodGet, agent.StatusPath, nil)
+		status, err := agent.Call(ctx, client, wire.MethodGet, agent.StatusPath, nil)
 		if err == nil && status.FencingToken < term {
 			body := encodeCommands(term, status.Incarnation, []agent.Command{})
-			status, err = agent.Call(ctx, client, http.MethodPost, agent.CommandsPath, body)
+			status, err = agent.Call(ctx, client, wire.MethodPost, agent.CommandsPath, body)
 		}
 		d.loop.submit(probeAnswered{machine, status, err})
 	})
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -217,9 +217,9 @@
 		machine.Type, machine.Zone = s.topology.resolve(entry.Type, entry.Zone)
 		machine.Spot, machine.Addr = entry.Spot, entry.Addr
 	}
-	machine.Failed = entry.Status == cloud.Failed
-	machine.Listed = machine.Listed || entry.Status == cloud.Running
-	machine.Booting = entry.Status == cloud.Starting && !machine.Registered
+	machine.Failed = entry.Status == cloud.MachineFailed
+	machine.Listed = machine.Listed || entry.Status == cloud.MachineRunning
+	machine.Booting = entry.Status == cloud.MachineStarting && !machine.Registered
 }
 
 // listLagLeeway is added to twice the time by which lists lag, as the settings give it.
@@ -255,8 +255,8 @@
 	use := s.clusterUse(now)
 	waiting := 0
 	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
-	starts, chunks, ends := s.jobs.store.Backlog()
-	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
+	backlog := s.jobs.store.Backlog()
+	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
 	slog.Debug("cluster", "machines", use.machines, "spot", use.spot, "up", use.up, "empty", use.empty, "cpus", use.cpus,
 		"free", use.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
 }
