--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
 	"strings"
 	"sync"
 	"time"
@@ -60,8 +59,8 @@
 // known before the request was sent, or "".
 func (a *answerLog) record(id, knownBefore string, resp wire.Response) string {
 	var body statusBody
-	accepted := resp.Status == http.StatusOK || resp.Status == http.StatusCreated
-	if resp.Status != http.StatusNotFound && (!accepted || wire.Unmarshal(resp.Body, &body) != nil || body.Status == "") {
+	accepted := resp.Status == wire.StatusOK || resp.Status == wire.StatusCreated
+	if resp.Status != wire.StatusNotFound && (!accepted || wire.Unmarshal(resp.Body, &body) != nil || body.Status == "") {
 		return "" // nothing about the job
 	}
 	status := body.Status
@@ -113,7 +112,7 @@
 
 // heartbeat sends an agent's heartbeat to a controller and returns the status of the response.
 func (c *cluster) heartbeat(node int, body []byte) int {
-	return c.request(node, "POST", "/v1/report", body).Status
+	return c.request(node, wire.MethodPost, heartbeatPath, body).Status
 }
 
 // submit submits a job and returns the status of the response.
@@ -122,7 +121,7 @@
 	if spec, err := job.Decode(body); err == nil {
 		c.invariants.AddJob(spec)
 	}
-	return c.request(node, "POST", "/v1/jobs", body).Status
+	return c.request(node, wire.MethodPost, "/v1/jobs", body).Status
 }
 
 // submitUntilAccepted repeats a submission until it is accepted.
@@ -130,19 +129,19 @@
 	c.t.Helper()
 	c.waitUntil("submission accepted", limit, func() bool {
 		status := c.submit(node, r)
-		return status == http.StatusCreated || status == http.StatusOK
+		return status == wire.StatusCreated || status == wire.StatusOK
 	})
 }
 
 // requestCancel asks a controller to cancel a job and returns the response.
 func (c *cluster) requestCancel(node int, id string) wire.Response {
-	return c.request(node, "POST", "/v1/jobs/"+id+"/abort", nil)
+	return c.request(node, wire.MethodPost, "/v1/jobs/"+id+"/abort", nil)
 }
 
 // cancel cancels a job, which a controller has to confirm at once.
 func (c *cluster) cancel(node int, id string) {
 	c.t.Helper()
-	if status := c.requestCancel(node, id).Status; status != http.StatusOK {
+	if status := c.requestCancel(node, id).Status; status != wire.StatusOK {
 		c.t.Fatalf("cancellation of %s: %d", id, status)
 	}
 }
@@ -151,14 +150,14 @@
 // done.
 func (c *cluster) cancelUntilConfirmed(limit time.Duration, node int, id string) {
 	c.t.Helper()
-	c.waitUntil(id+" cancelled or done", limit, func() bool { return c.requestCancel(node, id).Status == http.StatusOK })
+	c.waitUntil(id+" cancelled or done", limit, func() bool { return c.requestCancel(node, id).Status == wire.StatusOK })
 }
 
 // status returns a job's status, or the status code of the response if that is not 200.
 func (c *cluster) status(node int, id string) string {
 	var body statusBody
-	resp := c.request(node, "GET", "/v1/jobs/"+id, nil)
-	if resp.Status != http.StatusOK || wire.Unmarshal(resp.Body, &body) != nil {
+	resp := c.request(node, wire.MethodGet, "/v1/jobs/"+id, nil)
+	if resp.Status != wire.StatusOK || wire.Unmarshal(resp.Body, &body) != nil {
 		return fmt.Sprint(resp.Status)
 	}
 	return body.Status
@@ -171,7 +170,7 @@
 
 // isReady reports whether a controller takes requests.
 func (c *cluster) isReady(node int) bool {
-	return c.request(node, "GET", "/ready", nil).Status == http.StatusOK
+	return c.request(node, wire.MethodGet, "/ready", nil).Status == wire.StatusOK
 }
 
 // runService submits the service wk-000001 and waits until all its replicas run.
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -193,7 +193,7 @@
 	sentAt := time.Now()
 	resp := a.sendHeartbeat(a.cloud.controllerAddrs[controller])
 	switch resp.Status {
-	case 200:
+	case wire.StatusOK:
 		a.acceptResponse(resp.Body, sentAt)
 		select {
 		case <-a.changes:
@@ -202,7 +202,7 @@
 		case <-a.ctx.Done():
 		}
 		return controller
-	case 421:
+	case wire.StatusMisdirectedRequest:
 		if leader, known := a.namedLeader(resp.Body, controller); known {
 			return leader
 		}
@@ -269,7 +269,7 @@
 	defer cancel()
 	client := wire.Client{Dial: a.cloud.network.Dial(a.Addr), Addr: addr}
 	defer client.CloseIdle()
-	resp, err := client.Do(ctx, "POST", "/v1/report", body)
+	resp, err := client.Do(ctx, wire.MethodPost, "/v1/report", body)
 	if err != nil {
 		return wire.Response{}
 	}
@@ -302,18 +302,18 @@
 	if a.faults.Hung || a.faults.DropIncoming {
 		return wire.Response{Status: statusDropConnection}
 	}
-	if req.Path == "/status" {
-		return wire.Response{Status: 200, Body: a.nextHeartbeat()}
+	if req.Path == agent.StatusPath {
+		return wire.Response{Status: wire.StatusOK, Body: a.nextHeartbeat()}
 	}
-	if req.Path != "/commands" || wire.Unmarshal(req.Body, &commands) != nil {
-		return wire.Response{Status: 400}
+	if req.Path != agent.CommandsPath || wire.Unmarshal(req.Body, &commands) != nil {
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	if commands.FencingToken < a.fencingToken || commands.Incarnation != a.incarnation {
-		return wire.Response{Status: 409, Body: a.nextHeartbeat()}
+		return wire.Response{Status: wire.StatusConflict, Body: a.nextHeartbeat()}
 	}
 	a.fencingToken = commands.FencingToken
 	a.execute(commands.Commands)
-	return wire.Response{Status: 200, Body: a.nextHeartbeat()}
+	return wire.Response{Status: wire.StatusOK, Body: a.nextHeartbeat()}
 }
 
 // signalChange makes the next heartbeat leave soon.
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -107,19 +107,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.Down {
-		return wire.Response{Status: 503, Body: wire.Marshal(map[string]string{"error": "trouble"})}
+		return wire.Response{Status: wire.StatusServiceUnavailable, Body: wire.Marshal(map[string]string{"error": "trouble"})}
 	}
 	switch {
 	case req.Path == "/catalog":
 		return ok(map[string]any{"builds": []cloud.Type{c.Type}})
-	case req.Path == "/rentals" && req.Method == "GET":
+	case req.Path == "/rentals" && req.Method == wire.MethodGet:
 		return c.list(parseQuery(req.Query))
 	case req.Path == "/rentals":
 		return c.rent(req.Body)
 	case req.Path == "/rentals/return":
 		return c.takeBack(req.Body)
 	}
-	return wire.Response{Status: 400}
+	return wire.Response{Status: wire.StatusBadRequest}
 }
 
 // list answers with a page of the machines, without those that were rented within Lag. The caller
@@ -147,7 +147,7 @@
 func (c *Cloud) rent(body []byte) wire.Response {
 	var rental cloud.Rental
 	if wire.Unmarshal(body, &rental) != nil || rental.Count > cloud.MaxRent {
-		return wire.Response{Status: 400}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	names, isRepeated := c.rentals[rental.Name]
 	if !isRepeated {
@@ -162,7 +162,7 @@
 			go machine.run(time.Duration(c.Type.BootS * float64(time.Second)))
 		}
 		if names == nil {
-			return wire.Response{Status: 503, Body: wire.Marshal(map[string]string{"error": "no capacity"})}
+			return wire.Response{Status: wire.StatusServiceUnavailable, Body: wire.Marshal(map[string]string{"error": "no capacity"})}
 		}
 		c.rentals[rental.Name] = names
 	}
@@ -175,7 +175,7 @@
 		Names []string `cbor:"shelves"`
 	}
 	if wire.Unmarshal(body, &request) != nil || len(request.Names) > cloud.MaxReturn {
-		return wire.Response{Status: 400}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	for _, name := range request.Names {
 		if machine := c.machines[name]; machine != nil {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -129,16 +129,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Down {
-		return wire.Response{Status: 503}
+		return wire.Response{Status: wire.StatusServiceUnavailable}
 	}
 	switch {
-	case req.Method == "GET" && req.Path == "/keys":
+	case req.Method == wire.MethodGet && req.Path == "/keys":
 		return s.list(query)
-	case req.Method == "GET" && strings.HasPrefix(req.Path, "/keys/"):
+	case req.Method == wire.MethodGet && strings.HasPrefix(req.Path, "/keys/"):
 		return s.get(strings.TrimPrefix(req.Path, "/keys/"))
 	case req.Path == "/txn":
 		return s.transactWithFaults(append([]byte(nil), req.Body...))
-	case req.Method == "POST" && req.Path == "/leases":
+	case req.Method == wire.MethodPost && req.Path == "/leases":
 		return s.grantLease(req.Body)
 	case strings.HasPrefix(req.Path, "/leases/"):
 		text, extend := strings.CutSuffix(strings.TrimPrefix(req.Path, "/leases/"), "/extend")
@@ -148,11 +148,11 @@
 		}
 		return s.revokeLease(id)
 	}
-	return wire.Response{Status: 400}
+	return wire.Response{Status: wire.StatusBadRequest}
 }
 
 // ok answers with a value.
-func ok(v any) wire.Response { return wire.Response{Status: 200, Body: wire.Marshal(v)} }
+func ok(v any) wire.Response { return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(v)} }
 
 // parseQuery returns the parameters of a request by name.
 func parseQuery(text string) map[string]string {
@@ -186,7 +186,7 @@
 func (s *Store) get(key string) wire.Response {
 	stored, found := s.keys[key]
 	if !found {
-		return wire.Response{Status: 404}
+		return wire.Response{Status: wire.StatusNotFound}
 	}
 	return ok(kvstore.Item{Key: key, Value: stored.value, Revision: stored.rev})
 }
@@ -197,7 +197,7 @@
 		TTL int64 `cbor:"ttl_ms"`
 	}
 	if wire.Unmarshal(body, &request) != nil {
-		return wire.Response{Status: 400}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	s.lastLease++
 	id, ttl := s.lastLease, time.Duration(request.TTL)*time.Millisecond
@@ -213,7 +213,7 @@
 func (s *Store) extendLease(id uint64) wire.Response {
 	l := s.leases[id]
 	if l == nil {
-		return wire.Response{Status: 404}
+		return wire.Response{Status: wire.StatusNotFound}
 	}
 	l.timer.Reset(l.ttl)
 	return ok(map[string]uint64{"hold": id})
@@ -222,7 +222,7 @@
 // revokeLease ends a lease at once. The caller holds mu.
 func (s *Store) revokeLease(id uint64) wire.Response {
 	if s.leases[id] == nil {
-		return wire.Response{Status: 404}
+		return wire.Response{Status: wire.StatusNotFound}
 	}
 	s.endLease(id)
 	return ok(map[string]uint64{"hold": id})
@@ -252,7 +252,7 @@
 		Mutations []kvstore.Mutation `cbor:"then"`
 	}
 	if wire.Unmarshal(body, &transaction) != nil {
-		return wire.Response{Status: 400}
+		return wire.Response{Status: wire.StatusBadRequest}
 	}
 	s.counts.mutations += len(transaction.Mutations)
 	var failed []string
@@ -262,11 +262,11 @@
 		}
 	}
 	if failed != nil {
-		return wire.Response{Status: 409, Body: wire.Marshal(map[string]any{"failed": failed, "epoch": s.rev})}
+		return wire.Response{Status: wire.StatusConflict, Body: wire.Marshal(map[string]any{"failed": failed, "epoch": s.rev})}
 	}
 	for _, mutation := range transaction.Mutations {
 		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
-			return wire.Response{Status: 400, Body: wire.Marshal(map[string]string{"error": "no such lease"})}
+			return wire.Response{Status: wire.StatusBadRequest, Body: wire.Marshal(map[string]string{"error": "no such lease"})}
 		}
 	}
 	s.rev++
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -174,10 +174,10 @@
 	switch {
 	case tooLarge:
 		s.refusals.TooLarge++
-		return wire.Response{Status: 400, Body: wire.Marshal(map[string]string{"error": "too large"})}
+		return wire.Response{Status: wire.StatusBadRequest, Body: wire.Marshal(map[string]string{"error": "too large"})}
 	case !s.writes.AllowN(time.Now(), len(transaction.Mutations)):
 		s.refusals.TooMany++
-		return wire.Response{Status: 429}
+		return wire.Response{Status: wire.StatusTooManyRequests}
 	}
 	return wire.Response{}
 }
