--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/jobstore"
 )
 
@@ -56,7 +57,7 @@
 func TestCancelAppliedWithoutAnswer(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.submitted("wk-000001")
-		f.store.LoseResponses(1)
+		f.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 	})
 }
@@ -65,12 +66,12 @@
 func TestCancelInDoubt(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.submitted("wk-000001")
-		f.store.DelayTransactions(maxCancelAttempts, jobstore.JobPrefix)
+		f.store.SetFaults(fake.StoreFaults{HoldNext: maxCancelAttempts, HoldPrefix: jobstore.JobPrefix})
 		f.expectUnavailable(f.cancel("wk-000001"))
 		if cancelled := f.noted(&f.cancelled); len(cancelled) != 0 {
 			t.Errorf("reported: %v", cancelled)
 		}
-		f.store.Release()
+		f.store.ReleaseHeld()
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 	})
 }
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"testing"
+
+	"tulipshelf/internal/fake"
 )
 
 // The paths and methods that users may ask for, and no others.
@@ -36,7 +38,7 @@
 		f.submitted("wk-000002")
 		f.finish("wk-000002", StatusDone, 10)
 		f.expect(f.poll("wk-000002"), 200, StatusDone)
-		f.store.Down(true)
+		f.store.SetFaults(fake.StoreFaults{Down: true})
 		f.expectUnavailable(f.submit(submission("wk-000001")))
 		f.expectUnavailable(f.submit(submission("wk-000003")))
 		f.expectUnavailable(f.poll("wk-000001"))
@@ -44,7 +46,7 @@
 		f.expect(f.submit(submission("wk-000002")), 200, StatusDone)
 		f.expect(f.poll("wk-000002"), 200, StatusDone)
 		f.expect(f.cancel("wk-000002"), 200, StatusDone)
-		f.store.Down(false)
+		f.store.SetFaults(fake.StoreFaults{})
 		f.expect(f.poll("wk-000001"), 200, StatusPending)
 	})
 }
@@ -53,7 +55,7 @@
 func TestSlowStore(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.submitted("wk-000001")
-		f.store.Delay(2 * requestTimeout)
+		f.store.SetFaults(fake.StoreFaults{Delay: 2 * requestTimeout})
 		f.expectUnavailable(f.poll("wk-000001"))
 		f.expectUnavailable(f.submit(submission("wk-000002")))
 		f.expectUnavailable(f.cancel("wk-000001"))
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/jobstore"
 )
 
@@ -29,7 +30,7 @@
 // A submission that was applied without an answer is read back and reported as known.
 func TestSubmitAppliedWithoutAnswer(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
-		f.store.LoseResponses(1)
+		f.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 		f.expect(f.submit(submission("wk-000001")), 200, StatusPending)
 		f.record("wk-000001")
 	})
@@ -38,9 +39,9 @@
 // A submission that may yet be applied is neither accepted nor refused.
 func TestSubmitInDoubt(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
-		f.store.DelayTransactions(1, jobstore.JobPrefix)
+		f.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: jobstore.JobPrefix})
 		f.expectUnavailable(f.submit(submission("wk-000001")))
-		f.store.Release()
+		f.store.ReleaseHeld()
 		f.expect(f.submit(submission("wk-000001")), 200, StatusPending)
 	})
 }
--- a/internal/api/validate_test.go
+++ b/internal/api/validate_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"tulipshelf/internal/cloud"
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/job"
 )
 
@@ -39,7 +40,7 @@
 				}
 				f.submitted("wk-000001")
 				f.expect(f.submit(invalid), 200, StatusPending) // known, whatever this copy says
-				f.store.Down(true)
+				f.store.SetFaults(fake.StoreFaults{Down: true})
 				f.expectUnavailable(f.submit(invalid)) // in doubt it is not refused, either
 			})
 		})
--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -1,7 +1,7 @@
 package autoscaler
 
 // Sizing for arrays: how many CPUs their tasks should have together. Arrays are counted in CPUs, not in
-// tasks, as their tasks take turns on a machine (TestSmallTasksRentLittle in package controller).
+// tasks, as their tasks take turns on a machine (TestSmallTasksDoNotOverprovision in package controller).
 
 import (
 	"math"
--- /dev/null
+++ b/internal/controller/autoscaling_test.go
@@ -0,0 +1,58 @@
+package controller
+
+// The autoscaler: how many machines are rented, and what happens while the cloud does not serve.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+)
+
+// Machines are rented for the resources of an array of small tasks and not for their number. Otherwise
+// larger tasks would be entitled to the surplus later.
+func TestSmallTasksDoNotOverprovision(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithCapacity(60, 1000)
+		c.submit(0, newJob("wk-000001", job.Array, 150, 20))
+		c.submit(0, newJob("wk-000002", job.Array, 800, 20).withResources(0.25, 0.5))
+		c.waitUntil("small tasks done", 3*time.Minute, c.isDone("wk-000002"))
+		c.waitUntil("array done", 3*time.Minute, c.isDone("wk-000001"))
+		if n := len(c.cloud.Machines()) + len(c.cloud.Returned()); n > 52 {
+			t.Errorf("%d machines of 4 CPUs rented", n)
+		}
+		c.checkStartedOnce()
+	})
+}
+
+// A new leader that has rented machines continues to scale out while they boot.
+func TestScaleOutWhileMachinesBoot(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Lag = 4 * time.Second })
+		c.waitUntil("submission accepted", 3*time.Second, func() bool { return c.submit(0, newJob("wk-000001", job.Service, 4, 0)) == 201 })
+		c.waitUntil("a machine rented", 3*time.Second, func() bool { return len(c.cloud.Machines()) > 0 })
+		c.submitUntilAccepted(time.Second, 0, newJob("wk-000002", job.Service, 12, 0))
+		c.waitUntil("more machines rented", 3*time.Second, func() bool { return len(c.cloud.Machines()) >= 4 })
+	})
+}
+
+// In an outage of the cloud controllers that start accept submissions, by the machine types that were
+// stored, and what runs goes on.
+func TestSubmissionsAcceptedInCloudOutage(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(2)
+		time.Sleep(time.Minute) // the leader reads the catalog once a minute
+		c.cloud.SetFaults(fake.CloudFaults{Down: true})
+		c.restartEach()
+		c.waitUntil("submission accepted", 15*time.Second, func() bool {
+			return c.submit(0, newJob("wk-000002", job.Array, 2, 5)) == 201
+		})
+		c.waitUntil("array done on the present machines", time.Minute, c.isDone("wk-000002"))
+		c.cloud.SetFaults(fake.CloudFaults{})
+		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
+			t.Errorf("replica started %d times", n)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/cancellation_outage_test.go
@@ -0,0 +1,223 @@
+package controller
+
+// Cancellations that are confirmed just before the key-value store fails for longer than the deadline
+// in which their tasks must be gone.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+)
+
+// The leader is separated from the store and its peers, but not from its machines. A job is cancelled
+// through the next leader, and then the store fails for longer than the deadline. The next leader
+// stops the tasks all the same: a recorded cancellation needs no further confirmation by the store.
+func TestCancelThenStoreOutage(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		old := c.partitionLeader()
+		time.Sleep(time.Second)
+		c.cancel((old+1)%controllers, "wk-000001")
+		c.beginStoreOutage()
+		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+		c.heal()
+		c.endStoreOutage()
+		c.submitUntilAccepted(20*time.Second, 0, newJob("wk-000002", job.Array, 2, 5))
+		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
+		c.checkStartedOnce()
+	})
+}
+
+// cancellationOutage is a fault that follows on a confirmed cancellation and the store's outage.
+type cancellationOutage struct {
+	name            string
+	leaderIsolated  bool // the old leader is separated from the other controllers as well as from the store
+	storeFailsLate  bool // the store fails only once the next leader has been elected, which reads nothing
+	inject          func(c *cluster, oldLeader, confirming int)
+	otherJobKeepsOn bool // tasks of a job that is not cancelled may not be lost
+}
+
+var cancellationOutages = []cancellationOutage{
+	{name: "no further fault", inject: func(*cluster, int, int) {}, otherJobKeepsOn: true},
+	{name: "confirming controller restarts", inject: func(c *cluster, _, confirming int) {
+		c.restartAfter(confirming, 3*time.Second)
+	}, otherJobKeepsOn: true},
+	{name: "old leader restarts within a second", inject: func(c *cluster, oldLeader, _ int) {
+		c.restartAfter(oldLeader, 300*time.Millisecond)
+	}, otherJobKeepsOn: true},
+	{name: "old leader isolated", leaderIsolated: true, inject: func(*cluster, int, int) {}, otherJobKeepsOn: true},
+	{name: "old leader isolated, confirming controller restarts", leaderIsolated: true, inject: func(c *cluster, _, confirming int) {
+		c.restartAfter(confirming, 3*time.Second)
+	}},
+	{name: "old leader isolated, both others restart", leaderIsolated: true, inject: func(c *cluster, oldLeader, confirming int) {
+		c.restartAfter(confirming, 0)
+		c.restartAfter(thirdController(oldLeader, confirming), 0)
+	}},
+	{name: "machines come to a restarted controller", inject: func(c *cluster, oldLeader, confirming int) {
+		c.kill(oldLeader)
+		c.kill(confirming)
+		time.Sleep(2 * time.Second)
+		c.start(confirming)
+		time.Sleep(4 * time.Second) // it learns from the third what that knows
+		c.kill(thirdController(oldLeader, confirming))
+	}},
+	{name: "all controllers restart", inject: func(c *cluster, _, _ int) {
+		c.killAll()
+		c.startAll()
+	}},
+	{name: "machines hang", inject: func(c *cluster, _, _ int) { c.hangMachines() }},
+	{name: "machines hang, cloud outage", inject: func(c *cluster, _, _ int) {
+		c.hangMachines()
+		c.cloud.SetFaults(fake.CloudFaults{Down: true})
+		time.Sleep(35 * time.Second)
+		c.cloud.SetFaults(fake.CloudFaults{})
+	}},
+	{name: "machines hang, old leader isolated", leaderIsolated: true, inject: func(c *cluster, _, _ int) { c.hangMachines() }},
+	{name: "machines hang, old leader ends", inject: func(c *cluster, oldLeader, _ int) {
+		c.hangMachines()
+		c.kill(oldLeader)
+	}},
+	{name: "machines hang, old leader and confirming controller end", inject: func(c *cluster, oldLeader, confirming int) {
+		c.hangMachines()
+		c.kill(oldLeader)
+		c.kill(confirming)
+	}},
+	{name: "machines hang, next leader has loaded no records", storeFailsLate: true, inject: func(c *cluster, oldLeader, _ int) {
+		c.hangMachines()
+		c.kill(oldLeader)
+		c.waitForLeader(10 * time.Second)
+		time.Sleep(5 * time.Second)
+		if c.hasLoadedRecords(c.leader()) {
+			c.t.Error("the next leader has loaded the records")
+		}
+	}},
+	{name: "machines hang and resume, old leader isolated", leaderIsolated: true, inject: func(c *cluster, _, _ int) {
+		c.hangMachines()
+		time.Sleep(20 * time.Second)
+		c.resumeMachines()
+	}},
+	{name: "machines are unresponsive", inject: func(c *cluster, _, _ int) {
+		for _, machine := range c.cloud.Machines() {
+			machine.SetFaults(fake.AgentFaults{DropIncoming: true})
+		}
+	}},
+}
+
+// thirdController returns the controller that is neither of two.
+func thirdController(a, b int) int { return 0 + 1 + 2 - a - b }
+
+// The store refuses the leader alone, and another controller confirms a cancellation. At that moment
+// the store fails for all, for longer than the deadline, while agents still report to the old
+// leader. Whichever further fault follows, the tasks are gone in time and do not come back; a job
+// that is not cancelled keeps running where a controller is left that can tell the two apart.
+func TestCancelledTasksStopWhenStoreFailsAfterConfirmation(t *testing.T) {
+	for _, outage := range cancellationOutages {
+		t.Run(outage.name, func(t *testing.T) {
+			simulate(t, func(c *cluster) { testCancellationOutage(t, c, outage) })
+		})
+	}
+}
+
+func testCancellationOutage(t *testing.T, c *cluster, outage cancellationOutage) {
+	const cancelled, other = "wk-000001", "wk-000002"
+	c.waitForElection()
+	c.runService(8)
+	c.submitUntilAccepted(5*time.Second, 0, newJob(other, job.Service, 4, 0))
+	c.waitUntilRunning(12, time.Minute)
+	time.Sleep(8 * time.Second)
+
+	oldLeader := c.leader()
+	confirming := (oldLeader + 1) % controllers
+	if outage.leaderIsolated {
+		c.partitionFromStoreAndPeers(oldLeader)
+	} else {
+		c.partitionFromStore(oldLeader)
+	}
+	time.Sleep(300 * time.Millisecond)
+	c.cancel(confirming, cancelled)
+	confirmedAt := time.Now()
+	if outage.storeFailsLate {
+		c.store.SetFaults(fake.StoreFaults{DownAfterPrefix: "lead/holder"})
+	} else {
+		c.beginStoreOutage()
+	}
+	if !c.isLeader(oldLeader) {
+		t.Error("the leader is not left with its machines")
+	}
+	outage.inject(c, oldLeader, confirming)
+
+	for c.invariants.RunningTasksOf(cancelled) > 0 {
+		if time.Since(confirmedAt) > cancelDeadline {
+			t.Fatalf("%d cancelled tasks left", c.invariants.RunningTasksOf(cancelled))
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	for end := confirmedAt.Add(afterDeadline); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		if n := c.invariants.RunningTasksOf(cancelled); n != 0 {
+			t.Fatalf("%d cancelled tasks are back", n)
+		}
+	}
+	if n, returned := c.invariants.RunningTasksOf(other), c.cloud.Returned(); outage.otherJobKeepsOn && (n != 4 || len(returned) != 0) {
+		t.Errorf("%d of 4 replicas that nobody cancelled are left, %v returned", n, returned)
+	}
+
+	c.restartEach()
+	c.resumeMachines()
+	c.heal()
+	c.endStoreOutage()
+	c.waitUntil("cancellation answered", 20*time.Second, func() bool { return c.status(oldLeader, cancelled) == jobstore.StatusCancelled })
+	c.waitUntilRunningOf(other, 4, 2*time.Minute)
+}
+
+// afterDeadline is how long after a confirmation a test goes on looking for cancelled tasks: until
+// agents that missed everything have come back or are gone.
+const afterDeadline = 63 * time.Second
+
+// The same outage, with a start that the confirming controller has not heard of: the old leader has
+// recorded it, and the command arrives after the confirmation; or it has arrived just before, the
+// machine hangs, and the leader that sent it ends.
+func TestCancelledStartInFlightStopsWhenStoreFails(t *testing.T) {
+	for name, hang := range map[string]bool{"command is delayed": false, "machines hang and the leader ends": true} {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(c *cluster) {
+				c.waitForElection()
+				c.runService(8)
+				old := c.leader()
+				running := func() int { return c.invariants.RunningTasksOf("wk-000002") }
+				if !hang {
+					c.delayCommands(8 * time.Second)
+				}
+				c.submitUntilAccepted(5*time.Second, old, newJob("wk-000002", job.Service, 4, 0))
+				c.waitUntil("starts recorded", 5*time.Second, func() bool { return len(c.store.Keys("job/wk-000002/")) > 0 })
+				if hang {
+					c.waitUntil("tasks run", 5*time.Second, func() bool { return running() == 4 })
+					c.hangMachines()
+				}
+				c.partitionFromStore(old)
+				c.cancel((old+1)%controllers, "wk-000002")
+				confirmedAt := time.Now()
+				c.beginStoreOutage()
+				if hang {
+					c.kill(old)
+				} else {
+					if n := running(); n != 0 {
+						t.Fatalf("%d tasks run already", n)
+					}
+					c.waitUntil("the starts are carried out", 12*time.Second, func() bool { return running() > 0 })
+				}
+				c.waitUntil("cancelled tasks gone", time.Until(confirmedAt.Add(cancelDeadline)), func() bool { return running() == 0 })
+				time.Sleep(time.Until(confirmedAt.Add(afterDeadline)))
+				if n := running(); n != 0 {
+					t.Errorf("%d cancelled tasks left", n)
+				}
+				if hang {
+					c.start(old)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/cancellation_test.go
@@ -0,0 +1,292 @@
+package controller
+
+// Cancellations: once one is confirmed to a user, the tasks of the job are gone within the deadline and
+// none of them starts again.
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+)
+
+// Safety rule 6: a cancelled task on a machine that cannot be reached is gone within the deadline,
+// because the machine is returned, also in an outage of the store. So many machines hang that they
+// are not given up for missing heartbeats alone.
+func TestCancelledTasksStopOnHungMachines(t *testing.T) {
+	for name, outage := range map[string]bool{"alone": false, "in an outage": true} {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(c *cluster) {
+				c.waitForElection()
+				c.runService(12)
+				c.hangMachines()
+				c.cancel(1, "wk-000001")
+				if outage {
+					c.beginStoreOutage()
+				}
+				c.waitUntil("task gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+				c.endStoreOutage()
+				c.waitUntil("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
+				time.Sleep(time.Minute)
+				if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
+					t.Errorf("started %d times", n)
+				}
+			})
+		})
+	}
+}
+
+// A job is cancelled while there is no leader, and none can be elected in the store's outage that
+// follows: the controllers to which agents turn stop the tasks that they know to be cancelled.
+func TestCancelWithoutLeader(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		old := c.leader()
+		c.kill(old)
+		c.cancel((old+1)%controllers, "wk-000001")
+		c.beginStoreOutage()
+		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+		c.start(old)
+		c.endStoreOutage()
+		c.waitUntil("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
+	})
+}
+
+// A leader that is elected long after a cancellation stops the tasks where they are; it returns no
+// machine before that had the time to send it a heartbeat. Until then the tasks were kept by a
+// controller that could not learn of the cancellation.
+func TestCancelLongBeforeElection(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		old := c.leader()
+		c.partition(func(from, to string) bool {
+			ofOldLeader := from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old)
+			if ofOldLeader { // it reaches machines and users only
+				return !isMachine(from) && !isMachine(to) && !isUser(from)
+			}
+			return isMachine(from) && isController(to) || isController(from) && isMachine(to)
+		})
+		c.cancel((old+1)%controllers, "wk-000001")
+		c.beginStoreOutage()
+		time.Sleep(32 * time.Second)
+		if n := c.invariants.RunningTasks(); n != 8 {
+			t.Errorf("%d of 8 tasks run at the end of the outage", n)
+		}
+		c.partitionFromStore(old)
+		c.endStoreOutage()
+		c.waitUntil("cancelled tasks gone", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
+		time.Sleep(3 * time.Second)
+		if got := c.cloud.Returned(); len(got) != 0 {
+			t.Errorf("returned %v", got)
+		}
+	})
+}
+
+// A job is cancelled while the starts of its tasks cannot be recorded: the starts are dropped without
+// being sent, the job ends, and other jobs of the team get its share of the quota.
+func TestCancelBeforeStartsAreRecorded(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		c.runService(80) // of 96 that the team may use
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 20, HoldPrefix: jobstore.JobKey("wk-000002") + "/"})
+		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 16, 0))
+		c.waitUntil("starts delayed", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
+		c.cancel(1, "wk-000002")
+		c.submitUntilAccepted(5*time.Second, 2, newJob("wk-000003", job.Array, 16, 5))
+		// Advancing the term would prove in half a minute that they were never sent; that is not needed.
+		c.waitForStatuses(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
+		c.waitUntil("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
+		if n := c.invariants.StartsByTask()["wk-000002/0"]; n != 0 {
+			t.Errorf("started %d times", n)
+		}
+		c.store.SetFaults(fake.StoreFaults{})
+		c.store.ReleaseHeld()
+		time.Sleep(5 * time.Second)
+		if keys := c.store.Keys(jobstore.JobKey("wk-000002")); len(keys) > 0 {
+			t.Errorf("late transactions brought back %v", keys)
+		}
+	})
+}
+
+// Jobs are cancelled in the seconds in which leadership passes from a controller that no machine
+// reaches to the next.
+func TestCancelDuringLeadershipTransfer(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		const jobs = 24
+		for i := range jobs {
+			c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Service, 2, 0))
+		}
+		c.waitUntil("all run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
+		time.Sleep(12 * time.Second)
+		old := c.leader()
+		const delay = 100 * time.Millisecond // so that starts stay in flight for a while
+		c.store.SetFaults(fake.StoreFaults{Delay: delay})
+		c.partitionFromMachines(old)
+		cancelledUnder := map[int]int{} // cancellations by leader
+		for i := range jobs {
+			time.Sleep(500 * time.Millisecond)
+			cancelledUnder[c.leader()]++
+			c.cancelUntilConfirmed(10*time.Second, i%controllers, jobID(i))
+			// And one that has just been accepted.
+			small := newJob(jobID(100+i), job.Array, 8, 60).withResources(0.25, 0.5)
+			if i%4 == 0 {
+				// Its starts stay unrecorded.
+				c.store.SetFaults(fake.StoreFaults{Delay: delay, HoldNext: 3, HoldPrefix: jobstore.JobKey(jobID(100+i)) + "/"})
+			}
+			c.submitUntilAccepted(10*time.Second, i%controllers, small)
+			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
+			c.cancelUntilConfirmed(10*time.Second, (i+1)%controllers, jobID(100+i))
+		}
+		if cancelledUnder[old] < 5 || cancelledUnder[old] > jobs-5 {
+			t.Errorf("cancelled by leader: %v, the first is %d", cancelledUnder, old)
+		}
+		c.waitUntil("all tasks stopped, without waiting for machines to be returned", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
+		c.heal()
+		c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Delay = 0 })
+		c.waitUntil("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
+		if n := c.invariants.StartsAfterCancellation(); n != 0 {
+			t.Errorf("%d tasks were started after their cancellation was confirmed", n)
+		}
+	})
+}
+
+// A cancellation, a query or a repeated submission races with the end of a job's last task: the final
+// status that is answered first stays.
+func TestCancelRacesWithCompletion(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.storeRPS = 400
+		c.restartEach()
+		c.waitForElection()
+		c.runService(4) // so that machines are up
+		jobsByStatus := map[string]int{}
+		for i := 10; i < 60; i++ {
+			id := jobID(i)
+			request := newJob(id, job.Array, 1, 3)
+			c.submitUntilAccepted(10*time.Second, i%controllers, request)
+			c.waitUntilRunningOf(id, 1, 20*time.Second)
+			if i == 20 {
+				c.store.SetFaults(fake.StoreFaults{Delay: 60 * time.Millisecond}) // so that more requests overlap
+			}
+			// Its task takes 3 s: from just before its end to just after it.
+			time.Sleep(3*time.Second - 20*time.Millisecond + time.Duration(i%20)*40*time.Millisecond)
+			var wg sync.WaitGroup
+			for node := range controllers {
+				wg.Add(2)
+				go func() {
+					defer wg.Done()
+					c.requestCancel(node, id)
+				}()
+				go func() {
+					defer wg.Done()
+					c.status(node, id)
+					c.submit(node, request)
+				}()
+			}
+			wg.Wait()
+			c.waitUntil("job has ended", 20*time.Second, func() bool { return progressOf(c.status(i%controllers, id)) == final })
+			jobsByStatus[c.status(i%controllers, id)]++
+		}
+		if jobsByStatus[jobstore.StatusDone] == 0 || jobsByStatus[jobstore.StatusCancelled] == 0 {
+			t.Errorf("no race was won by either side: %v", jobsByStatus)
+		}
+	})
+}
+
+// A controller that reaches none of the others confirms no cancellation while a task of the job may be
+// left; users who ask again are answered soon.
+func TestIsolatedNodeConfirmsCancellationOnlyOnceTasksAreGone(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		isolated := (c.leader() + 1) % controllers
+		c.partitionControllers()
+		time.Sleep(2 * time.Second)
+		confirmed := func() bool {
+			running := c.invariants.RunningTasks()
+			if c.status(isolated, "wk-000001") != jobstore.StatusCancelled {
+				return false
+			}
+			if running != 0 {
+				t.Errorf("confirmed by one controller alone, with %d tasks running", running)
+			}
+			return true
+		}
+		first := make(chan int, 1)
+		go func() { first <- c.requestCancel(isolated, "wk-000001").Status }()
+		c.waitUntil("answered", 10*time.Second, confirmed)
+		if status := <-first; status != 503 {
+			t.Errorf("confirmed by one controller alone: %d", status)
+		}
+		c.cancel(isolated, "wk-000001")
+	})
+}
+
+// A new leader learns from the other controllers which tasks of cancelled jobs are gone, though their
+// ends could not be recorded, and returns no machine for them (docs/incidents/inc-b469.md).
+func TestNewLeaderLearnsEndedCancelledTasksFromPeers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		c.runService(8)
+		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 8, 0))
+		c.waitUntilRunning(16, time.Minute)
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 10_000, HoldPrefix: jobstore.EndKey("")})
+		c.cancel(1, "wk-000002")
+		c.waitUntilRunning(8, 10*time.Second)
+		time.Sleep(45 * time.Second)
+		c.dropHeartbeats(isMachine)
+		time.Sleep(time.Second)
+		returnedBefore := c.cloud.Returned()
+		c.failOver()
+		time.Sleep(5 * time.Second) // machines without heartbeats are given up later
+		if returned := c.cloud.Returned(); len(returned) > len(returnedBefore) {
+			t.Errorf("returned %v, and before that %v", returned[len(returnedBefore):], returnedBefore)
+		}
+		c.heal()
+		c.store.SetFaults(fake.StoreFaults{})
+		c.waitForStatuses(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
+		c.waitUntil("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
+	})
+}
+
+// A zone with machines and a controller is separated for longer than a lease, while jobs there are
+// cancelled: their tasks are gone in time, those of other jobs are kept.
+func TestCancelInPartitionedZone(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartInTwoZones()
+		for i, zone := range []string{"b", "b", "a"} {
+			c.submitUntilAccepted(5*time.Second, i, newJob(jobID(i), job.Service, 8, 0).inZone(zone))
+		}
+		c.waitUntilRunning(24, time.Minute)
+		c.waitUntil("a leader in zone a", 2*time.Minute, func() bool {
+			if c.leader() == 1 {
+				c.failOver()
+			}
+			return c.leader() >= 0 && c.leader() != 1
+		})
+		time.Sleep(15 * time.Second)
+		inside := map[string]bool{nodeAddr(1): true, peerAddr(1): true}
+		for _, machine := range c.cloud.Machines() {
+			if machine.Zone == "b" {
+				inside[machine.Addr] = true
+			}
+		}
+		c.partition(func(from, to string) bool { return inside[from] != inside[to] })
+		partitioned := time.Now()
+		c.cancel(0, jobID(0))
+		c.waitUntilGone(jobID(0))
+		time.Sleep(time.Until(partitioned.Add(40 * time.Second)))
+		c.heal()
+		c.waitUntil("the other services run", 2*time.Minute, func() bool {
+			return c.invariants.RunningTasksOf(jobID(1)) == 8 && c.invariants.RunningTasksOf(jobID(2)) == 8
+		})
+		if n := c.invariants.StartsByTask()[jobID(2)+"/0"]; n != 1 {
+			t.Errorf("a replica outside was started %d times", n)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/election_test.go
@@ -0,0 +1,258 @@
+package controller
+
+// Elections and failovers: the term only grows, and what runs goes on under the next leader.
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/kvstore"
+	"tulipshelf/internal/wire"
+)
+
+// Safety rule 2: a new leader has a higher term, takes over what runs, and starts nothing again that
+// may still run.
+func TestFailoverKeepsTasksRunning(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.submit(0, newJob("wk-000001", job.Array, 8, 40))
+		c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 4 })
+		old := c.leader()
+		term := c.termOf(old)
+		c.kill(old)
+		c.waitForLeaderOtherThan(old, 10*time.Second)
+		if now := c.termOf(c.leader()); now <= term {
+			t.Errorf("term %d after %d", now, term)
+		}
+		c.start(old)
+		c.waitUntil("array done", 2*time.Minute, c.isDone("wk-000001"))
+		c.checkStartedOnce()
+	})
+}
+
+// A controller's servers see that it leads before the leader's event loop runs: heartbeats wait for
+// the loop, and are refused if the leadership ends first. A heartbeat in that moment once crashed the
+// process.
+func TestHeartbeatsWaitForLeaderLoop(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForLeader(10 * time.Second)
+		unstarted := c.electWithoutLoop((c.leader() + 1) % controllers)
+		defer unstarted.remove()
+		var resp wire.Response
+		go func() {
+			resp = unstarted.heartbeat(agent.Heartbeat{Machine: "vm-000001", Incarnation: 1, Sequence: 1})
+		}()
+		synctest.Wait()
+		if unstarted.queuedEvents() == 0 || resp.Status != 0 {
+			t.Errorf("%d heartbeats wait, answered %d", unstarted.queuedEvents(), resp.Status)
+		}
+		unstarted.end()
+		synctest.Wait()
+		if resp.Status != 503 {
+			t.Errorf("answered %d", resp.Status)
+		}
+	})
+}
+
+// A heartbeat with a fencing token that was never issued deposes nobody.
+func TestUnissuedFencingTokenDeposesNobody(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		leader := c.leader()
+		reignBefore := c.reignOf(leader)
+		for i := range 5 {
+			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
+			if status := c.heartbeat(leader, body); status != 421 {
+				t.Errorf("answered %d", status)
+			}
+			time.Sleep(time.Second)
+		}
+		if c.reignOf(leader) != reignBefore {
+			t.Error("deposed")
+		}
+	})
+}
+
+// A process restarts at once, in the middle of elections, while transactions with which the earlier
+// ones claim the leadership are still to be applied: no term is used twice.
+func TestRestartsDuringElection(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.submit(0, newJob("wk-000001", job.Array, 16, 60))
+		c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 4 })
+		last := c.termOf(c.leader())
+		for range 4 {
+			node := c.leader()
+			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "lead/"})
+			c.kill(node)
+			c.start(node)
+			time.Sleep(200 * time.Millisecond) // its claim is in flight
+			c.kill(node)
+			c.start(node)
+			c.store.ReleaseHeld()
+			c.waitForLeader(20 * time.Second)
+			term := c.termOf(c.leader())
+			if term <= last {
+				t.Errorf("term %d after %d", term, last)
+			}
+			last = term
+			time.Sleep(3 * time.Second)
+		}
+		c.waitUntil("array done", 4*time.Minute, c.isDone("wk-000001"))
+		c.checkStartedOnce()
+	})
+}
+
+// The leader changes ten times in two minutes, also in an outage of the store, while jobs are
+// submitted and cancelled.
+func TestFrequentFailovers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(6)
+		want := map[string]string{}
+		first := c.termOf(c.leader())
+		begin := time.Now()
+		for i := 2; i < 12; i++ {
+			c.submitUntilAccepted(20*time.Second, i%controllers, newJob(jobID(i), job.Array, 4, 15))
+			want[jobID(i)] = jobstore.StatusDone
+			if i%3 == 0 {
+				c.cancelUntilConfirmed(20*time.Second, i%controllers, jobID(i))
+				want[jobID(i)] = c.status(i%controllers, jobID(i))
+			}
+			if i == 5 || i == 8 {
+				// Two changes at once: the leader ends in an outage, and restarts while the store
+				// still names it as the leader.
+				c.beginStoreOutage()
+				c.restartAfter(c.leader(), 0)
+				time.Sleep(4 * time.Second)
+				c.endStoreOutage()
+				c.waitForLeader(20 * time.Second)
+			} else {
+				c.failOver()
+			}
+			time.Sleep(time.Until(begin.Add(time.Duration(i-1) * 12 * time.Second)))
+		}
+		if took := time.Since(begin); took > 125*time.Second {
+			t.Errorf("ten failovers took %v", took)
+		}
+		if last := c.termOf(c.leader()); last < first+10 {
+			t.Errorf("terms %d to %d", first, last)
+		}
+		c.waitForStatuses(3*time.Minute, want)
+		if n := c.invariants.RunningTasksOf("wk-000001"); n != 6 {
+			t.Errorf("%d of 6 replicas run", n)
+		}
+	})
+}
+
+// Arrays whose tasks end far apart, with failovers in between: each is done once all its tasks are,
+// neither sooner nor twice.
+func TestSmallArraysCompleteOnceAcrossFailovers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.teamCPUs = 4 // so that the third task of each begins when others have ended
+		c.restartEach()
+		c.waitForElection()
+		for i := range 4 {
+			c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Array, 3, 20))
+		}
+		for range 3 {
+			time.Sleep(15 * time.Second)
+			c.failOver()
+			for i := range 4 {
+				ended := 0
+				for task := range 3 {
+					if c.invariants.Completed(fmt.Sprintf("%s/%d", jobID(i), task)) {
+						ended++
+					}
+				}
+				if status := c.status(i%controllers, jobID(i)); status == jobstore.StatusDone && ended < 3 {
+					t.Errorf("%s is answered as done with %d of 3 tasks", jobID(i), ended)
+				}
+			}
+		}
+		for i := range 4 {
+			c.waitUntil("array done", 2*time.Minute, c.isDone(jobID(i)))
+		}
+		c.checkStartedOnce()
+	})
+}
+
+// All controllers are down for longer than a lease: tasks are lost, but no accepted job is, and all
+// run again or are done.
+func TestAllControllersDownLongerThanLease(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(6)
+		c.submitUntilAccepted(5*time.Second, 1, newJob("wk-000002", job.Array, 8, 30))
+		c.submitUntilAccepted(5*time.Second, 1, newJob("wk-000003", job.Service, 2, 0))
+		c.waitUntilRunning(16, time.Minute)
+		c.cancel(2, "wk-000003")
+		c.killAll()
+		time.Sleep(40 * time.Second)
+		if n := c.invariants.RunningTasks(); n != 0 {
+			t.Errorf("%d tasks run after their leases", n)
+		}
+		c.startAll()
+		c.waitUntilRunningOf("wk-000001", 6, time.Minute)
+		c.waitForStatuses(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled})
+		if n := c.invariants.StartsByTask()["wk-000003/0"]; n != 1 {
+			t.Errorf("a cancelled task was started %d times", n)
+		}
+	})
+}
+
+// A controller is separated while others write more than one response may carry, or more changes than
+// the store keeps. It loads the records again and serves within seconds; so does a leader, which
+// continues under a new term.
+func TestNodeReloadsAfterMissingChanges(t *testing.T) {
+	for name, written := range map[string]struct{ changes, bytes int }{
+		"more bytes than a response carries": {1000, 6000},
+		"more changes than are kept":         {10_500, 10},
+	} {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(c *cluster) {
+				c.waitForElection()
+				c.runService(2)
+				separated := c.leader()
+				c.partitionFromStore(separated)
+				c.waitForLeaderOtherThan(separated, 15*time.Second)
+				before := c.storedTerm()
+				c.writeRecords(written.changes, written.bytes)
+				c.heal()
+				c.waitUntil("the separated controller answers", 10*time.Second, func() bool { return c.status(separated, "wk-000001") == "running" })
+				c.submitUntilAccepted(10*time.Second, separated, newJob("wk-000002", job.Array, 4, 5))
+				c.waitUntil("done", time.Minute, func() bool { return c.status(separated, "wk-000002") == jobstore.StatusDone })
+				if now := c.storedTerm(); now > before+2 {
+					t.Errorf("terms %d to %d", before, now)
+				}
+				if n := c.startsOf("wk-000001"); n != 2 {
+					t.Errorf("2 replicas were started %d times", n)
+				}
+			})
+		})
+	}
+}
+
+// writeRecords makes so many changes under the prefix of the job records, with values of a size.
+func (c *cluster) writeRecords(changes, bytes int) {
+	c.t.Helper()
+	store := c.storeClient("writer")
+	const perTransaction = 8
+	for first := 0; first < changes; first += perTransaction {
+		var mutations []kvstore.Mutation
+		for i := range perTransaction {
+			key := fmt.Sprintf("%s%06d", jobstore.JobKey("wk-900000")+"/", first+i)
+			mutations = append(mutations, kvstore.Mutation{Put: key, Value: wire.Marshal(strings.Repeat("x", bytes))})
+		}
+		if _, err := store.Txn(c.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/kvstore_outage_test.go
@@ -0,0 +1,107 @@
+package controller
+
+// Outages of the key-value store, and a store that answers slowly.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/wire"
+)
+
+// In an outage of the store agents keep their leases, nothing starts, and no user is answered with
+// anything that is not durable.
+func TestStoreOutageKeepsTasksRunning(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(2)
+		c.beginStoreOutage()
+		if got := c.submit(0, newJob("wk-000002", job.Array, 1, 1)); got != 503 {
+			t.Errorf("submission in an outage: %d", got)
+		}
+		if got := c.status(1, "wk-000001"); got != "503" {
+			t.Errorf("query in an outage: %s", got)
+		}
+		time.Sleep(40 * time.Second) // longer than the agents' lease
+		for i := range controllers {
+			if got := c.request(i, "GET", "/ready", nil).Status; got != 200 {
+				t.Errorf("node %d is not ready in an outage: %d", i, got)
+			}
+		}
+		if c.invariants.RunningTasks() != 2 {
+			t.Errorf("%d of 2 replicas run", c.invariants.RunningTasks())
+		}
+		c.endStoreOutage()
+		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Array, 1, 1))
+		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
+		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
+			t.Errorf("replica started %d times", n)
+		}
+	})
+}
+
+// All controllers restart, one after the other, in an outage that outlasts the agents' leases. They know
+// no term, but what each learned of cancellations from those before it. An agent that finds no other
+// controller keeps its tasks, and is now and then refused so that it looks for a leader
+// (docs/incidents/inc-008f.md).
+func TestAllControllersRestartInStoreOutage(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		time.Sleep(5 * time.Second)
+		c.beginStoreOutage()
+		for i := range controllers {
+			c.restartAfter(i, 0)
+			time.Sleep(8 * time.Second)
+		}
+		for i, want := range []int{200, 421} {
+			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1})
+			if status := c.heartbeat(0, body); status != want {
+				t.Errorf("heartbeat %d of an agent: %d, want %d", i+1, status, want)
+			}
+		}
+		time.Sleep(70 * time.Second)
+		if n := c.invariants.RunningTasks(); n != 8 {
+			t.Errorf("%d of 8 replicas run", n)
+		}
+		c.endStoreOutage()
+		c.submit(0, newJob("wk-000002", job.Array, 2, 5))
+		c.submitUntilAccepted(20*time.Second, 0, newJob("wk-000002", job.Array, 2, 5))
+		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
+		c.checkStartedOnce()
+	})
+}
+
+// The store answers slowly while users cancel and query: they are answered all the same, leases are
+// renewed, and cancelled tasks are gone in time.
+func TestSlowStore(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 4, 0))
+		c.waitUntilRunning(12, time.Minute)
+		c.store.SetFaults(fake.StoreFaults{Delay: 350 * time.Millisecond})
+		time.Sleep(40 * time.Second)
+		c.cancelUntilConfirmed(10*time.Second, 1, "wk-000001")
+		answered := 0
+		for i := range 20 {
+			if c.status(i%controllers, "wk-000002") == "running" {
+				answered++
+			}
+			time.Sleep(time.Second)
+		}
+		if answered < 15 {
+			t.Errorf("%d of 20 queries answered", answered)
+		}
+		if n := c.invariants.RunningTasksOf("wk-000001"); n != 0 {
+			t.Errorf("%d cancelled tasks left", n)
+		}
+		c.store.SetFaults(fake.StoreFaults{})
+		if n := c.invariants.RunningTasksOf("wk-000002"); n != 4 || c.invariants.StartsByTask()["wk-000002/0"] != 1 {
+			t.Errorf("%d of 4 replicas run, started %d times", n, c.invariants.StartsByTask()["wk-000002/0"])
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/kvstore_transaction_test.go
@@ -0,0 +1,140 @@
+package controller
+
+// Transactions on the key-value store whose responses are lost, or that are applied late.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+)
+
+// Safety rule 1: nothing of a transaction without a response is acknowledged before it has been read
+// back, and one that is applied late is not applied twice.
+func TestUnacknowledgedTransactionsAreReadBack(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
+		if got := c.submit(0, newJob("wk-000001", job.Array, 4, 5)); got != 200 {
+			t.Errorf("applied, response lost: %d, want 200 after reading back", got)
+		}
+		c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: jobstore.JobKey("wk-000002")})
+		if got := c.submit(0, newJob("wk-000002", job.Array, 4, 5)); got != 503 {
+			t.Errorf("delayed: %d, want 503", got)
+		}
+		if got := c.status(1, "wk-000002"); got != "404" {
+			t.Errorf("not accepted yet: %s", got)
+		}
+		if got := c.submit(1, newJob("wk-000002", job.Array, 4, 5)); got != 201 {
+			t.Errorf("retry: %d", got)
+		}
+		c.store.ReleaseHeld()
+		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 2}) // the leader's own writes
+		c.waitUntil("first job done", 2*time.Minute, c.isDone("wk-000001"))
+		c.waitUntil("second job done", 2*time.Minute, c.isDone("wk-000002"))
+		c.checkStartedOnce()
+	})
+}
+
+// Transactions are applied at once and only their responses are lost, while other controllers read and
+// answer what was written: submissions, cancellations, starts, ends, elections.
+func TestLostTransactionResponses(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.store.SetFaults(fake.StoreFaults{LoseOneResponseIn: 2})
+		want := map[string]string{}
+		for i := range 30 {
+			id := jobID(i)
+			accepted := make(chan struct{})
+			go func() {
+				defer close(accepted)
+				c.submitUntilAccepted(time.Minute, i%controllers, newJob(id, job.Array, 3, 4))
+			}()
+			c.waitUntil("another controller knows the job", time.Minute, func() bool { return c.status((i+1)%controllers, id) != "404" })
+			<-accepted
+			want[id] = jobstore.StatusDone
+			if i%4 == 1 {
+				c.cancelUntilConfirmed(time.Minute, (i+2)%controllers, id)
+				c.waitUntil("final status answered", time.Minute, func() bool { return progressOf(c.status(i%controllers, id)) == final })
+				want[id] = c.status(i%controllers, id)
+			}
+			if i%8 == 7 {
+				c.failOver()
+			}
+		}
+		c.store.SetFaults(fake.StoreFaults{})
+		if n := c.store.Unacknowledged(); n < 15 {
+			t.Errorf("only %d transactions had no response", n)
+		}
+		c.waitForStatuses(2*time.Minute, want)
+	})
+}
+
+// One in four transactions has no response and is applied seconds later, after newer ones of the same
+// controller, while jobs are submitted, end and are cancelled and the leader changes.
+func TestDelayedTransactionsAcrossFailovers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 4})
+		cancelled := map[int]bool{}
+		for i := range 12 {
+			c.submitUntilAccepted(time.Minute, i%controllers, newJob(jobID(i), job.Array, 2, 8))
+			if i%3 == 2 {
+				c.cancelUntilConfirmed(time.Minute, 0, jobID(i))
+				cancelled[i] = c.status((i+1)%controllers, jobID(i)) == jobstore.StatusCancelled
+			}
+			if i%5 == 4 {
+				c.failOver()
+			}
+		}
+		c.store.SetFaults(fake.StoreFaults{})
+		time.Sleep(15 * time.Second) // the last delayed ones are applied
+		for i := range 12 {
+			want := jobstore.StatusDone
+			if cancelled[i] {
+				want = jobstore.StatusCancelled
+			}
+			c.waitUntil(jobID(i)+" "+want, 3*time.Minute, func() bool { return c.status(i%controllers, jobID(i)) == want })
+		}
+	})
+}
+
+// Machines are up at once and get tasks while transactions are delayed, and the leader ends: no task
+// runs whose start is not recorded.
+func TestDelayedTransactionsOnFastBootingMachines(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Type.BootS, cloud.Capacity = 0.5, 24 })
+		c.waitForElection()
+		c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
+		want := map[string]string{}
+		for i := range 6 {
+			submittedAt := time.Now()
+			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3, HoldNext: 20, HoldPrefix: jobstore.JobKey(jobID(i)) + "/"})
+			c.submitUntilAccepted(time.Minute, i%controllers, newJob(jobID(i), job.Array, 8, 6))
+			want[jobID(i)] = jobstore.StatusDone
+			time.Sleep(5 * time.Second)
+			if n := c.invariants.RunningTasksOf(jobID(i)); n != 0 {
+				t.Errorf("%d tasks run whose starts are not recorded", n)
+			}
+			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
+			c.waitUntil("tasks begin", time.Minute, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
+			// The next leader gets no heartbeat of these machines for a while, and has room elsewhere.
+			busy := addresses(c.machinesWithTasks())
+			c.partitionMachines(func(addr string) bool { return busy[addr] })
+			if i == 0 && time.Since(submittedAt) > 20*time.Second {
+				t.Errorf("first tasks begin after %v", time.Since(submittedAt))
+			}
+			c.failOver()
+			time.Sleep(14 * time.Second)
+			c.heal()
+			c.store.ReleaseHeld() // what the earlier leader wrote
+		}
+		if n := c.store.Unacknowledged(); n < 10 {
+			t.Errorf("only %d transactions were delayed", n)
+		}
+		c.store.SetFaults(fake.StoreFaults{})
+		c.waitForStatuses(3*time.Minute, want)
+	})
+}
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -12,7 +12,7 @@
 // runLeader leads for one term, until ctx ends or the leader finds that it is deposed.
 func (n *Node) runLeader(ctx context.Context, term *leadership.Term) {
 	l := n.newLeader(ctx, term)
-	n.leader.Store(l) // from here on heartbeats come, also before it runs (TestReportsBeforeReignRuns)
+	n.leader.Store(l) // from here on heartbeats come, also before it runs (TestHeartbeatsWaitForLeaderLoop)
 	defer n.leader.CompareAndSwap(l, nil)
 	err := l.Run()
 	if err == nil || ctx.Err() != nil {
--- /dev/null
+++ b/internal/controller/network_partition_test.go
@@ -0,0 +1,189 @@
+package controller
+
+// Partitions between controllers, machines and the key-value store, and requests that the network
+// delays or duplicates.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+)
+
+// A leader that is separated from the store alone learns from its peers that it is deposed. Without
+// that it keeps its machines until its lease on them is over.
+func TestLeaderPartitionedFromStoreStepsDown(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(2)
+		old := c.leader()
+		c.partitionFromStore(old)
+		c.waitUntil("the old leader steps down", 10*time.Second, func() bool {
+			return !c.isLeader(old) && c.leader() >= 0
+		})
+		c.waitUntil("machines follow the new leader", 10*time.Second, func() bool {
+			for _, machine := range c.cloud.Machines() {
+				if machine.Booted() && machine.FencingToken() < 2 {
+					return false
+				}
+			}
+			return true
+		})
+		if got := c.status(old, "wk-000001"); got != "503" {
+			t.Errorf("query at the separated controller: %s, want 503", got)
+		}
+		if got := c.request(old, "GET", "/ready", nil).Status; got != 503 {
+			t.Errorf("readiness of the separated controller: %d, want 503", got)
+		}
+		c.heal()
+		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 2 {
+			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+		}
+	})
+}
+
+// A leader that is separated from its machines, but neither from the store nor from its peers, lets
+// another controller lead before the machines' leases expire. None of them is taken for unresponsive
+// when the requests arrive that the partition held back.
+func TestLeaderPartitionedFromWorkersStepsDown(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(12)
+		time.Sleep(20 * time.Second)
+		old := c.leader()
+		c.partitionFromMachines(old)
+		c.waitForLeaderOtherThan(old, 20*time.Second)
+		c.submit(old, newJob("wk-000002", job.Array, 2, 5))
+		c.waitUntil("array done", 30*time.Second, c.isDone("wk-000002"))
+		c.heal()
+		time.Sleep(30 * time.Second)
+		c.checkStartedOnce()
+		if got := c.cloud.Returned(); len(got) != 0 || c.invariants.RunningTasks() != 12 {
+			t.Errorf("returned %v, %d of 12 replicas run", got, c.invariants.RunningTasks())
+		}
+	})
+}
+
+// When the machines reach one controller only, and that is not the leader, it leads next, without
+// another in between that reaches none of them either.
+func TestNodeThatReachesWorkersLeadsNext(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		c.runService(40)
+		time.Sleep(10 * time.Second)
+		old := c.leader()
+		term := c.termOf(old)
+		reachable := (old + 1) % controllers
+		c.partition(func(from, to string) bool {
+			separated := func(addr string) bool { return isController(addr) && addr != nodeAddr(reachable) }
+			return isMachine(from) && separated(to) || separated(from) && isMachine(to)
+		})
+		c.waitUntil("the controller that machines reach leads", 25*time.Second, func() bool { return c.leader() == reachable })
+		if now := c.termOf(reachable); now != term+1 {
+			t.Errorf("term %d after %d", now, term)
+		}
+		time.Sleep(20 * time.Second)
+		c.heal()
+		c.checkStartedOnce()
+	})
+}
+
+// A leader that is separated from the store and the other controllers, but not from its machines, goes
+// on answering them. The new leader brings them its fencing token, and the old one refuses them.
+func TestDeposedLeaderLosesItsWorkers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(8)
+		old := c.partitionLeader()
+		c.waitUntil("the old leader steps down", 20*time.Second, func() bool { return !c.isLeader(old) })
+		c.waitUntil("machines follow the new leader", 20*time.Second, func() bool {
+			term := c.termOf(c.leader())
+			for _, machine := range c.cloud.Machines() {
+				if machine.FencingToken() < term {
+					return false
+				}
+			}
+			return true
+		})
+		c.submit(c.leader(), newJob("wk-000002", job.Service, 4, 0))
+		c.waitUntilRunning(12, 20*time.Second)
+		c.heal()
+		c.checkStartedOnce()
+	})
+}
+
+// A controller that is separated from the leader renews the leases of the machines on its side, so that
+// a partition between zones stops no task (docs/incidents/inc-008f.md).
+func TestPartitionedZoneKeepsLeases(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(12)
+		c.partitionZone()
+		time.Sleep(40 * time.Second) // longer than the agents' lease
+		c.heal()
+		time.Sleep(20 * time.Second)
+		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 12 {
+			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+		}
+	})
+}
+
+// Commands arrive, and are carried out, after their sender has given up waiting, while the leader
+// changes and jobs are cancelled.
+func TestDelayedCommandsAcrossFailovers(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(4)
+		c.delayCommands(6 * time.Second)
+		c.submit(0, newJob("wk-000002", job.Array, 8, 5))
+		c.submit(0, newJob("wk-000003", job.Service, 2, 0))
+		time.Sleep(time.Second)
+		c.failOver()
+		c.cancel(c.leader(), "wk-000003")
+		c.waitUntil("array done", 2*time.Minute, c.isDone("wk-000002"))
+		c.failOver()
+		c.waitUntilRunning(4, cancelDeadline)
+		c.delayCommands(0)
+		time.Sleep(20 * time.Second)
+		if n := c.invariants.RunningTasks(); n != 4 {
+			t.Errorf("%d replicas run, 4 wanted", n)
+		}
+	})
+}
+
+// Every request that was carried out arrives again, within a second and after more than a lease:
+// heartbeats, commands, transactions, rentals and returns, submissions and cancellations, heartbeats
+// between controllers. Tasks run once, users' answers stay true, and nothing is rented twice.
+func TestDuplicatedRequests(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
+		c.waitForElection()
+		for i := range 4 {
+			c.submit(i%controllers, newJob(jobID(i), job.Array, 6, 4))
+		}
+		c.submit(0, newJob(jobID(4), job.Service, 3, 0))
+		c.submit(1, newJob(jobID(5), job.Service, 2, 0))
+		for i := range 4 {
+			c.waitUntil("array done", 2*time.Minute, c.isDone(jobID(i)))
+		}
+		c.cancelUntilConfirmed(10*time.Second, 2, jobID(4))
+		c.failOver()
+		c.partitionZone()
+		time.Sleep(20 * time.Second)
+		c.submit(0, newJob(jobID(6), job.Array, 4, 4))
+		c.waitUntil("array done during a partition", time.Minute, c.isDone(jobID(6)))
+		c.heal()
+		for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(5 * time.Second) {
+			for i, want := range []string{"done", "done", "done", "done", "withdrawn", "running", "done"} {
+				if got := c.status(i%controllers, jobID(i)); got != want && got != "503" {
+					t.Fatalf("%s is %s, was %s", jobID(i), got, want)
+				}
+			}
+		}
+		if running := c.invariants.RunningTasks(); running != 2 {
+			t.Errorf("%d replicas run, 2 wanted", running)
+		}
+		c.checkStartedOnce()
+	})
+}
--- /dev/null
+++ b/internal/controller/scale_test.go
@@ -0,0 +1,161 @@
+package controller
+
+// What is bounded at many tasks, many jobs and thousands of machines: requests, writes and messages.
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/wire"
+)
+
+// A fifth of 4,000 machines hangs together, and the leader ends a moment later. The work done is bounded:
+// requests and changes at the store, requests to the cloud, messages from and to machines, and what is
+// rented. Everything runs in the end.
+func TestLoadBoundedAtFourThousandMachines(t *testing.T) {
+	const machines, arrays, services = 4000, 48, 300
+	simulate(t, func(c *cluster) {
+		c.storeRPS = 800
+		c.restartWithCapacity(machines, 1e6)
+		for i := range arrays {
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Array, 500, 60))
+		}
+		for i := range services {
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(100+i), job.Service, 1, 0))
+		}
+		c.waitUntil("most tasks run", 3*time.Minute, func() bool { return c.invariants.RunningTasks() > 10_000 })
+		hung := 0
+		for i, machine := range c.cloud.Machines() {
+			if i%5 == 0 {
+				machine.SetFaults(fake.AgentFaults{Hung: true})
+				hung++
+			}
+		}
+		before, hungAt := c.countMessages(), time.Now()
+		time.Sleep(2 * time.Second)
+		old := c.leader()
+		c.kill(old)
+		c.waitForLeaderOtherThan(old, 10*time.Second)
+		c.waitUntil("the hung machines returned", 90*time.Second, func() bool { return len(c.cloud.Returned()) >= hung })
+		c.start(old)
+		for i := range arrays {
+			c.waitUntil("array done", 4*time.Minute, c.isDone(jobID(i)))
+		}
+		c.waitUntil("services run", time.Minute, func() bool { return c.invariants.RunningTasks() >= services })
+		seconds, after := time.Since(hungAt).Seconds(), c.countMessages()
+		const tasks = arrays*500 + services
+		for _, load := range []struct {
+			what   string
+			count  int
+			atMost float64
+		}{
+			{"requests to the store", after.toStore - before.toStore, 40 * seconds},
+			{"requests to the cloud", after.toCloud - before.toCloud, 2 * seconds},
+			{"changes at the store", after.storeChanges - before.storeChanges, tasks / 10},
+			{"messages to machines", after.toMachines - before.toMachines, tasks / 3},
+			{"requests to controllers", after.toControllers - before.toControllers, machines * seconds / 4},
+			{"machines rented", len(c.cloud.Machines()) + len(c.cloud.Returned()), machines},
+		} {
+			if float64(load.count) > load.atMost {
+				t.Errorf("%d %s in %.0f s, at most %.0f expected", load.count, load.what, seconds, load.atMost)
+			}
+		}
+	})
+}
+
+// What a job of one task costs the store from its acceptance to its end.
+func TestStoreWritesPerSingleTaskJob(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		c.runService(4)
+		time.Sleep(10 * time.Second)
+		before := c.store.Changes()
+		const jobs = 40
+		for i := range jobs {
+			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(10+i), job.Array, 1, 4))
+		}
+		for i := range jobs {
+			c.waitUntil("done", 2*time.Minute, c.isDone(jobID(10+i)))
+		}
+		time.Sleep(10 * time.Second)
+		// Five for each job: accepted, started, ended, its record and its tasks' record deleted; and
+		// a few of the leader's own.
+		if n := c.store.Changes() - before; n > 5*jobs+10 {
+			t.Errorf("%d changes for %d jobs", n, jobs)
+		}
+	})
+}
+
+// A large array of short tasks, a failover in the middle of it, and a service that is submitted
+// meanwhile: the changes that a task costs are bounded, few tasks run again that were not yet recorded
+// as done, and the service starts in time.
+func TestLargeArrayWritesBoundedAcrossFailover(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		const tasks = 6000
+		c.restartWithLargeFleet()
+		before := c.store.Changes()
+		c.submit(0, newJob("wk-000001", job.Array, tasks, 4).withResources(0.25, 0.5).withPriority(lowPriority))
+		c.waitUntil("a third started", 3*time.Minute, func() bool { return len(c.invariants.StartsByTask()) > tasks/3 })
+		c.failOver()
+		c.submitUntilAccepted(10*time.Second, 1, newJob("wk-000002", job.Service, 4, 0).withPriority(highPriority))
+		c.waitUntil("service runs beside it", 20*time.Second, func() bool {
+			starts := c.invariants.StartsByTask()
+			return starts["wk-000002/0"]+starts["wk-000002/1"]+starts["wk-000002/2"]+starts["wk-000002/3"] == 4
+		})
+		c.waitUntil("array done", 5*time.Minute, c.isDone("wk-000001"))
+		if restarts := c.restartsOf("wk-000001"); restarts > tasks/20 {
+			t.Errorf("%d of %d tasks ran again", restarts, tasks)
+		}
+		if n := c.store.Changes() - before; n > tasks/10 {
+			t.Errorf("%d changes for %d tasks", n, tasks)
+		}
+	})
+}
+
+// Four jobs of one task come a second for two minutes; a quarter of them is cancelled.
+func TestStreamOfSingleTaskJobs(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		const jobs = 480
+		var wg sync.WaitGroup
+		var mu sync.Mutex
+		want := map[string]string{} // guarded by mu
+		for i := range jobs {
+			wg.Add(1)
+			go func() {
+				defer wg.Done()
+				id := jobID(i)
+				c.submitUntilAccepted(time.Minute, i%controllers, newJob(id, job.Array, 1, 3))
+				finalStatus := jobstore.StatusDone
+				if i%4 == 0 {
+					time.Sleep(time.Duration(i%5) * time.Second)
+					var body statusBody
+					c.waitUntil("cancelled or done", time.Minute, func() bool {
+						resp := c.requestCancel((i+1)%controllers, id)
+						return resp.Status == 200 && wire.Unmarshal(resp.Body, &body) == nil
+					})
+					finalStatus = body.Status
+				}
+				mu.Lock()
+				defer mu.Unlock()
+				want[id] = finalStatus
+			}()
+			time.Sleep(250 * time.Millisecond)
+		}
+		wg.Wait()
+		c.waitForStatuses(2*time.Minute, want)
+		cancelled := 0
+		for _, status := range want {
+			if status == jobstore.StatusCancelled {
+				cancelled++
+			}
+		}
+		if cancelled < jobs/10 {
+			t.Errorf("only %d of %d were cancelled before they were done", cancelled, jobs)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/scheduling_test.go
@@ -0,0 +1,226 @@
+package controller
+
+// Scheduling of arrays and services: priorities, quotas, zones, and jobs that always fail.
+
+import (
+	"testing"
+	"time"
+
+	"tulipshelf/internal/fake"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+)
+
+// The ordinary path: an array runs once, its repeated submission is idempotent, and nothing of it is
+// left, neither in the store nor at the cloud.
+func TestArrayRunsOnce(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		if got := c.submit(0, newJob("wk-000001", job.Array, 6, 5)); got != 201 {
+			t.Fatalf("submission: %d", got)
+		}
+		c.waitUntil("array done", time.Minute, c.isDone("wk-000001"))
+		c.checkStartedOnce()
+		// A repeated submission is answered with the status of the job, though it is invalid by now.
+		invalid := newJob("wk-000001", job.Array, -1, 5)
+		if got := c.submit(1, invalid); got != 200 {
+			t.Errorf("retry of a known job: %d", got)
+		}
+		if got := c.status(0, "wk-000002"); got != "404" {
+			t.Errorf("unknown job: %s", got)
+		}
+		c.waitUntil("idle machines returned", 3*time.Minute, func() bool { return len(c.cloud.Machines()) == 0 })
+		if keys := c.store.Keys("job/"); len(keys) != 0 {
+			t.Errorf("left behind: %v", keys)
+		}
+	})
+}
+
+// The users' rule: a job begins within four minutes, though work of higher priority, or smaller arrays,
+// wait all the time.
+func TestLowPriorityAndLargeJobsNotStarved(t *testing.T) {
+	low := newJob("wk-900000", job.Array, 40, 10).withPriority(lowPriority)
+	large := newJob("wk-900000", job.Array, 2000, 10)
+	for name, waiting := range map[string]jobRequest{"of low priority": low, "large": large} {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(c *cluster) {
+				c.waitForElection()
+				begin := time.Now()
+				c.submit(0, newJob("wk-000000", job.Array, 60, 10))
+				c.submit(0, waiting)
+				for i := 1; time.Since(begin) < 4*time.Minute; i++ {
+					c.submit(i%controllers, newJob(jobID(i), job.Array, 24, 10))
+					time.Sleep(10 * time.Second)
+				}
+				if c.startsOf("wk-900000") == 0 {
+					t.Error("not begun within four minutes")
+				}
+			})
+		})
+	}
+}
+
+// A team without a guarantee or a maximum runs on what others leave idle, yields it to work within a
+// guarantee, and is done in the end (docs/incidents/inc-bc39.md, inc-c8e5.md).
+func TestTeamWithoutGuaranteeUsesIdleCapacity(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		opportunistic := newJob("wk-000001", job.Array, 40, 120).ofTeam(teamWithoutGuarantee).withPriority(highPriority)
+		if status := c.submit(0, opportunistic); status != 201 {
+			t.Fatalf("submission of the team without a guarantee: %d", status)
+		}
+		c.waitUntilRunning(24, time.Minute)
+		c.submit(0, newJob("wk-000002", job.Array, 8, 20).withPriority(lowPriority))
+		c.waitUntil("work within the guarantee done", time.Minute, c.isDone("wk-000002"))
+		c.waitUntil("work without a guarantee done", 10*time.Minute, c.isDone("wk-000001"))
+	})
+}
+
+// A team is at its maximum, its jobs are cancelled while half of its machines hang or are separated, and
+// the leader changes. What cannot be reached counts until it is proven gone (the invariant checker
+// adds up), and then other jobs of the team run.
+func TestQuotaHoldsAcrossFailover(t *testing.T) {
+	for name, hang := range map[string]bool{"machines hang": true, "machines are separated": false} {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(c *cluster) {
+				c.setCapacity(24, c.teamCPUs)
+				c.waitForElection()
+				for i := range 4 {
+					c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Service, 4, 0))
+				}
+				c.waitUntilRunning(16, time.Minute)
+				c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000010", job.Array, 32, 10))
+				half := c.halfOfMachinesWithTasks()
+				unreachable := addresses(half)
+				for _, machine := range half {
+					machine.SetFaults(fake.AgentFaults{Hung: hang})
+				}
+				if !hang {
+					c.partitionMachines(func(addr string) bool { return unreachable[addr] })
+				}
+				for i := range 4 {
+					c.cancel(i%controllers, jobID(i))
+				}
+				term := c.termOf(c.leader())
+				c.failOver()
+				if c.invariants.RunningTasks() == 0 {
+					t.Error("no task was left on the machines that cannot be reached")
+				}
+				if now := c.termOf(c.leader()); now <= term {
+					t.Errorf("term %d after %d", now, term)
+				}
+				c.waitUntil("array done", 3*time.Minute, c.isDone("wk-000010"))
+				c.heal()
+			})
+		})
+	}
+}
+
+// Jobs that fail on every machine are not blamed on the machines, are retried one task at a time with a
+// growing back-off, also by another leader, take neither room nor machines from other jobs, and stay
+// known until they are cancelled.
+func TestAlwaysFailingJobIsThrottled(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartWithLargeFleet()
+		for i := range 2 {
+			c.submit(0, newJob(jobID(i), job.Array, 300, 5).ofClass(fake.FailingClass))
+		}
+		starts := func() int { return c.startsOf(jobID(0)) + c.startsOf(jobID(1)) }
+		time.Sleep(20 * time.Second)
+		startsAtFirst := starts() // some start at once, before any has failed
+		c.submit(0, newJob("wk-000010", job.Array, 24, 5))
+		c.waitUntil("the job that can succeed is done", 25*time.Second, c.isDone("wk-000010"))
+		c.failOver()
+		time.Sleep(2 * time.Minute)
+		if n := starts() - startsAtFirst; n > 60 {
+			t.Errorf("two jobs that always fail were started %d times more", n)
+		}
+		if got := c.cloud.Returned(); len(got) > 24 {
+			t.Errorf("machines returned for jobs that always fail: %v", got)
+		}
+		if n := len(c.cloud.Machines()); n > 8 {
+			t.Errorf("%d machines kept for jobs that always fail", n)
+		}
+		for i := range 2 {
+			if status := c.status(i, jobID(i)); status != "pending" && status != "running" {
+				t.Errorf("a job that always fails is %s", status)
+			}
+			c.cancel(i, jobID(i))
+		}
+		c.waitUntil("all tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+	})
+}
+
+// More work than the team's quota allows, of high and low priority, over slow links to the machines:
+// the quota holds, high priority runs first, and all is done in the end.
+func TestOverloadOverSlowLinks(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.waitForElection()
+		slow := func(from, to string) time.Duration {
+			if isMachine(from) || isMachine(to) {
+				return 1200 * time.Millisecond
+			}
+			return 0
+		}
+		c.network.SetFaults(fake.NetworkFaults{RequestDelay: slow, ResponseDelay: slow})
+		want := map[string]string{}
+		for i := range 6 {
+			request := newJob(jobID(i), job.Array, 20, 6)
+			if i%2 == 1 {
+				request.withPriority(lowPriority)
+			}
+			c.submitUntilAccepted(10*time.Second, i%controllers, request)
+			want[jobID(i)] = jobstore.StatusDone
+		}
+		time.Sleep(20 * time.Second)
+		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000010", job.Service, 8, 0).withPriority(highPriority))
+		c.waitUntilRunningOf("wk-000010", 8, 40*time.Second)
+		if c.status(0, jobID(0)) == jobstore.StatusDone && c.status(0, jobID(1)) == jobstore.StatusDone && c.status(0, jobID(5)) == jobstore.StatusDone {
+			t.Error("there was room for all")
+		}
+		c.network.SetFaults(fake.NetworkFaults{})
+		c.waitForStatuses(5*time.Minute, want)
+	})
+}
+
+// Jobs that are bound to one zone, arrays among them, lose machines: they continue in their zone, and
+// nothing starts in another while a task may be left in the first.
+func TestZoneBoundJobsAfterMachineLoss(t *testing.T) {
+	simulate(t, func(c *cluster) {
+		c.restartInTwoZones()
+		want := map[string]string{}
+		for i := range 6 {
+			request := newJob(jobID(i), job.Array, 12, 20)
+			if isService := i%3 == 2; isService {
+				request = newJob(jobID(i), job.Service, 4, 0)
+			} else {
+				want[jobID(i)] = jobstore.StatusDone
+			}
+			if i%2 == 0 {
+				request.inOneZone()
+			} else {
+				request.inZone("b")
+			}
+			c.submitUntilAccepted(5*time.Second, i%controllers, request)
+		}
+		c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 24 })
+		for round := range 3 {
+			for k, machine := range c.machinesWithTasks() {
+				if k%3 == round {
+					machine.SetFaults(fake.AgentFaults{Hung: true})
+				}
+			}
+			if round == 1 {
+				c.failOver()
+			}
+			time.Sleep(12 * time.Second)
+		}
+		c.waitForStatuses(4*time.Minute, want)
+		c.waitUntil("all replicas run", 2*time.Minute, func() bool {
+			return c.invariants.RunningTasksOf(jobID(2)) == 4 && c.invariants.RunningTasksOf(jobID(5)) == 4
+		})
+		if len(c.cloud.Returned()) == 0 {
+			t.Error("no machine was lost")
+		}
+	})
+}
--- a/internal/kvstore/requests_test.go
+++ b/internal/kvstore/requests_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"tulipshelf/internal/fake"
 	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
@@ -83,12 +84,12 @@
 		want    error
 		applied bool
 	}{
-		{"the answer is lost", func(s *service) { s.store.LoseResponses(1) }, kvstore.ErrUnknown, true},
-		{"the request is delayed", func(s *service) { s.store.DelayTransactions(1, "job/") }, kvstore.ErrUnknown, false},
-		{"the answer comes too late", func(s *service) { s.store.Delay(2 * time.Second) }, kvstore.ErrUnknown, false},
-		{"the service is down", func(s *service) { s.store.Down(true) }, kvstore.ErrRefused, false},
+		{"the answer is lost", func(s *service) { s.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1}) }, kvstore.ErrUnknown, true},
+		{"the request is delayed", func(s *service) { s.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "job/"}) }, kvstore.ErrUnknown, false},
+		{"the answer comes too late", func(s *service) { s.store.SetFaults(fake.StoreFaults{Delay: 2 * time.Second}) }, kvstore.ErrUnknown, false},
+		{"the service is down", func(s *service) { s.store.SetFaults(fake.StoreFaults{Down: true}) }, kvstore.ErrRefused, false},
 		{"the service cannot be reached", func(s *service) {
-			s.network.Partition(func(string, string) bool { return true })
+			s.network.SetFaults(fake.NetworkFaults{Partition: func(string, string) bool { return true }})
 		}, kvstore.ErrRefused, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -116,14 +117,14 @@
 		}
 		s.mustPut("job/1", 0)
 		time.Sleep(3 * time.Second)
-		s.store.Down(true)
+		s.store.SetFaults(fake.StoreFaults{Down: true})
 		if _, err := s.client.Get(s.ctx, "job/1", kvstore.PriorityUser); !errors.Is(err, kvstore.ErrRefused) {
 			t.Errorf("get in an outage: %v, want ErrRefused", err)
 		}
 		if s.client.ServedWithin(2*time.Second) || !s.client.ServedWithin(4*time.Second) {
 			t.Error("a request that was refused counts as served")
 		}
-		s.store.Down(false)
+		s.store.SetFaults(fake.StoreFaults{})
 		if _, err := s.client.Get(s.ctx, "job/2", kvstore.PriorityUser); !errors.Is(err, kvstore.ErrNotFound) {
 			t.Errorf("get of an absent key: %v, want ErrNotFound", err)
 		}
@@ -150,7 +151,7 @@
 				t.Errorf("%s: %d too large and %d too many, want %d and %d", what, tooLarge, tooMany, wantLarge, wantMany)
 			}
 		}
-		s.store.Limit(100, 10, 2)
+		s.store.SetLimits(fake.StoreLimits{ValueBytes: 100, TxnOps: 10, WriteRPS: 2})
 		if _, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{put("job/1", strings.Repeat("x", 200))}, kvstore.PriorityUser); err == nil {
 			t.Error("a value over the limit was written")
 		}
@@ -164,7 +165,7 @@
 			t.Errorf("a put on no lease: %v, want ErrNoSuchLease", err)
 		}
 		want("no such lease", 1, 1)
-		s.store.Down(true)
+		s.store.SetFaults(fake.StoreFaults{Down: true})
 		if _, err := s.client.Txn(s.ctx, nil, puts(1, "job/1"), kvstore.PriorityUser); !errors.Is(err, kvstore.ErrRefused) {
 			t.Errorf("a change in an outage: %v, want ErrRefused", err)
 		}
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -108,7 +108,7 @@
 )
 
 // storedEstimates is the value under estimatesKey. It names the jobs that fail on every machine,
-// too: a new leader would try all of their tasks at once (TestMistakenJob).
+// too: a new leader would try all of their tasks at once (TestAlwaysFailingJobIsThrottled).
 type storedEstimates struct {
 	Estimates autoscaler.Estimates `cbor:"estimates"`
 	Failing   []string             `cbor:"failing"`
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -86,7 +86,7 @@
 // Exception to the exception that work within a guarantee goes first: one waiting gang of each team
 // is not behind it. It guards against gangs that wait for as long as arrays within their teams'
 // guarantees come, which take each gap, while a gang needs all of its gaps at once
-// (docs/incidents/inc-82e5.md, TestGangBeyondGuarantee).
+// (docs/incidents/inc-82e5.md, TestGangBeyondGuaranteeNotStarvedByArrays).
 func (s *scheduler) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
 	first := map[*jobstore.Job]bool{}
 	teamHasGang := map[int]bool{}
@@ -127,7 +127,7 @@
 
 // priority returns a waiting job's priority: the lowest for teams without a guarantee, whatever
 // they say. They would take the room that was just made for work within a guarantee, and be stopped
-// for it again, for ever (TestGuests).
+// for it again, for ever (TestTeamWithoutGuaranteeUsesIdleCapacity).
 func (s *scheduler) priority(j *jobstore.Job) int {
 	if s.jobs.opportunistic(j) {
 		return job.RankBestEffort
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -164,7 +164,7 @@
 // will go to others.
 //
 // It counts CPUs, not tasks: what many tiny tasks wait for would be rented in CPUs as soon as those
-// of another array stand in the line before them (TestSmallTasksRentLittle).
+// of another array stand in the line before them (TestSmallTasksDoNotOverprovision).
 func (s *sizer) missingForArrays(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
 	boot := s.topology.slowestBoot()
 	load := s.arrayLoad(teams, now)
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -34,7 +34,7 @@
 	// have ever shown a token of its term than reach the other controller. It guards against
 	// leaders that transfer to each other for ever where nothing reaches the machines: their
 	// heartbeats go round the controllers, and it takes three of them to one leader to show
-	// (TestAllMachinesDeaf).
+	// (TestAllUnresponsiveMachinesAreReplaced).
 	keepWithoutAnswers = time.Minute
 )
 
--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -123,7 +123,7 @@
 	a := c.start("a")
 	first := c.elected(a, time.Second)
 	b := c.start("b")
-	c.network.Partition(func(from, _ string) bool { return from == "a" })
+	c.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
 	return failover{deposed: a, first: first, second: c.elected(b, 2*leaseTTL)}
 }
 
@@ -169,7 +169,7 @@
 func TestUnansweredClaim(t *testing.T) {
 	t.Run("applied", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
-			c.store.LoseResponses(1)
+			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 			term := c.elected(c.start("a"), 200*time.Millisecond)
 			c.wantNumber(term, 1)
 			if err := c.writes(term); err != nil {
@@ -179,10 +179,10 @@
 	})
 	t.Run("applied late", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
-			c.store.DelayTransactions(1, keyPrefix)
+			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: keyPrefix})
 			a := c.start("a")
 			time.Sleep(100 * time.Millisecond)
-			c.store.Release() // its lease is revoked by now
+			c.store.ReleaseHeld() // its lease is revoked by now
 			term := c.elected(a, time.Second)
 			c.wantNumber(term, 1)
 			if err := c.writes(term); err != nil {
@@ -203,12 +203,12 @@
 			}
 		}
 		// No lease expires in an outage, so the leader stays, but it cannot know that.
-		c.store.Down(true)
+		c.store.SetFaults(fake.StoreFaults{Down: true})
 		time.Sleep(2 * leaseTTL)
 		if term.Valid() {
 			t.Error("valid without renewals")
 		}
-		c.store.Down(false)
+		c.store.SetFaults(fake.StoreFaults{})
 		time.Sleep(leaseTTL)
 		if !term.Valid() || a.leading.Load() != term || b.leading.Load() != nil {
 			t.Error("leadership lost by an outage")
@@ -223,7 +223,7 @@
 		if first.Valid() {
 			t.Error("two valid terms")
 		}
-		c.network.Partition(nil)
+		c.network.SetFaults(fake.NetworkFaults{})
 		c.deposed(a, first, leaseTTL)
 		if err := first.Advance(c.ctx); !errors.Is(err, ErrDeposed) {
 			t.Errorf("advance after the loss: %v, want ErrDeposed", err)
@@ -260,7 +260,7 @@
 	t.Run("read back", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
 			term := c.elected(c.start("a"), time.Second)
-			c.store.LoseResponses(1)
+			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 			if err := term.Advance(c.ctx); err != nil {
 				t.Fatal(err)
 			}
@@ -270,13 +270,12 @@
 	t.Run("adopted by the next", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
 			term := c.elected(c.start("a"), time.Second)
-			c.store.LoseResponses(1)
-			c.store.DownAfter(keyPrefix) // so that it cannot be read back
+			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1, DownAfterPrefix: keyPrefix}) // so that it cannot be read back
 			if err := term.Advance(c.ctx); !errors.Is(err, kvstore.ErrUnknown) {
 				t.Fatalf("unanswered: %v, want ErrUnknown", err)
 			}
 			c.wantNumber(term, 1)
-			c.store.Down(false)
+			c.store.SetFaults(fake.StoreFaults{})
 			if err := term.Advance(c.ctx); err != nil {
 				t.Fatal(err)
 			}
@@ -371,7 +370,7 @@
 		{"issued", func(c *cluster) { c.store.Put(termKey, wire.Marshal(termRecord{token})) }, true},
 		{"never issued", func(*cluster) {}, false},
 		{"store unreachable", func(c *cluster) {
-			c.network.Partition(func(from, _ string) bool { return from == "a" })
+			c.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -103,7 +103,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := startGroup(t)
 		g.nodes["b"].ObserveLeadership("b", 1)
-		g.network.Partition(func(from, to string) bool { return from == "a" && to == "b" })
+		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, to string) bool { return from == "a" && to == "b" }})
 		time.Sleep(10 * time.Second)
 		if leader, term := g.nodes["a"].Leadership(); leader != "b" || term != 1 {
 			t.Errorf("a knows leader %q of term %d: no heartbeat of b has come in", leader, term)
@@ -197,7 +197,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := startGroup(t)
 				time.Sleep(5 * time.Second)
-				g.network.Partition(func(_, to string) bool { return slices.Contains(test.unreachable, to) })
+				g.network.SetFaults(fake.NetworkFaults{Partition: func(_, to string) bool { return slices.Contains(test.unreachable, to) }})
 				g.registers["a"].Add("wk-000001")
 				asked := time.Now()
 				if got := g.groups["a"].ReplicateCancellation(t.Context(), "wk-000001"); got != test.want {
@@ -250,7 +250,7 @@
 		const callers = 50
 		g := startGroup(t)
 		time.Sleep(100 * time.Millisecond) // the first heartbeats are over, the next not due
-		g.network.DelayRequests(func(_, _ string) time.Duration { return 20 * time.Millisecond })
+		g.network.SetFaults(fake.NetworkFaults{RequestDelay: func(_, _ string) time.Duration { return 20 * time.Millisecond }})
 		before := g.network.Requests()
 		var calls sync.WaitGroup
 		for i := range callers {
@@ -288,12 +288,12 @@
 		if !a.AllRunGangs() || !a.StoreServesNobody(recent) {
 			t.Error("members that run gangs, without the store, do not count as such")
 		}
-		g.network.Partition(func(from, to string) bool { return from == "a" && to == "c" })
+		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, to string) bool { return from == "a" && to == "c" }})
 		time.Sleep(10 * time.Second)
 		if got := a.MostRedirected(recent); got != 3 {
 			t.Errorf("most redirected %d, want 3 of the member that answers", got)
 		}
-		g.network.Partition(func(from, _ string) bool { return from == "a" })
+		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
 		time.Sleep(10 * time.Second)
 		if got := a.MostRedirected(recent); got != 0 || a.StoreServesNobody(recent) {
 			t.Errorf("most redirected %d, store serves nobody %v: nobody has answered", got, a.StoreServesNobody(recent))
