--- /dev/null
+++ b/tools/testdata/planted/package-comments/package_comments.go
@@ -0,0 +1,1 @@
+package planted
