--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -7,4 +7,10 @@
 // by any goroutine. Faults are injected by one typed value a fake (NetworkFaults, StoreFaults,
 // CloudFaults, AgentFaults): SetFaults replaces all of its present faults, and UpdateFaults changes some
 // of them; the zero value means that it works.
+//
+// Nothing here makes a timer that has expired, or waits a second time on a timer's channel. Go 1.26 runs
+// such a timer at once on the thread that meets it, for the race detector in the one context that all
+// timers of the simulated time share, and the detector's state breaks if another thread does the same:
+// the test ends by SIGSEGV in runtime.(*timer).maybeRunChan. Contexts with a deadline and goroutines
+// that sleep are safe.
 package fake
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -111,7 +111,7 @@
 	attempt.beganAt = time.Now()
 	g.counts.Began++
 	for _, member := range attempt.members {
-		time.AfterFunc(0, func() { // later, as the caller holds another machine's lock
+		go func() { // later, as the caller holds another machine's lock
 			member.machine.mu.Lock()
 			defer member.machine.mu.Unlock()
 			if member.task.status == agent.StatusWaiting {
@@ -119,7 +119,7 @@
 				member.task.status = agent.StatusRunning
 				member.machine.signalChange()
 			}
-		})
+		}()
 	}
 	left := time.Duration(attempt.job.spec.ExpectS*float64(time.Second)) - attempt.job.progress
 	time.AfterFunc(left, func() { g.complete(attempt) })
@@ -279,9 +279,10 @@
 	attempt.job.progress += attempt.haltedAt.Sub(attempt.beganAt)
 	g.counts.Checkpointed++
 	saveTime := time.Duration(attempt.job.spec.SaveS * float64(time.Second))
-	left := max(0, time.Until(attempt.haltedAt.Add(saveTime)))
+	left := time.Until(attempt.haltedAt.Add(saveTime))
 	g.mu.Unlock()
-	time.AfterFunc(left, func() { g.exitAll(attempt, agent.CauseStopped) })
+	time.Sleep(left)
+	g.exitAll(attempt, agent.CauseStopped)
 }
 
 // fail ends an attempt of which a task is gone, or that could not save whole: the others notice, and the
