--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -41,10 +41,10 @@
 		f.submitted("wk-000001")
 		f.notReplicated.Store(true)
 		f.expectUnavailable(f.cancel("wk-000001"))
-		first, changes := f.record("wk-000001"), f.store.Changes()
+		first, changes := f.record("wk-000001"), f.store.Changes("")
 		f.notReplicated.Store(false)
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
-		if f.store.Changes() != changes {
+		if f.store.Changes("") != changes {
 			t.Error("recorded twice")
 		}
 		if again := f.record("wk-000001"); again.CancelledMS != first.CancelledMS || again.Arrival == 0 || again.Arrival != first.Arrival {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -67,13 +67,15 @@
 	})
 }
 
-// What a job of one task costs the store from its acceptance to its end.
+// What a job of one task costs the store from its acceptance to its end, where the leader has the
+// response to its own write of the end before a watch tells it of that.
 func TestStoreWritesPerSingleTaskJob(t *testing.T) {
 	simulate(t, func(c *cluster) {
+		c.store.SetFaults(fake.StoreFaults{WatchDelay: time.Millisecond})
 		c.waitForElection()
 		c.runService(4)
 		time.Sleep(10 * time.Second)
-		before := c.store.Changes()
+		before := c.store.Changes("")
 		const jobs = 40
 		for i := range jobs {
 			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(10+i), job.Array, 1, 4))
@@ -82,9 +84,15 @@
 			c.waitUntil("done", 2*time.Minute, c.isDone(jobID(10+i)))
 		}
 		time.Sleep(10 * time.Second)
-		// Five for each job: accepted, started, ended, its record and its tasks' record deleted; and
-		// a few of the leader's own.
-		if n := c.store.Changes() - before; n > 5*jobs+10 {
+		// Accepted, started, its record and its tasks' record deleted; and ended.
+		for i := range jobs {
+			records, ends := c.store.Changes(jobstore.JobKey(jobID(10+i))), c.store.Changes(jobstore.EndKey(jobID(10+i)))
+			if records != 4 || ends != 1 {
+				t.Errorf("%s: %d changes of its records and %d of its end", jobID(10+i), records, ends)
+			}
+		}
+		// Those, and a few of the leader's own.
+		if n := c.store.Changes("") - before; n > 5*jobs+10 {
 			t.Errorf("%d changes for %d jobs", n, jobs)
 		}
 	})
@@ -97,7 +105,7 @@
 	simulate(t, func(c *cluster) {
 		const tasks = 6000
 		c.restartWithLargeFleet()
-		before := c.store.Changes()
+		before := c.store.Changes("")
 		c.submit(0, newJob("wk-000001", job.Array, tasks, 4).withResources(0.25, 0.5).withPriority(lowPriority))
 		c.waitUntil("a third started", 3*time.Minute, func() bool { return len(c.invariants.StartsByTask()) > tasks/3 })
 		c.failOver()
@@ -110,7 +118,7 @@
 		if restarts := c.restartsOf("wk-000001"); restarts > tasks/20 {
 			t.Errorf("%d of %d tasks ran again", restarts, tasks)
 		}
-		if n := c.store.Changes() - before; n > tasks/10 {
+		if n := c.store.Changes("") - before; n > tasks/10 {
 			t.Errorf("%d changes for %d tasks", n, tasks)
 		}
 	})
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -50,9 +50,9 @@
 // storeCounts counts what came so far.
 type storeCounts struct {
 	requests       int
-	transactions   int // within the limits
-	unacknowledged int // transactions without a response
-	mutations      int // that transactions asked for
+	transactions   int            // within the limits
+	unacknowledged int            // transactions without a response
+	mutations      map[string]int // that transactions asked for, by key
 }
 
 // entry is a stored value.
@@ -71,6 +71,7 @@
 // NewStore returns an empty store without limits.
 func NewStore() *Store {
 	return &Store{keys: map[string]entry{}, changed: make(chan struct{}), leases: map[uint64]*lease{}, rev: 1,
+		counts: storeCounts{mutations: map[string]int{}},
 		random: rand.New(rand.NewPCG(7, 11))} // any fixed seed
 }
 
@@ -82,11 +83,16 @@
 	s.keys[key] = entry{value: value, rev: s.rev}
 }
 
-// Changes returns how many mutations transactions have asked for so far.
-func (s *Store) Changes() int {
+// Changes returns how many mutations of keys with a prefix transactions have asked for so far.
+func (s *Store) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts.mutations
+	for key, mutations := range s.counts.mutations {
+		if strings.HasPrefix(key, prefix) {
+			n += mutations
+		}
+	}
+	return n
 }
 
 // Requests returns how many requests there were so far.
@@ -254,7 +260,9 @@
 	if wire.Unmarshal(body, &transaction) != nil {
 		return wire.Response{Status: wire.StatusBadRequest}
 	}
-	s.counts.mutations += len(transaction.Mutations)
+	for _, mutation := range transaction.Mutations {
+		s.counts.mutations[mutation.Put+mutation.Delete]++
+	}
 	var failed []string
 	for _, compare := range transaction.Compares {
 		if s.keys[compare.Key].rev != compare.Revision {
@@ -304,37 +312,46 @@
 
 // watch answers with the changes of keys with a prefix after a revision, as soon as there are any, or
 // with none after a time.
-func (s *Store) watch(ctx context.Context, q map[string]string) wire.Response {
-	after, _ := strconv.ParseUint(q["after"], 10, 64)
-	ms, _ := strconv.Atoi(q["wait_ms"])
-	deadline := time.After(time.Duration(ms) * time.Millisecond)
-	for begun := false; ; begun = true {
+func (s *Store) watch(ctx context.Context, query map[string]string) wire.Response {
+	after, _ := strconv.ParseUint(query["after"], 10, 64)
+	waitMS, _ := strconv.Atoi(query["wait_ms"])
+	// Not a timer's channel, on which a change may come at the very end (see the package).
+	wait, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
+	defer cancel()
+	for isOpen := false; ; isOpen = true {
 		s.mu.Lock()
-		if s.faults.Down && !begun {
+		if s.faults.Down && !isOpen {
 			s.mu.Unlock()
-			return wire.Response{Status: 503} // only watches that are open stay open
+			return wire.Response{Status: wire.StatusServiceUnavailable} // only watches that are open stay open
 		}
 		if s.dropped > after {
 			s.mu.Unlock()
-			return wire.Response{Status: 410}
-		}
-		var found []kvstore.Event
-		for _, e := range s.events {
-			if e.Revision > after && strings.HasPrefix(e.Put+e.Delete, q["starts"]) {
-				found = append(found, e)
-			}
+			return wire.Response{Status: wire.StatusGone}
 		}
-		changed, rev, down := s.changed, s.rev, s.faults.Down
+		found := s.changesAfter(after, query["starts"])
+		changed, rev, faults := s.changed, s.rev, s.faults
 		s.mu.Unlock()
-		if len(found) > 0 && !down {
+		if len(found) > 0 && !faults.Down {
+			time.Sleep(faults.WatchDelay)
 			return ok(map[string]any{"epoch": rev, "events": found})
 		}
 		select {
 		case <-changed:
-		case <-deadline:
+		case <-wait.Done():
+			if ctx.Err() != nil {
+				return wire.Response{Status: statusDropConnection}
+			}
 			return ok(map[string]any{"epoch": rev})
-		case <-ctx.Done():
-			return wire.Response{Status: statusDropConnection}
 		}
 	}
 }
+
+// changesAfter returns the changes of keys with a prefix after a revision. The caller holds mu.
+func (s *Store) changesAfter(revision uint64, prefix string) (found []kvstore.Event) {
+	for _, event := range s.events {
+		if event.Revision > revision && strings.HasPrefix(event.Put+event.Delete, prefix) {
+			found = append(found, event)
+		}
+	}
+	return found
+}
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -26,6 +26,10 @@
 	DownAfterPrefix string
 	// Delay lets every request take so much longer. It stands for a slow disk or an overloaded store.
 	Delay time.Duration
+	// WatchDelay lets watches tell of changes so much later than the responses to the transactions that
+	// made them. Without it both are sent at one instant of simulated time, and which of them is read
+	// first is up to the scheduler of the Go runtime.
+	WatchDelay time.Duration
 	// LoseNextResponses applies so many of the next transactions without a response. It stands for
 	// connections that break between commit and response.
 	LoseNextResponses int
