--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tulipshelf/internal/job"
+	"tulipshelf/internal/kvstore"
 	"tulipshelf/internal/wire"
 )
 
@@ -102,6 +103,32 @@
 	}
 }
 
+// A watch may report a job's end before the end's own write is answered: what that write has deleted
+// is then deleted once more, in vain.
+func TestEndWatchedBeforeItsAnswerDeletesOnce(t *testing.T) {
+	store := New()
+	array := addArray(t, store, testID, 1, 10)
+	store.EndAttempt(startRecorded(t, store, array, 0, 11), true, startTime)
+	batch := store.NextBatch(fence, 8, 8, largeValue, startTime)
+	if batch == nil || len(batch.Mutations) != 3 || batch.Mutations[2].Delete != "job/wk-000001/000000" {
+		t.Fatalf("%+v", batch)
+	}
+	var again []kvstore.Mutation
+	if watched := store.RecordDeleted(testID); watched != nil {
+		again = watched.GarbageMutations(8) // as the leader does with each job that has ended
+	}
+	_, ended := store.BatchCommitted(batch, 12)
+	for _, j := range ended {
+		again = append(again, j.GarbageMutations(8)...)
+	}
+	if len(ended) != 1 || store.Len() != 0 {
+		t.Errorf("%d jobs reported as ended, %d left", len(ended), store.Len())
+	}
+	if len(again) != 0 {
+		t.Errorf("deleted once more: %+v", again)
+	}
+}
+
 // The largest job's records respect the limits on values and transactions.
 func TestLargestJobStaysWithinTransactionLimits(t *testing.T) {
 	store := New()
