--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -53,19 +53,19 @@
 //
 // The latter guards against machines returned by a new leader for tasks that had long gone, where
 // the ends of their jobs could not be recorded in time (docs/incidents/inc-b469.md).
-func (t *attemptTracker) stopAttempts(j *jobstore.Job, now time.Time) {
+func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.busy {
-		for _, attempt := range t.jobs.store.WithdrawUnrecorded(j, now) {
+		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
 			t.machines.machine(attempt.Machine, now).Release(attempt)
 		}
 	}
 	var gone []*jobstore.Attempt
-	j.EachAttempt(func(attempt *jobstore.Attempt) {
+	stopped.EachAttempt(func(attempt *jobstore.Attempt) {
 		machine := t.machines.machine(attempt.Machine, now)
 		assignment := machine.AssignmentOf(attempt)
 		switch {
 		case assignment == nil || !attempt.Recorded:
-		case j.Cancelled && t.Node.ConfirmedGone(attempt.ID()):
+		case stopped.Cancelled && t.Node.ConfirmedGone(attempt.ID()):
 			gone = append(gone, attempt)
 		case t.recordedButNeverSent(assignment):
 			gone = append(gone, attempt)
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -67,17 +67,17 @@
 }
 
 // jobArrived adds a job that was not known before to what usually arrives.
-func (f *forecast) jobArrived(j *jobstore.Job, state *jobState) {
-	if j.Cancelled || state.team == unknownIndex {
+func (f *forecast) jobArrived(arrived *jobstore.Job, state *jobState) {
+	if arrived.Cancelled || state.team == unknownIndex {
 		return
 	}
-	if j.IsGang() {
-		f.gangArrived(j, state)
+	if arrived.IsGang() {
+		f.gangArrived(arrived, state)
 	}
 	// Room is not kept for teams without a guarantee: machines would stand empty for long after
 	// their arrays have gone.
-	if j.Spec.Shape == job.Array && !f.jobs.opportunistic(j) {
-		f.arrayArrived(j, state)
+	if arrived.Spec.Shape == job.Array && !f.jobs.opportunistic(arrived) {
+		f.arrayArrived(arrived, state)
 	}
 }
 
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -47,11 +47,11 @@
 }
 
 // admit maps a job's names to dense indices. It returns false if the job has been admitted before.
-func (t *jobTable) admit(j *jobstore.Job) (*jobState, bool) {
-	if state := t.states[j]; state != nil {
+func (t *jobTable) admit(newJob *jobstore.Job) (*jobState, bool) {
+	if state := t.states[newJob]; state != nil {
 		return state, false
 	}
-	spec := j.Spec
+	spec := newJob.Spec
 	state := &jobState{
 		team:     indexOf(t.topology.teamIndex, spec.Team),
 		zone:     unknownIndex,
@@ -71,7 +71,7 @@
 	for i := range t.topology.types {
 		state.types[i] = api.Allows(spec, &t.topology.types[i])
 	}
-	t.states[j] = state
+	t.states[newJob] = state
 	return state, true
 }
 
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -75,7 +75,7 @@
 
 // applyRecord takes a job's record as it was read or watched.
 func (l *Leader) applyRecord(value []byte, revision uint64) {
-	j, isNews, err := l.jobs.store.ApplyRecord(value, revision)
+	changed, isNews, err := l.jobs.store.ApplyRecord(value, revision)
 	if err != nil {
 		slog.Error("job record unreadable", "err", err)
 		return
@@ -83,9 +83,9 @@
 	if !isNews {
 		return
 	}
-	l.admitJob(j)
-	if j.Cancelled {
-		l.attempts.stopAttempts(j, time.Now())
+	l.admitJob(changed)
+	if changed.Cancelled {
+		l.attempts.stopAttempts(changed, time.Now())
 	}
 }
 
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -20,7 +20,7 @@
 
 // cloudSession is the conversation with the cloud. It belongs to the goroutine of scaler.run.
 type cloudSession struct {
-	scaler *scaler
+	*environment
 
 	lastList   time.Time
 	listLength int            // of the last list
@@ -30,7 +30,7 @@
 
 // run lists machines, returns and rents them until ctx ends.
 func (s *scaler) run(ctx context.Context) {
-	session := &cloudSession{scaler: s, interval: scalingInterval}
+	session := &cloudSession{environment: s.environment, interval: scalingInterval}
 	for ctx.Err() == nil {
 		listed := session.listIfDue(ctx)
 		returned := session.carryOutPlan(ctx)
@@ -42,29 +42,27 @@
 
 // listIfDue lists the machines now and then. It returns false if the cloud did not serve.
 func (c *cloudSession) listIfDue(ctx context.Context) bool {
-	s := c.scaler
-	listInterval := max(minListInterval, s.Settings.Cloud.ListLag/2, s.Cloud.ListInterval(c.listLength))
+	listInterval := max(minListInterval, c.Settings.Cloud.ListLag/2, c.Cloud.ListInterval(c.listLength))
 	if time.Since(c.lastList) < listInterval {
 		return true
 	}
 	askedAt := time.Now()
 	c.lastList = askedAt
-	machines, err := s.Cloud.List(ctx)
+	machines, err := c.Cloud.List(ctx)
 	if err != nil {
 		slog.Debug("machines not listed", "err", err)
 		return false
 	}
 	c.listLength = len(machines)
-	s.loop.submit(machinesListed{machines, askedAt})
+	c.loop.submit(machinesListed{machines, askedAt})
 	return true
 }
 
 // carryOutPlan has the event loop decide, returns machines and queues rentals. It returns false if
 // the cloud did not serve.
 func (c *cloudSession) carryOutPlan(ctx context.Context) bool {
-	s := c.scaler
 	asked := &planRequested{}
-	if !s.loop.call(ctx, asked) {
+	if !c.loop.call(ctx, asked) {
 		return true
 	}
 	c.pending = append(c.pending, asked.plan.rentals...)
@@ -72,11 +70,11 @@
 	if len(names) == 0 {
 		return true
 	}
-	if err := s.Cloud.Return(ctx, names); err != nil {
+	if err := c.Cloud.Return(ctx, names); err != nil {
 		slog.Debug("machines not returned", "machines", names, "err", err)
 		return false
 	}
-	s.loop.submit(machinesReturned{names})
+	c.loop.submit(machinesReturned{names})
 	return true
 }
 
@@ -90,13 +88,13 @@
 func (c *cloudSession) rentPending(ctx context.Context) bool {
 	var unanswered []cloud.Rental
 	for _, rental := range c.pending {
-		names, err := c.scaler.Cloud.Rent(ctx, rental)
+		names, err := c.Cloud.Rent(ctx, rental)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			slog.Debug("rental not answered", "request", rental.Name, "err", err)
 			unanswered = append(unanswered, rental)
 			continue
 		}
-		c.scaler.loop.submit(machinesRented{rental, names})
+		c.loop.submit(machinesRented{rental, names})
 	}
 	c.pending = unanswered
 	return len(unanswered) == 0
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -18,17 +18,17 @@
 	jobs := make([]placement.Job, len(waiting))
 	images := imageLists{}
 	beyondGuarantee, firstGangs := s.beyondGuarantee(), s.firstGangs(waiting)
-	for i, j := range waiting {
-		state, spec := s.jobs.states[j], j.Spec
-		beyond := beyondGuarantee[j]
-		image := s.imageOf(j, images)
-		zones := s.tasksInZones(j)
+	for i, waitingJob := range waiting {
+		state, spec := s.jobs.states[waitingJob], waitingJob.Spec
+		beyond := beyondGuarantee[waitingJob]
+		image := s.imageOf(waitingJob, images)
+		zones := s.tasksInZones(waitingJob)
 		view := placement.Job{
-			Team: state.team, Priority: s.priority(j), Arrival: j.Arrival, WorkPerWait: s.inverseResponseRatio(j, now),
-			BeyondGuarantee: beyond && !firstGangs[j], MayDisplace: s.mayDisplace(j, now) && !beyond,
-			Need: state.need, Waiting: s.jobs.wanted(j), Tasks: spec.Tasks, Gang: j.IsGang(),
+			Team: state.team, Priority: s.priority(waitingJob), Arrival: waitingJob.Arrival, WorkPerWait: s.inverseResponseRatio(waitingJob, now),
+			BeyondGuarantee: beyond && !firstGangs[waitingJob], MayDisplace: s.mayDisplace(waitingJob, now) && !beyond,
+			Need: state.need, Waiting: s.jobs.wanted(waitingJob), Tasks: spec.Tasks, Gang: waitingJob.IsGang(),
 			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
-			Avoid: s.machinesToAvoid(state), Urgent: spec.Shape != job.Array, Overdue: s.overdue(j, now),
+			Avoid: s.machinesToAvoid(state), Urgent: spec.Shape != job.Array, Overdue: s.overdue(waitingJob, now),
 			Image: image.byMachine, FetchTooSlow: image.fetchTooSlow, TasksInZone: zones.tasks,
 		}
 		if !zones.allKnown && (spec.OneZone || spec.Apart) {
@@ -204,12 +204,12 @@
 
 // imageOf returns what the machines have of a job's image, if a fetch of it takes longer than the
 // load index remembers, or a good part of the time in which its class should start.
-func (s *scheduler) imageOf(j *jobstore.Job, lists imageLists) imageView {
+func (s *scheduler) imageOf(waiting *jobstore.Job, lists imageLists) imageView {
 	view, limit := imageView{}, s.Operator.Smoothing
-	fetch := s.topology.fetchSeconds(j.Spec.ImageGB)
+	fetch := s.topology.fetchSeconds(waiting.Spec.ImageGB)
 	for i := range s.Settings.Objectives {
 		objective := &s.Settings.Objectives[i]
-		ofClass := objective.Kind == config.KindWait && objective.Class == j.Spec.Class
+		ofClass := objective.Kind == config.KindWait && objective.Class == waiting.Spec.Class
 		if objective.Within <= 0 || !ofClass && objective.Kind != config.KindGuarantee {
 			continue
 		}
@@ -221,10 +221,10 @@
 	if fetch <= limit.Seconds() {
 		return imageView{}
 	}
-	if lists[j.Spec.Image] == nil {
-		lists[j.Spec.Image] = s.machinesWithImage(j.Spec.Image)
+	if lists[waiting.Spec.Image] == nil {
+		lists[waiting.Spec.Image] = s.machinesWithImage(waiting.Spec.Image)
 	}
-	view.byMachine = lists[j.Spec.Image]
+	view.byMachine = lists[waiting.Spec.Image]
 	return view
 }
 
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -117,18 +117,18 @@
 }
 
 // add adds up to so many tasks of a job, as far as its team's limit has room, and returns how many.
-func (d *demandList) add(j *jobstore.Job, tasks int) int {
-	state := d.jobs.states[j]
+func (d *demandList) add(waiting *jobstore.Job, tasks int) int {
+	state := d.jobs.states[waiting]
 	team := &d.teams[state.team]
-	tasks = fitting(tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs)
-	tasks = fitting(tasks, team.GPUsMax-team.GPUsUsed, j.Spec.GPUs)
+	tasks = fitting(tasks, team.CPUsMax-team.CPUsUsed, waiting.Spec.CPUs)
+	tasks = fitting(tasks, team.GPUsMax-team.GPUsUsed, waiting.Spec.GPUs)
 	if tasks == 0 {
 		return 0
 	}
-	team.CPUsUsed += float64(tasks) * j.Spec.CPUs
-	team.GPUsUsed += float64(tasks) * j.Spec.GPUs
-	d.demand = append(d.demand, autoscaler.Demand{Need: state.need, Types: state.types, Zone: state.zone, Spot: j.Spec.Spot,
-		OneZone: j.IsGang() && j.Spec.OneZone, Tasks: tasks})
+	team.CPUsUsed += float64(tasks) * waiting.Spec.CPUs
+	team.GPUsUsed += float64(tasks) * waiting.Spec.GPUs
+	d.demand = append(d.demand, autoscaler.Demand{Need: state.need, Types: state.types, Zone: state.zone, Spot: waiting.Spec.Spot,
+		OneZone: waiting.IsGang() && waiting.Spec.OneZone, Tasks: tasks})
 	return tasks
 }
 
