--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -47,25 +47,23 @@
 	deletedChunks []int // indices of the chunks that it deletes
 }
 
-// batchLimits is what one batch may hold.
-type batchLimits struct {
-	mutations      int // at most
-	spareMutations int // from so many on changes that can wait are left out
-	valueBytes     int // of the largest value that the key-value store takes
+// BatchLimits is what one batch may hold, as the key-value store allows it now.
+type BatchLimits struct {
+	Mutations      int // at most
+	SpareMutations int // from so many on changes that can wait are left out
+	ValueBytes     int // of the largest value that the key-value store takes
 }
 
-// NextBatch builds a transaction of the most urgent changes, of at most maxOps mutations, that is
-// executed only while fence holds, the compare of the leader's term. It returns nil if there is
-// nothing to write. Changes that can wait are left out from spareOps mutations on, and chunks whose
-// value exceeds valueBytes until it fits. The outcome has to be reported before the next call: one
+// NextBatch builds a transaction of the most urgent changes within limits that is executed only while
+// fence holds, the compare of the leader's term. It returns nil if there is nothing to write. Chunks
+// whose value is too large are left out until it fits. The outcome has to be reported before the next call: one
 // batch is in flight at a time.
-func (s *Store) NextBatch(fence kvstore.Compare, maxOps, spareOps, valueBytes int, now time.Time) *Batch {
-	limits := batchLimits{mutations: maxOps, spareMutations: spareOps, valueBytes: valueBytes}
+func (s *Store) NextBatch(fence kvstore.Compare, limits BatchLimits, now time.Time) *Batch {
 	if batch := s.nextRechunk(fence, limits); batch != nil {
 		return batch
 	}
 	candidates := s.candidates(now)
-	if len(candidates) == 0 || limits.mutations < 1 {
+	if len(candidates) == 0 || limits.Mutations < 1 {
 		return nil
 	}
 	slices.SortFunc(candidates, candidate.compare)
@@ -85,7 +83,7 @@
 // batchBuilder adds candidates to a batch until one of its limits is reached.
 type batchBuilder struct {
 	batch   *Batch
-	limits  batchLimits
+	limits  BatchLimits
 	lastEnd uint64 // Store.endSequence
 	bytes   int    // of the transaction, about
 }
@@ -108,7 +106,7 @@
 		return true
 	}
 	canWait := next.urgency < urgencyOverdue
-	if canWait && len(b.batch.Mutations) >= b.limits.spareMutations {
+	if canWait && len(b.batch.Mutations) >= b.limits.SpareMutations {
 		return true
 	}
 	// An urgent end that does not fit any more must have the next batch, so less urgent changes
@@ -116,13 +114,13 @@
 	return next.isEnd() && !canWait && b.mutationsLeft() < minEndMutations
 }
 
-func (b *batchBuilder) mutationsLeft() int { return b.limits.mutations - len(b.batch.Mutations) }
+func (b *batchBuilder) mutationsLeft() int { return b.limits.Mutations - len(b.batch.Mutations) }
 
 // addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A
 // chunk whose value is too large is left out: it fits once enough of its tasks have ended.
 func (b *batchBuilder) addChunk(job *Job, changed *chunk) bool {
 	value := job.chunkValue(changed.index)
-	if value.jsonBytes() > b.limits.valueBytes {
+	if value.jsonBytes() > b.limits.ValueBytes {
 		return true
 	}
 	encoded := wire.Marshal(value)
@@ -163,7 +161,7 @@
 // job of one task costs in all, only this one can wait.
 func (b *batchBuilder) deleteChunks(job *Job) []int {
 	var deleted []int
-	limit := min(b.limits.mutations, b.limits.spareMutations)
+	limit := min(b.limits.Mutations, b.limits.SpareMutations)
 	for index, c := range job.chunks {
 		if c.revision == 0 && !c.dirty {
 			continue
--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -88,7 +88,7 @@
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
 	store.EndAttempt(startRecorded(t, store, array, 0, 11), true, startTime)
-	batch := store.NextBatch(fence, 8, 1, largeValue, startTime)
+	batch := store.NextBatch(fence, BatchLimits{8, 1, largeValue}, startTime)
 	if batch == nil || len(batch.Mutations) != 2 {
 		t.Fatalf("%+v", batch)
 	}
@@ -109,7 +109,7 @@
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
 	store.EndAttempt(startRecorded(t, store, array, 0, 11), true, startTime)
-	batch := store.NextBatch(fence, 8, 8, largeValue, startTime)
+	batch := store.NextBatch(fence, BatchLimits{8, 8, largeValue}, startTime)
 	if batch == nil || len(batch.Mutations) != 3 || batch.Mutations[2].Delete != "job/wk-000001/000000" {
 		t.Fatalf("%+v", batch)
 	}
@@ -211,7 +211,7 @@
 		start(store, large, 4+4*i, startTime.Add(2*time.Second))
 	}
 	for i, want := range []string{"job/wk-000001/000000", "job/wk-000002/000000", "job/wk-000001/000001"} {
-		batch := store.NextBatch(fence, 1, 1, largeValue, startTime.Add(2*time.Second))
+		batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime.Add(2*time.Second))
 		if batch == nil || batch.Mutations[0].Put != want {
 			t.Fatalf("write %d: %+v, want %s", i, batch, want)
 		}
@@ -230,7 +230,7 @@
 	for task := range 4 {
 		start(store, large, task, startTime.Add(2*time.Second))
 	}
-	batch := store.NextBatch(fence, 1, 1, largeValue, startTime.Add(5*time.Second))
+	batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime.Add(5*time.Second))
 	if batch == nil || batch.Mutations[0].Put != "job/wk-000002/000000" {
 		t.Fatalf("four starts that waited for 3 s are behind one that waited for 5 s: %+v", batch)
 	}
@@ -250,7 +250,7 @@
 	store.MarkCancelled("wk-000001", startTime)
 	for second := range 40 {
 		now := startTime.Add(time.Duration(second) * time.Second)
-		batch := store.NextBatch(fence, 2, 0, largeValue, now) // two changes at a time, and none to spare
+		batch := store.NextBatch(fence, BatchLimits{2, 0, largeValue}, now) // two changes at a time, and none to spare
 		if batch == nil {
 			continue
 		}
@@ -287,14 +287,14 @@
 	addCancelledArray(t, store, "wk-000004", 1, 11)
 
 	urgent := []string{"put end/wk-000001", "delete job/wk-000001", "put job/wk-000002/000000", "put job/wk-000003/000000"}
-	batch := store.NextBatch(fence, 9, 0, largeValue, now)
+	batch := store.NextBatch(fence, BatchLimits{9, 0, largeValue}, now)
 	if got := describeMutations(batch); !slices.Equal(got, urgent) {
 		t.Errorf("none to spare: %q, want %q", got, urgent)
 	}
 	store.BatchFailed(batch)
 	all := []string{"put end/wk-000001", "delete job/wk-000001", "delete job/wk-000001/000000", "put job/wk-000002/000000",
 		"put job/wk-000003/000000", "put end/wk-000004", "delete job/wk-000004", "put job/wk-000003/000001"}
-	batch = store.NextBatch(fence, 9, 9, largeValue, now)
+	batch = store.NextBatch(fence, BatchLimits{9, 9, largeValue}, now)
 	if got := describeMutations(batch); !slices.Equal(got, all) {
 		t.Errorf("enough to spare: %q, want %q", got, all)
 	}
@@ -309,7 +309,7 @@
 		store.EndAttempt(start(store, array, 0, startTime), true, startTime)
 	}
 	start(store, addArray(t, store, "wk-000003", 1, 12), 0, startTime)
-	batch := store.NextBatch(fence, 3, 0, largeValue, startTime)
+	batch := store.NextBatch(fence, BatchLimits{3, 0, largeValue}, startTime)
 	if got, want := describeMutations(batch), []string{"put end/wk-000001", "delete job/wk-000001"}; !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
--- a/internal/jobstore/gang_test.go
+++ b/internal/jobstore/gang_test.go
@@ -42,7 +42,7 @@
 	gang := addGang(t, store)
 	attempts := startGang(store, gang)
 	for i, want := range []int{0, 4} {
-		batch := store.NextBatch(fence, 1, 1, largeValue, startTime)
+		batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime)
 		if len(batch.Mutations) != 1 {
 			t.Fatalf("%d mutations", len(batch.Mutations))
 		}
@@ -64,7 +64,7 @@
 	gang := addGang(t, store)
 	lost := startGang(store, gang)
 	for revision := uint64(2); revision <= 3; revision++ {
-		store.BatchCommitted(store.NextBatch(fence, 1, 1, largeValue, startTime), revision)
+		store.BatchCommitted(store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime), revision)
 	}
 	for _, attempt := range lost {
 		store.EndAttempt(attempt, false, startTime)
--- a/internal/jobstore/helpers_test.go
+++ b/internal/jobstore/helpers_test.go
@@ -80,7 +80,7 @@
 
 // nextBatch returns the next batch of a leader with rate to spare.
 func nextBatch(store *Store, now time.Time) *Batch {
-	return store.NextBatch(fence, 8, 8, largeValue, now)
+	return store.NextBatch(fence, BatchLimits{8, 8, largeValue}, now)
 }
 
 func hasCompare(batch *Batch, key string, revision uint64) bool {
--- a/internal/jobstore/rechunk.go
+++ b/internal/jobstore/rechunk.go
@@ -23,13 +23,13 @@
 }
 
 // nextRechunk returns a batch that rechunks the job that arrived first of those that need it, or nil.
-func (s *Store) nextRechunk(fence kvstore.Compare, limits batchLimits) *Batch {
-	job := s.firstToRechunk(limits.valueBytes)
-	if job == nil || limits.mutations < 1 {
+func (s *Store) nextRechunk(fence kvstore.Compare, limits BatchLimits) *Batch {
+	job := s.firstToRechunk(limits.ValueBytes)
+	if job == nil || limits.Mutations < 1 {
 		return nil
 	}
 	write := &rechunkWrite{job: job, record: job.record}
-	write.record.ChunkSize = TasksPerChunk(limits.valueBytes)
+	write.record.ChunkSize = TasksPerChunk(limits.ValueBytes)
 	write.record.FirstChunk = rechunkedFirstChunk
 	write.record.PreviousChunkSize = job.record.ChunkSize
 	write.record.Arrival = job.Arrival
--- a/internal/jobstore/rechunk_test.go
+++ b/internal/jobstore/rechunk_test.go
@@ -40,7 +40,7 @@
 // commit executes the next batch, if there is one, and reads what it has conflicted with.
 func (l *testLeader) commit(valueBytes int) {
 	l.t.Helper()
-	batch := l.store.NextBatch(fence, l.maxOps, l.maxOps, valueBytes, l.now)
+	batch := l.store.NextBatch(fence, BatchLimits{l.maxOps, l.maxOps, valueBytes}, l.now)
 	if batch == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 	l.t.Helper()
 	mutations := 0
 	for {
-		batch := l.store.NextBatch(fence, l.maxOps, l.maxOps, valueBytes, l.now)
+		batch := l.store.NextBatch(fence, BatchLimits{l.maxOps, l.maxOps, valueBytes}, l.now)
 		if batch == nil {
 			return mutations
 		}
@@ -193,7 +193,7 @@
 	for name, finishRechunk := range rechunkOutcomes {
 		t.Run(name, func(t *testing.T) {
 			leader := serviceThatNeedsRechunk(t)
-			batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
+			batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
 			if batch == nil || len(batch.Mutations) != 1 {
 				t.Fatalf("not rechunked: %+v", batch)
 			}
@@ -279,13 +279,13 @@
 func TestRechunkKeepsUnrecordedStarts(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
 	attempt := start(leader.store, leader.job, 50, leader.now)
-	rechunk := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now)
+	rechunk := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now)
 	if rechunk == nil || rechunk.rechunk == nil {
 		t.Fatalf("not rechunked: %+v", rechunk)
 	}
 	revision, _ := leader.backend.execute(rechunk)
 	leader.store.BatchCommitted(rechunk, revision)
-	batch := leader.store.NextBatch(fence, 1, 1, smallValue, leader.now)
+	batch := leader.store.NextBatch(fence, BatchLimits{1, 1, smallValue}, leader.now)
 	if !hasCompare(batch, JobKey(testID), revision) {
 		t.Errorf("compares %v", batch.Compares)
 	}
@@ -298,7 +298,7 @@
 // cancellation would be forgotten, and the revision would be one that conflicts.
 func TestLateAnswerToRechunkDoesNotUndoCancellation(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
-	batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
+	batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
 	revision, _ := leader.backend.execute(batch)
 	record := batch.rechunk.record
 	record.CancelledMS = startTime.UnixMilli()
@@ -314,7 +314,7 @@
 // them. Otherwise old chunks would stay among the new ones until each of their tasks changes.
 func TestNewLeaderFinishesRechunk(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
-	batch := leader.store.NextBatch(fence, 4, 4, smallValue, leader.now.Add(time.Minute))
+	batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
 	leader.backend.execute(batch)
 	successor := leader.backend.load(t)
 	successor.FinishLoading()
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -45,9 +45,12 @@
 		return
 	}
 	fence := w.term.Fence()
-	maxMutations := min(w.Settings.Store.TxnOps, w.Store.WriteBudget(kvstore.PriorityScheduling))
-	spare := w.Store.WriteBudget(kvstore.PriorityBackground)
-	batch := w.jobs.store.NextBatch(fence, maxMutations, spare, w.Node.ValueBytes(), now)
+	limits := jobstore.BatchLimits{
+		Mutations:      min(w.Settings.Store.TxnOps, w.Store.WriteBudget(kvstore.PriorityScheduling)),
+		SpareMutations: w.Store.WriteBudget(kvstore.PriorityBackground),
+		ValueBytes:     w.Node.ValueBytes(),
+	}
+	batch := w.jobs.store.NextBatch(fence, limits, now)
 	if batch == nil {
 		w.deleteGarbage(fence)
 		return
