--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -126,12 +126,12 @@
 // It guards against room that is kept from a gang that is there: one stopped 52 tasks in a
 // second, and each time the machines were kept for others before all of it was free (inc-f015).
 func (l *leader) gangsToCome(now time.Time, waiting []placement.Job) (out []placement.Job) {
-	beyond := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.Beyond })
+	beyond := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
 	for _, k := range l.gangsKept(now) {
 		s, st := k.spec, k.state
-		out = append(out, placement.Job{Team: st.team, Priority: min(s.Rank(), job.Standard), Arrival: math.MaxUint64, Beyond: beyond, Need: st.need, Waiting: s.Tasks,
-			Types: st.types, Zone: st.zone, Spot: s.Spot, OneZone: s.OneZone, Apart: s.Apart, Gang: true, ToCome: true, Tasks: s.Tasks,
-			InZone: make([]int, len(l.zones))})
+		out = append(out, placement.Job{Team: st.team, Priority: min(s.Rank(), job.Standard), Arrival: math.MaxUint64, BeyondGuarantee: beyond, Need: st.need, Waiting: s.Tasks,
+			Types: st.types, Zone: st.zone, Spot: s.Spot, OneZone: s.OneZone, Apart: s.Apart, Gang: true, Reservation: true, Tasks: s.Tasks,
+			TasksInZone: make([]int, len(l.zones))})
 	}
 	return out
 }
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -107,8 +107,8 @@
 			job := l.jobStates[h.Job]
 			st.free = st.free.Add(job.need, -1)
 			st.tasks = append(st.tasks, placement.Task{ID: i, Need: job.need,
-				Priority: h.Job.Spec.Rank(), Team: job.team, Since: h.AssignedAt, Stopping: h.Stopping,
-				Mates: l.mates(h.Job), Ends: l.ends(h)})
+				Priority: h.Job.Spec.Rank(), Team: job.team, StartedAt: h.AssignedAt, Stopping: h.Stopping,
+				MembersElsewhere: l.mates(h.Job), EndsAt: l.ends(h)})
 		}
 	}
 	for _, h := range st.assigned {
@@ -182,9 +182,9 @@
 	}
 	jobs := l.jobViews(waiting, now)
 	plan := placement.Place(now, machines, append(jobs, l.gangsToCome(now, jobs)...), l.teams())
-	l.startAssigned(plan.Assign, waiting, now)
-	l.stopPreempted(plan.Stops, waiting, assigned, now)
-	for _, n := range plan.Starved[:len(waiting)] {
+	l.startAssigned(plan.Assignments, waiting, now)
+	l.stopPreempted(plan.Preemptions, waiting, assigned, now)
+	for _, n := range plan.Unplaced[:len(waiting)] {
 		l.unplaced += n
 	}
 }
@@ -210,14 +210,14 @@
 	for i, j := range waiting {
 		st, s := l.jobStates[j], j.Spec
 		v := placement.Job{
-			Team: st.team, Priority: l.priority(j), Arrival: j.Arrival, Ratio: l.ratio(j, now), Beyond: beyond[j] && !first[j],
+			Team: st.team, Priority: l.priority(j), Arrival: j.Arrival, Ratio: l.ratio(j, now), BeyondGuarantee: beyond[j] && !first[j],
 			Need: st.need, Waiting: l.wanted(j), Tasks: s.Tasks, Gang: j.IsGang(),
 			Types: st.types, Zone: st.zone, Spot: s.Spot, OneZone: s.OneZone, Apart: s.Apart, Avoid: l.avoid(st),
-			Urgent: s.Shape != job.Array, Displace: l.displaces(j, now) && !beyond[j], Overdue: l.overdue(j, now),
+			Urgent: s.Shape != job.Array, MayDisplace: l.displaces(j, now) && !beyond[j], Overdue: l.overdue(j, now),
 		}
-		v.Image, v.Costly = l.images(j, images)
+		v.Image, v.FetchTooSlow = l.images(j, images)
 		var known bool
-		if v.InZone, known = l.inZones(j); !known && (s.OneZone || s.Apart) {
+		if v.TasksInZone, known = l.inZones(j); !known && (s.OneZone || s.Apart) {
 			v.Waiting = 0
 		}
 		jobs[i] = v
@@ -277,7 +277,7 @@
 }
 
 // stopPreempted stops the tasks that give way to others.
-func (l *leader) stopPreempted(stops []placement.Stop, waiting []*jobstore.Job, assigned [][]*agent.Assignment, now time.Time) {
+func (l *leader) stopPreempted(stops []placement.Preemption, waiting []*jobstore.Job, assigned [][]*agent.Assignment, now time.Time) {
 	for _, s := range stops {
 		h := assigned[s.Machine][s.Task]
 		slog.Info("task preempted", "task", h.TaskName(), "machine", h.Machine, "for", waiting[s.For].Spec.ID)
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -12,18 +12,18 @@
 	zones := []int{-1}
 	if j.OneZone {
 		zones = zones[:0]
-		for z := range j.InZone {
+		for z := range j.TasksInZone {
 			zones = append(zones, z)
 		}
 	}
-	if j.ToCome {
+	if j.Reservation {
 		p.hold(j, zones)
 		return
 	}
 	if p.inBestZone(j, zones, func(zone int) trial { return p.tryGang(i, j, zone) }) {
 		return
 	}
-	p.out.Starved[i] = j.Waiting
+	p.out.Unplaced[i] = j.Waiting
 	if !p.teams[j.Team].fits(j.Need, j.Waiting) {
 		return
 	}
@@ -101,7 +101,7 @@
 // room for all of it.
 func (p *planner) tryPreempt(i int, j *Job, zone int) trial {
 	k, plain := j.gangKind(zone)
-	key := stopKind{k, j.Priority, j.Displace}
+	key := stopKind{k, j.Priority, j.MayDisplace}
 	if least, known := p.unstoppable[key]; plain && known && j.Waiting >= least {
 		return trial{}
 	}
@@ -130,8 +130,8 @@
 
 // begin begins a try that can be rolled back, with a gang.
 func (p *planner) begin(j *Job) {
-	p.saved = &savepoint{machines: map[int]savedMachine{}, teams: slices.Clone(p.teams), inZone: slices.Clone(j.InZone),
-		assigns: len(p.out.Assign), stops: len(p.out.Stops), changes: p.changes}
+	p.saved = &savepoint{machines: map[int]savedMachine{}, teams: slices.Clone(p.teams), inZone: slices.Clone(j.TasksInZone),
+		assigns: len(p.out.Assignments), stops: len(p.out.Preemptions), changes: p.changes}
 }
 
 // touch has to be called before a machine is changed for j.
@@ -163,16 +163,16 @@
 		}
 	}
 	copy(p.teams, p.saved.teams)
-	copy(j.InZone, p.saved.inZone)
+	copy(j.TasksInZone, p.saved.inZone)
 	p.changes = p.saved.changes
-	p.out.Assign, p.out.Stops = p.out.Assign[:p.saved.assigns], p.out.Stops[:p.saved.stops]
+	p.out.Assignments, p.out.Preemptions = p.out.Assignments[:p.saved.assigns], p.out.Preemptions[:p.saved.stops]
 	p.saved = nil
 }
 
 // gangKind returns the kind of a gang's tasks in a zone; ok is false where its own other tasks
 // or its failures matter as well.
 func (j *Job) gangKind(zone int) (k kind, ok bool) {
-	if j.Avoid != nil || slices.ContainsFunc(j.InZone, func(n int) bool { return n > 0 }) {
+	if j.Avoid != nil || slices.ContainsFunc(j.TasksInZone, func(n int) bool { return n > 0 }) {
 		return kind{}, false
 	}
 	k = kind{need: j.Need, types: j.typeNames(), zone: j.Zone, spot: j.Spot, tried: zone}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		left := j.Waiting
-		if j.Urgent && j.Costly {
+		if j.Urgent && j.FetchTooSlow {
 			left -= p.fill(i, j, left, warmOnly)
 			made, _ := p.preempt(i, j, left, warmOnly)
 			left -= made
@@ -92,12 +92,12 @@
 			continue
 		}
 		if p.teams[j.Team].room(j.Need) {
-			p.out.Starved[i] = left
+			p.out.Unplaced[i] = left
 			if !j.Urgent {
 				p.starved = append(p.starved, j)
 			}
 		}
-		if j.Urgent || j.Displace {
+		if j.Urgent || j.MayDisplace {
 			p.preempt(i, j, left, anywhere)
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 func newPlanner(now time.Time, machines []Machine, teams []Team, jobs int) *planner {
-	return &planner{now: now, machines: machines, teams: teams, out: Plan{Starved: make([]int, jobs)},
+	return &planner{now: now, machines: machines, teams: teams, out: Plan{Unplaced: make([]int, jobs)},
 		full: map[kind]bool{}, victims: map[claim][]victim{}, own: make([]bool, len(machines)), ends: make([][]ending, len(machines)),
 		short: map[kind]int{}, unstoppable: map[stopKind]int{}, gaps: map[kind]gapList{}}
 }
@@ -124,8 +124,8 @@
 		// Exception to the design (priority, then arrival): work within its team's
 		// guarantee need not wait for other teams' work beyond theirs, as
 		// DEPLOY-tulipshelf.md promises ("guaranteed").
-		if a.Beyond != b.Beyond {
-			return b.Beyond
+		if a.BeyondGuarantee != b.BeyondGuarantee {
+			return b.BeyondGuarantee
 		}
 		// Exception to the design (arrival): among arrays, the highest response ratio
 		// first, that is the least work left for the time waited. By arrival one large
@@ -196,11 +196,11 @@
 	p.touch(j, m)
 	p.machines[m].Free = p.machines[m].Free.Add(j.Need, -1)
 	p.teams[j.Team].use(j.Need, 1)
-	j.InZone[p.machines[m].Zone]++
+	j.TasksInZone[p.machines[m].Zone]++
 	if j.Image != nil && j.Image[m] == Cold {
 		j.Image[m], p.machines[m].Fetch = Coming, true
 	}
-	p.out.Assign = append(p.out.Assign, Assignment{i, m})
+	p.out.Assignments = append(p.out.Assignments, Assignment{i, m})
 }
 
 // best returns the fitting machine that comes first, or -1. only, if not
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -39,7 +39,7 @@
 		costs := p.costs(j, over)
 		cheaper := func(a, b int) int {
 			rank, cost := cmp.Compare(p.rank(j, a), p.rank(j, b)), cmp.Compare(costs[a].cost, costs[b].cost)
-			if j.Gang && !j.Costly {
+			if j.Gang && !j.FetchTooSlow {
 				return cmp.Or(cost, rank) // its last task decides, and room is free in part
 			}
 			return cmp.Or(rank, cost)
@@ -75,7 +75,7 @@
 			t := &m.Tasks[v]
 			if !t.Stopping {
 				t.Stopping = true
-				p.out.Stops = append(p.out.Stops, Stop{best, t.ID, i})
+				p.out.Preemptions = append(p.out.Preemptions, Preemption{best, t.ID, i})
 			}
 			freed = freed.Add(t.Need, 1)
 			p.teams[t.Team].stopped = p.teams[t.Team].stopped.Add(t.Need, 1)
@@ -88,7 +88,7 @@
 			m.Free[r] = min(m.Free[r], m.Free[r]+freed[r]-j.Need[r])
 		}
 		team.use(j.Need, 1)
-		j.InZone[m.Zone]++
+		j.TasksInZone[m.Zone]++
 	}
 	return made, lost
 }
@@ -121,7 +121,7 @@
 	if over != (Amounts{}) {
 		return make([]victim, len(p.machines)) // depends on the team and its use
 	}
-	k := claim{j.Need, j.Priority, j.Urgent, j.Displace}
+	k := claim{j.Need, j.Priority, j.Urgent, j.MayDisplace}
 	if p.victims[k] == nil {
 		p.victims[k] = make([]victim, len(p.machines))
 	}
@@ -136,7 +136,7 @@
 // priority and within its teams' guarantees, 0.54 was done by its deadline in place of
 // 0.93 (PROTOCOL-tulipshelf.md, "Preemption").
 func (p *planner) yields(t *Task, j *Job) bool {
-	return j.Urgent && t.Priority < j.Priority || j.Displace && p.teams[t.Team].Opportunistic
+	return j.Urgent && t.Priority < j.Priority || j.MayDisplace && p.teams[t.Team].Opportunistic
 }
 
 // victimsOn picks tasks that give way to j, those already stopping and the youngest
@@ -161,8 +161,8 @@
 			return 1
 		case a.Priority != b.Priority:
 			return a.Priority - b.Priority
-		case !a.Since.Equal(b.Since):
-			return b.Since.Compare(a.Since)
+		case !a.StartedAt.Equal(b.StartedAt):
+			return b.StartedAt.Compare(a.StartedAt)
 		}
 		return a.ID - b.ID
 	})
@@ -177,7 +177,7 @@
 		over[Memory] = 0 // not limited
 		v.stops = append(v.stops, i)
 		if !t.Stopping {
-			v.cost += p.now.Sub(t.Since).Seconds() * float64(1+t.Mates)
+			v.cost += p.now.Sub(t.StartedAt).Seconds() * float64(1+t.MembersElsewhere)
 		}
 	}
 	v.ok = enough()
