--- /dev/null
+++ b/internal/agent/paths.go
@@ -0,0 +1,7 @@
+package agent
+
+// Paths that worker agents serve for direct requests.
+const (
+	StatusPath   = "/status"
+	CommandsPath = "/commands"
+)
--- /dev/null
+++ b/internal/leader/reservations.go
@@ -0,0 +1,114 @@
+package leader
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"tulipshelf/internal/autoscaler"
+	"tulipshelf/internal/config"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/placement"
+)
+
+// reservations is the room that is kept for gangs to come: those of a class that should start
+// sooner than a machine boots find their room only if it is there before them.
+type reservations struct {
+	*environment
+	topology *topology
+	jobs     *jobTable
+	forecast *forecast
+}
+
+// gangs returns the gangs to come for which room is kept, the largest of its class each: one of
+// each class that should start sooner than a machine boots, and in turn as many more as gangs
+// usually use room beyond what they do now.
+func (r *reservations) gangs(now time.Time) (reserved []gangTemplate) {
+	if r.forecast.gangs.Empty() {
+		return nil
+	}
+	spareCPUs := r.forecast.gangs.Rate(now)
+	if spareCPUs < 1 {
+		return nil
+	}
+	spareCPUs -= r.cpusOfGangs()
+	classes := r.urgentClasses()
+	for more := len(classes) > 0; more; more = spareCPUs > 0 {
+		for _, gang := range classes {
+			if spareCPUs <= 0 && len(reserved) >= len(classes) {
+				break
+			}
+			reserved = append(reserved, gang)
+			spareCPUs -= gang.cpus()
+		}
+	}
+	return reserved
+}
+
+// cpusOfGangs returns what the unfinished gangs use or wait for.
+func (r *reservations) cpusOfGangs() float64 {
+	cpus := 0.0
+	r.jobs.store.Each(func(j *jobstore.Job) {
+		if j.IsGang() && r.jobs.hasTeam(j) && !j.Cancelled {
+			cpus += gangTemplate{j.Spec, r.jobs.states[j]}.cpus()
+		}
+	})
+	return cpus
+}
+
+// urgentClasses returns the largest gang of each class that should start sooner than a machine
+// boots, by the name of the class.
+func (r *reservations) urgentClasses() (gangs []gangTemplate) {
+	for _, class := range slices.Sorted(maps.Keys(r.forecast.largestGangs)) {
+		if r.startsBeforeBoot(class) {
+			gangs = append(gangs, r.forecast.largestGangs[class])
+		}
+	}
+	return gangs
+}
+
+// startsBeforeBoot reports whether tasks of a class should start sooner than a machine boots.
+func (r *reservations) startsBeforeBoot(class string) bool {
+	boot := r.topology.slowestBoot()
+	for i := range r.Settings.Objectives {
+		objective := &r.Settings.Objectives[i]
+		ofClass := objective.Kind == config.KindWait && objective.Class == class
+		if ofClass && objective.Within > 0 && objective.Within.Seconds() < boot {
+			return true
+		}
+	}
+	return false
+}
+
+// asDemand returns the reserved gangs as demand for machines.
+func (r *reservations) asDemand(now time.Time) (demand []autoscaler.Demand) {
+	for _, gang := range r.gangs(now) {
+		demand = append(demand, autoscaler.Demand{Need: gang.state.need, Types: gang.state.types, Zone: gang.state.zone,
+			Spot: gang.spec.Spot, OneZone: gang.spec.OneZone, Tasks: gang.spec.Tasks})
+	}
+	return demand
+}
+
+// asJobs returns the reserved gangs for a scheduling pass, which keeps their room free: what is
+// rented for them arrays would take. They come behind all gangs that wait, also those beyond their
+// teams' guarantees, and before arrays.
+//
+// It guards against room that is kept from a gang that is there: one stopped 52 tasks in a second,
+// and each time the machines were kept for others before all of it was free
+// (docs/incidents/inc-f015.md).
+func (r *reservations) asJobs(now time.Time, waiting []placement.Job) (reserved []placement.Job) {
+	behindGuarantees := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
+	for _, gang := range r.gangs(now) {
+		spec, state := gang.spec, gang.state
+		reserved = append(reserved, placement.Job{
+			Reservation: true, Gang: true, Team: state.team,
+			Priority: min(spec.Rank(), job.Standard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
+			Need: state.need, Waiting: spec.Tasks, Tasks: spec.Tasks,
+			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, Apart: spec.Apart,
+			TasksInZone: make([]int, len(r.topology.zones)),
+		})
+	}
+	return reserved
+}
--- /dev/null
+++ b/internal/leader/scaler.go
@@ -0,0 +1,285 @@
+package leader
+
+import (
+	"log/slog"
+	"strconv"
+	"time"
+
+	"tulipshelf/internal/agent"
+	"tulipshelf/internal/autoscaler"
+	"tulipshelf/internal/cloud"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/placement"
+)
+
+// scaler decides which machines to return and which rentals to ask for, and takes what the cloud
+// says. Its conversation with the cloud runs beside the event loop (scaler_cloud.go).
+type scaler struct {
+	*environment
+	topology *topology
+	jobs     *jobTable
+	machines *machineTable
+	recovery *recovery
+	commands *commandSource
+	sizer    *sizer
+	health   *machineHealth
+
+	refusedUntil map[pool]time.Time // pools that had no capacity lately
+	requested    map[string]string  // why machines were asked for, by rental not yet answered
+	sequence     int                // of rentals of this term
+}
+
+// pool is a kind of machine that is rented as one.
+type pool struct {
+	machineType, zone int
+	spot              bool
+}
+
+const (
+	// refusalPause is for how long a pool that had no capacity is left alone.
+	refusalPause = 20 * time.Second
+
+	// minPaidTime is a little less than the 60 s that every machine costs at least.
+	minPaidTime = 55 * time.Second
+)
+
+func newScaler(env *environment, topology *topology, jobs *jobTable, machines *machineTable, recovery *recovery,
+	commands *commandSource, sizer *sizer, health *machineHealth) *scaler {
+	return &scaler{environment: env, topology: topology, jobs: jobs, machines: machines, recovery: recovery, commands: commands,
+		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, requested: map[string]string{}}
+}
+
+// scalingPlan is the machines to return and the rentals to ask for.
+type scalingPlan struct {
+	returns []string
+	rentals []cloud.Rental
+}
+
+// plan decides. Machines with a cancelled task that cannot be stopped are returned also while it is
+// not sure that this controller leads.
+func (s *scaler) plan(now time.Time) scalingPlan {
+	if !s.recovery.loaded.Load() || !s.term.Valid() || !s.recovery.mayReplaceMissing(now) {
+		stuck := func(reason agent.RetireReason) bool { return reason == agent.RetireStuckCancelled }
+		return scalingPlan{returns: s.health.retired(stuck)}
+	}
+	s.topology.updatePrices(s.Node.MachineTypes())
+	candidates, machines := s.snapshotMachines(now)
+	pools := s.pools(now)
+	demand := s.sizer.demand(now)
+	decision := autoscaler.Plan(demand.tasks, machines, pools, s.Operator.IdleReturn)
+	s.logCluster(now, decision)
+	for _, position := range decision.ScaleIn {
+		retire(candidates[position], agent.RetireIdle)
+	}
+	plan := scalingPlan{returns: s.health.retired(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
+	if len(s.requested) == 0 { // what was asked for is not in the list of machines yet
+		plan.rentals = s.rentals(decision, pools, demand.reason)
+	}
+	return plan
+}
+
+// snapshotMachines returns the machines that may be kept, and how the autoscaler sees them.
+func (s *scaler) snapshotMachines(now time.Time) ([]*agent.Machine, []autoscaler.Machine) {
+	var candidates []*agent.Machine
+	var snapshots []autoscaler.Machine
+	s.machines.registry.Each(func(machine *agent.Machine) {
+		if machine.Type == unknownIndex || machine.Zone == unknownIndex || machine.RetireReason != agent.NotRetired {
+			return
+		}
+		snapshot, _ := s.machines.snapshot(machine, now)
+		expected := !machine.Registered && !machine.Failed && !s.health.bootOverdue(machine, now)
+		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minPaidTime+s.Operator.IdleReturn)
+		candidates = append(candidates, machine)
+		snapshots = append(snapshots, autoscaler.Machine{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Free: snapshot.Free,
+			Usable: snapshot.Open || expected, Empty: s.isEmpty(machine), Idle: idle})
+	})
+	return candidates, snapshots
+}
+
+// isEmpty reports whether nothing is lost when a machine is returned.
+func (s *scaler) isEmpty(machine *agent.Machine) bool {
+	return machine.Registered && len(machine.Assignments) == 0 && s.commands.allSettled(machine)
+}
+
+// pools returns all that can be rented, with current prices.
+func (s *scaler) pools(now time.Time) (pools []autoscaler.Pool) {
+	for typeIndex := range s.topology.types {
+		machineType := &s.topology.types[typeIndex]
+		for _, zoneName := range machineType.Zones {
+			for _, spot := range []bool{true, false} {
+				price := machineType.Hourly
+				if spot {
+					price = machineType.SpotPrice
+				}
+				if spot && price <= 0 {
+					continue
+				}
+				key := pool{typeIndex, s.topology.zoneIndex[zoneName], spot}
+				pools = append(pools, autoscaler.Pool{Type: key.machineType, Zone: key.zone, Spot: spot, Price: price,
+					Blocked: now.Before(s.refusedUntil[key]), Capacity: s.topology.capacity(typeIndex)})
+			}
+		}
+	}
+	return pools
+}
+
+// rentals returns the requests to make now: no more than the cloud's rate allows at once. What
+// would wait is decided anew, for what has come by then.
+func (s *scaler) rentals(decision autoscaler.Decision, pools []autoscaler.Pool, reason string) (rentals []cloud.Rental) {
+	for _, scaleOut := range decision.ScaleOut[:min(len(decision.ScaleOut), s.Cloud.Ready())] {
+		chosen := pools[scaleOut.Pool]
+		rental := cloud.Rental{Name: s.nextRentalName(), Type: s.topology.types[chosen.Type].Name,
+			Zone: s.topology.zones[chosen.Zone], Spot: chosen.Spot, Count: min(scaleOut.Count, cloud.MaxRent)}
+		s.requested[rental.Name] = reason
+		rentals = append(rentals, rental)
+	}
+	return rentals
+}
+
+// nextRentalName returns a name of a request that is never used again, by any leader.
+func (s *scaler) nextRentalName() string {
+	s.sequence++
+	return "r-" + strconv.FormatUint(s.term.Number(), 10) + "-" + strconv.Itoa(s.sequence)
+}
+
+// machinesReturned is the cloud's word that machines are gone, with all that was on them.
+type machinesReturned struct{ names []string }
+
+func (e machinesReturned) apply(l *Leader) {
+	now := time.Now()
+	for _, name := range e.names {
+		machine := l.machines.registry.Machine(name)
+		for _, outcome := range l.machines.registry.Remove(name, now) {
+			l.attempts.attemptEnded(machine, outcome, now)
+		}
+		delete(l.machines.states, machine)
+		l.dispatcher.forget(name)
+	}
+	l.scheduler.trigger.request()
+	slog.Info("machines returned", "machines", e.names)
+}
+
+// machinesRented is the answer to a rental. Fewer names than were asked for are a refusal.
+type machinesRented struct {
+	rental cloud.Rental
+	names  []string
+}
+
+func (e machinesRented) apply(l *Leader) { l.scaler.rented(e.rental, e.names, time.Now()) }
+
+func (s *scaler) rented(rental cloud.Rental, names []string, now time.Time) {
+	reason := s.requested[rental.Name]
+	delete(s.requested, rental.Name)
+	rentedPool := pool{s.topology.typeIndex[rental.Type], s.topology.zoneIndex[rental.Zone], rental.Spot}
+	if len(names) < rental.Count {
+		s.refusedUntil[rentedPool] = now.Add(refusalPause)
+	}
+	slog.Info("machines rented", "request", rental.Name, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
+		"asked", rental.Count, "machines", names, "why", reason)
+	for _, name := range names {
+		if s.machines.registry.Add(name, now) == nil {
+			continue
+		}
+		machine := s.machines.machine(name, now)
+		// Until the list tells of it, it boots. Taken for one that should send heartbeats, it would
+		// keep a new leader from renting more until reconciliation has timed out.
+		machine.Listed, machine.Booting = true, !machine.Registered
+		if machine.Type == unknownIndex {
+			machine.Type, machine.Zone, machine.Spot = rentedPool.machineType, rentedPool.zone, rentedPool.spot
+		}
+	}
+}
+
+// machinesListed is the cloud's list of machines, as it was asked for at some time.
+type machinesListed struct {
+	machines []cloud.Machine
+	askedAt  time.Time
+}
+
+func (e machinesListed) apply(l *Leader) {
+	now := time.Now()
+	l.recovery.cloudListed = true
+	listed := make(map[string]bool, len(e.machines))
+	for i := range e.machines {
+		listed[e.machines[i].Name] = true
+		l.scaler.applyListed(&e.machines[i], now)
+	}
+	l.scaler.retireUnlisted(listed, e.askedAt)
+}
+
+func (s *scaler) applyListed(entry *cloud.Machine, now time.Time) {
+	created := now.Add(-time.Duration(entry.AgeS * float64(time.Second)))
+	if s.machines.registry.Add(entry.Name, created) == nil {
+		return
+	}
+	machine := s.machines.machine(entry.Name, now)
+	if !machine.Registered {
+		machine.Type, machine.Zone = s.topology.resolve(entry.Type, entry.Zone)
+		machine.Spot, machine.Addr = entry.Spot, entry.Addr
+	}
+	machine.Failed = entry.Status == cloud.Failed
+	machine.Listed = machine.Listed || entry.Status == cloud.Running
+	machine.Booting = entry.Status == cloud.Starting && !machine.Registered
+}
+
+// listLagLeeway is added to twice the time by which lists lag, as the settings give it.
+const listLagLeeway = 2 * time.Second
+
+// retireUnlisted gives up machines that the list no longer names. That proves nothing by itself,
+// but the answer to their return does.
+func (s *scaler) retireUnlisted(listed map[string]bool, askedAt time.Time) {
+	lag := 2*s.Settings.Cloud.ListLag + listLagLeeway
+	s.machines.registry.Each(func(machine *agent.Machine) {
+		heardAt := machine.Created
+		if machine.Registered {
+			heardAt = machine.LastHeartbeat
+		}
+		silentSince := askedAt.Sub(heardAt) > lag && askedAt.Sub(machine.Created) > lag
+		if !listed[machine.Name] && silentSince && machine.RetireReason == agent.NotRetired {
+			retire(machine, agent.RetireUnlisted)
+		}
+	})
+}
+
+// clusterUse is what the machines are used for.
+type clusterUse struct {
+	machines, spot, up, empty int
+	cpus, freeCPUs            float64
+}
+
+// logCluster logs what the machines are used for, and what waits to be written.
+func (s *scaler) logCluster(now time.Time, decision autoscaler.Decision) {
+	if !slog.Default().Enabled(s.loop.ctx, slog.LevelDebug) {
+		return
+	}
+	use := s.clusterUse(now)
+	waiting := 0
+	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
+	starts, chunks, ends := s.jobs.store.Backlog()
+	slog.Debug("unwritten", "starts", starts, "chunks", chunks, "ends", ends)
+	slog.Debug("cluster", "machines", use.machines, "spot", use.spot, "up", use.up, "empty", use.empty, "cpus", use.cpus,
+		"free", use.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
+}
+
+func (s *scaler) clusterUse(now time.Time) (use clusterUse) {
+	s.machines.registry.Each(func(machine *agent.Machine) {
+		if machine.Type == unknownIndex {
+			return
+		}
+		use.machines++
+		if machine.Spot {
+			use.spot++
+		}
+		if !machine.Registered {
+			return
+		}
+		snapshot, assignments := s.machines.snapshot(machine, now)
+		use.up++
+		use.cpus += s.topology.types[machine.Type].CPUs
+		use.freeCPUs += snapshot.Free[placement.CPU]
+		if len(assignments) == 0 {
+			use.empty++
+		}
+	})
+	return use
+}
--- /dev/null
+++ b/internal/leader/scheduler_jobs.go
@@ -0,0 +1,243 @@
+package leader
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"tulipshelf/internal/config"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/placement"
+)
+
+// This file turns waiting jobs into the snapshots on which a scheduling pass decides.
+
+// snapshotJobs returns the waiting jobs as placement sees them, in the same order.
+func (s *scheduler) snapshotJobs(waiting []*jobstore.Job, now time.Time) []placement.Job {
+	jobs := make([]placement.Job, len(waiting))
+	images := imageLists{}
+	beyondGuarantee, firstGangs := s.beyondGuarantee(), s.firstGangs(waiting)
+	for i, j := range waiting {
+		state, spec := s.jobs.states[j], j.Spec
+		beyond := beyondGuarantee[j]
+		image := s.imageOf(j, images)
+		zones := s.tasksInZones(j)
+		view := placement.Job{
+			Team: state.team, Priority: s.priority(j), Arrival: j.Arrival, Ratio: s.inverseResponseRatio(j, now),
+			BeyondGuarantee: beyond && !firstGangs[j], MayDisplace: s.mayDisplace(j, now) && !beyond,
+			Need: state.need, Waiting: s.jobs.wanted(j), Tasks: spec.Tasks, Gang: j.IsGang(),
+			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, Apart: spec.Apart,
+			Avoid: s.machinesToAvoid(state), Urgent: spec.Shape != job.Array, Overdue: s.overdue(j, now),
+			Image: image.byMachine, FetchTooSlow: image.fetchTooSlow, TasksInZone: zones.tasks,
+		}
+		if !zones.allKnown && (spec.OneZone || spec.Apart) {
+			view.Waiting = 0
+		}
+		jobs[i] = view
+	}
+	return jobs
+}
+
+// beyondGuarantee returns the jobs that do not fit into their team's guarantee together with the
+// team's earlier unfinished jobs.
+func (s *scheduler) beyondGuarantee() map[*jobstore.Job]bool {
+	teams := s.topology.teams
+	cpus, gpus := make([]float64, len(teams)), make([]float64, len(teams))
+	beyond := make(map[*jobstore.Job]bool)
+	for _, j := range s.jobsByClaim() {
+		team := s.jobs.states[j].team
+		tasks := float64(j.Spec.Tasks - j.DoneTasks())
+		cpus[team] += tasks * j.Spec.CPUs
+		gpus[team] += tasks * j.Spec.GPUs
+		if cpus[team] > teams[team].GuaranteedCPUs+roundingSlack || gpus[team] > teams[team].GuaranteedGPUs+roundingSlack {
+			beyond[j] = true
+		}
+	}
+	return beyond
+}
+
+// roundingSlack absorbs the rounding of sums of resources.
+const roundingSlack = 1e-6
+
+// jobsByClaim returns the jobs in the order in which they claim their teams' guarantees: by
+// arrival, those last that fail on every machine.
+func (s *scheduler) jobsByClaim() []*jobstore.Job {
+	jobs := make([]*jobstore.Job, 0, s.jobs.store.Len())
+	s.jobs.store.Each(func(j *jobstore.Job) {
+		if s.jobs.hasTeam(j) && !j.Cancelled {
+			jobs = append(jobs, j)
+		}
+	})
+	slices.SortFunc(jobs, func(a, b *jobstore.Job) int {
+		if failing := s.jobs.states[a].isFailing(); failing != s.jobs.states[b].isFailing() {
+			if failing {
+				return 1
+			}
+			return -1
+		}
+		return cmp.Compare(a.Arrival, b.Arrival)
+	})
+	return jobs
+}
+
+// firstGangs returns the gang of each team that has waited longest.
+//
+// Exception to the exception that work within a guarantee goes first: one waiting gang of each team
+// is not behind it. It guards against gangs that wait for as long as arrays within their teams'
+// guarantees come, which take each gap, while a gang needs all of its gaps at once
+// (docs/incidents/inc-82e5.md, TestGangBeyondGuarantee).
+func (s *scheduler) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
+	first := map[*jobstore.Job]bool{}
+	teamHasGang := map[int]bool{}
+	for _, j := range waiting {
+		team := s.jobs.states[j].team
+		if j.IsGang() && !teamHasGang[team] {
+			teamHasGang[team], first[j] = true, true
+		}
+	}
+	return first
+}
+
+// overdueAfter is when a job of which no task has begun may begin with one before all others: half
+// of the four minutes that the users allow.
+const overdueAfter = 2 * time.Minute
+
+// overdue reports whether a job has waited too long with none of its tasks begun.
+func (s *scheduler) overdue(j *jobstore.Job, now time.Time) bool {
+	limit := overdueAfter
+	if !s.forecast.gangs.Empty() {
+		limit /= 2 // room kept for gangs keeps no job waiting for long
+	}
+	return now.Sub(j.SubmittedAt) > limit && j.LiveTasks() == 0 && j.DoneTasks() == 0
+}
+
+// mayDisplace reports whether a job of a team with a guarantee has waited for so long that work of
+// teams without one is to be stopped for it: half of the time in which work within a guarantee
+// should start. Until then short tasks of theirs end by themselves.
+func (s *scheduler) mayDisplace(j *jobstore.Job, now time.Time) bool {
+	patience := s.Operator.UnhealthyAfter
+	for i := range s.Settings.Objectives {
+		if objective := &s.Settings.Objectives[i]; objective.Kind == config.KindGuarantee {
+			patience = objective.Within / 2
+		}
+	}
+	return now.Sub(j.SubmittedAt) >= patience && !s.jobs.opportunistic(j)
+}
+
+// priority returns a waiting job's priority: the lowest for teams without a guarantee, whatever
+// they say. They would take the room that was just made for work within a guarantee, and be stopped
+// for it again, for ever (TestGuests).
+func (s *scheduler) priority(j *jobstore.Job) int {
+	if s.jobs.opportunistic(j) {
+		return job.BestEffort
+	}
+	return j.Spec.Rank()
+}
+
+// inverseResponseRatio returns an array's work left over the time that its user has waited, one
+// task's run included.
+func (s *scheduler) inverseResponseRatio(j *jobstore.Job, now time.Time) float64 {
+	if j.Spec.Shape != job.Array {
+		return 0
+	}
+	run := s.forecast.runSeconds(j.Spec)
+	return float64(j.WaitingTasks()) * run / (run + max(0, now.Sub(j.SubmittedAt).Seconds()))
+}
+
+// zoneCounts is how many live attempts of a job are in each zone.
+type zoneCounts struct {
+	tasks    []int
+	allKnown bool // the zones of all attempts are known
+}
+
+// tasksInZones counts a job's attempts by zone. After an election the zones of machines that
+// neither the cloud's list nor a heartbeat has named are not known; a job whose tasks are tied to
+// each other by zone is not placed on a guess.
+func (s *scheduler) tasksInZones(j *jobstore.Job) zoneCounts {
+	counts := zoneCounts{tasks: make([]int, len(s.topology.zones)), allKnown: true}
+	j.EachAttempt(func(attempt *jobstore.Attempt) {
+		machine := s.machines.registry.Machine(attempt.Machine)
+		if machine == nil || machine.Zone == unknownIndex {
+			counts.allKnown = false
+			return
+		}
+		counts.tasks[machine.Zone]++
+	})
+	return counts
+}
+
+// machinesToAvoid returns, by index, the machines on which a job has failed lately; nil: none.
+func (s *scheduler) machinesToAvoid(state *jobState) []bool {
+	if len(state.failedOn) == 0 {
+		return nil
+	}
+	avoid := make([]bool, s.machines.registry.Size())
+	for name := range state.failedOn {
+		if machine := s.machines.registry.Machine(name); machine != nil {
+			avoid[machine.Index] = true
+		}
+	}
+	return avoid
+}
+
+// imageLists is which machines have an image, by image. Jobs with the same image share a list, so
+// that one pass sends them to the same machines.
+type imageLists map[string][]placement.Image
+
+// imageView is what placement has to know of a job's image.
+type imageView struct {
+	byMachine    []placement.Image // nil: the image does not count
+	fetchTooSlow bool              // a fetch takes up all of the time in which the job should start
+}
+
+// Shares of the time in which a job should start.
+const (
+	// startShare is the part, one in so many, that a fetch may take before machines that have the
+	// image are preferred.
+	startShare = 4
+
+	// slowFetchFactor is how many times as long as usual a fetch may take: "give or take a third"
+	// (PROTOCOL-tulipshelf.md).
+	slowFetchFactor = 4.0 / 3
+)
+
+// imageOf returns what the machines have of a job's image, if a fetch of it takes longer than the
+// load index remembers, or a good part of the time in which its class should start.
+func (s *scheduler) imageOf(j *jobstore.Job, lists imageLists) imageView {
+	view, limit := imageView{}, s.Operator.Smoothing
+	fetch := s.topology.fetchSeconds(j.Spec.ImageGB)
+	for i := range s.Settings.Objectives {
+		objective := &s.Settings.Objectives[i]
+		ofClass := objective.Kind == config.KindWait && objective.Class == j.Spec.Class
+		if objective.Within <= 0 || !ofClass && objective.Kind != config.KindGuarantee {
+			continue
+		}
+		view.fetchTooSlow = view.fetchTooSlow || fetch*slowFetchFactor >= objective.Within.Seconds()
+		if ofClass {
+			limit = min(limit, objective.Within/startShare)
+		}
+	}
+	if fetch <= limit.Seconds() {
+		return imageView{}
+	}
+	if lists[j.Spec.Image] == nil {
+		lists[j.Spec.Image] = s.machinesWithImage(j.Spec.Image)
+	}
+	view.byMachine = lists[j.Spec.Image]
+	return view
+}
+
+// machinesWithImage returns, by index, what each machine has of an image.
+func (s *scheduler) machinesWithImage(image string) []placement.Image {
+	list := make([]placement.Image, s.machines.registry.Size())
+	for i := range list {
+		switch machine := s.machines.registry.At(i); {
+		case machine.Images.Ready(image):
+			list[i] = placement.Warm
+		case machine.Images.Has(image):
+			list[i] = placement.Coming
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/internal/leader/scheduler_test.go
@@ -0,0 +1,86 @@
+package leader
+
+import (
+	"context"
+	"math"
+	"reflect"
+	"testing"
+	"time"
+
+	"tulipshelf/internal/cloud"
+	"tulipshelf/internal/config"
+	"tulipshelf/internal/job"
+	"tulipshelf/internal/jobstore"
+	"tulipshelf/internal/leadership"
+	"tulipshelf/internal/placement"
+	"tulipshelf/internal/wire"
+)
+
+// newTestLeader returns a leader that has read nothing, of a cluster with two zones and one type of
+// machine.
+func newTestLeader(settings config.Settings) *Leader {
+	settings.Zones = []string{"a", "b"}
+	settings.Teams = []config.Team{{Name: "crew", GuaranteedCPUs: 1e6, MaxCPUs: math.Inf(1), MaxGPUs: math.Inf(1)}}
+	types := []cloud.Type{{Name: "box", CPUs: 4, RAM: 16, Hourly: 1, FetchRate: 1, Disk: 50, BootS: 50, Zones: settings.Zones}}
+	cfg := Config{Settings: &settings, Operator: config.DefaultOperator(), Node: fakeNode{types: types}}
+	l := New(context.Background(), cfg, &leadership.Term{})
+	l.topology.addTypes(types)
+	l.health.begin()
+	return l
+}
+
+// admit takes a job's record into the leader's tables.
+func (l *Leader) admit(t testing.TB, record jobstore.Record) *jobstore.Job {
+	t.Helper()
+	j, _, err := l.jobs.store.ApplyRecord(wire.Marshal(record), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.admitJob(j)
+	return j
+}
+
+// A machine known only from the records has no zone yet, so nothing may be concluded from the tasks
+// on it: jobs whose tasks belong into one zone, or apart, would be placed wrongly.
+func TestTasksInUnknownZoneAreNotCounted(t *testing.T) {
+	now := time.Unix(0, 0)
+	l := newTestLeader(config.Settings{})
+	spec := &job.Spec{ID: "wk-000001", Team: "crew", Shape: job.Array, Priority: "standard", Tasks: 3}
+	j := l.admit(t, jobstore.Record{Spec: spec, ChunkSize: 4})
+	l.machines.machine("vm-1", now).Zone = 1
+	unknown := l.machines.machine("vm-2", now)
+	store := l.jobs.store
+	store.StartAttempt(j, 0, store.NextAttemptNumber(1), "vm-1", 1, now)
+	if zones := l.scheduler.tasksInZones(j); !zones.allKnown || !reflect.DeepEqual(zones.tasks, []int{0, 1}) {
+		t.Errorf("%+v", zones)
+	}
+	store.StartAttempt(j, 1, store.NextAttemptNumber(1), "vm-2", 1, now)
+	if zones := l.scheduler.tasksInZones(j); zones.allKnown || zones.tasks[1] != 1 {
+		t.Errorf("%+v", zones)
+	}
+	unknown.Zone = 0
+	if zones := l.scheduler.tasksInZones(j); !zones.allKnown || !reflect.DeepEqual(zones.tasks, []int{1, 1}) {
+		t.Errorf("%+v", zones)
+	}
+}
+
+// Room that is reserved for gangs to come is not kept from one that waits, also if that is beyond
+// its team's guarantee.
+func TestWaitingGangGoesBeforeReservations(t *testing.T) {
+	now := time.Unix(1000, 0)
+	l := newTestLeader(config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}})
+	need := placement.Amounts{placement.CPU: 1}
+	spec := &job.Spec{Class: "class", Shape: job.Gang, Priority: "standard", Tasks: 4}
+	l.forecast.largestGangs["class"] = gangTemplate{spec, &jobState{zone: unknownIndex, need: need}}
+	l.forecast.gangs.Add(600, now)
+	for _, beyond := range []bool{false, true} {
+		waiting := []placement.Job{{Priority: job.Standard, Arrival: 1, BeyondGuarantee: beyond, Need: need, Waiting: 4, Zone: unknownIndex,
+			Gang: true, Tasks: 4, TasksInZone: []int{0, 0}}}
+		machines := []placement.Machine{{Open: true, Free: placement.Amounts{placement.CPU: 4}}}
+		reserved := l.reservations.asJobs(now, waiting)
+		plan := placement.Place(now, machines, append(waiting, reserved...), []placement.Team{{CPUsMax: 100}})
+		if len(reserved) == 0 || len(plan.Assignments) != 4 {
+			t.Errorf("beyond %v: room reserved for %d gangs, %d tasks placed", beyond, len(reserved), len(plan.Assignments))
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/transfer.go
@@ -0,0 +1,89 @@
+package leader
+
+import (
+	"log/slog"
+	"time"
+
+	"tulipshelf/internal/agent"
+)
+
+// leadershipTransfer ends the term if another controller is reached by far more machines than this
+// one.
+//
+// It guards against a leader that has lost its worker agents, but neither the key-value store nor
+// the other controllers: those send the agents back to it until their leases run out.
+type leadershipTransfer struct {
+	*environment
+	registry *agent.Registry
+
+	wantedSince time.Time // since when the machines go elsewhere; zero: they do not
+}
+
+// TransferFactor is how many times as many machines must reach another controller before it had
+// better lead, and RedirectedWithin how recently it must have said so. A candidate goes by the same.
+const (
+	TransferFactor   = 2
+	RedirectedWithin = 3 * time.Second
+)
+
+const (
+	// transferDelay leaves the third controller the time to learn which one is to be elected.
+	transferDelay = 1500 * time.Millisecond
+
+	// keepWithoutAnswers is for how long a leader stays that cannot have lost the machines: fewer
+	// have ever shown a token of its term than reach the other controller. It guards against
+	// leaders that transfer to each other for ever where nothing reaches the machines: their
+	// heartbeats go round the controllers, and it takes three of them to one leader to show
+	// (TestAllMachinesDeaf).
+	keepWithoutAnswers = time.Minute
+)
+
+// considerTransfer transfers leadership once the reason for it has lasted.
+func (t *leadershipTransfer) considerTransfer(now time.Time) {
+	if now.Sub(t.startedAt) < t.Operator.ReconcileTimeout || !t.term.Valid() {
+		return // agents still find their way here
+	}
+	reach := t.measureReach(now)
+	if !reach.favoursOther(now.Sub(t.startedAt)) {
+		t.wantedSince = time.Time{}
+		return
+	}
+	if t.wantedSince.IsZero() {
+		t.wantedSince = now
+	}
+	if now.Sub(t.wantedSince) >= transferDelay {
+		slog.Info("transferring leadership: machines reach another controller", "term", t.term.Number(), "heard", reach.heard, "elsewhere", reach.elsewhere)
+		t.Node.TransferLeadership()
+	}
+}
+
+// reach is how many machines reach this leader, and others.
+type reach struct {
+	heard     int // have sent a heartbeat here lately, directly
+	answered  int // have shown a token of this leader
+	elsewhere int // have lately reached one other controller
+}
+
+func (t *leadershipTransfer) measureReach(now time.Time) reach {
+	r := reach{elsewhere: t.Node.RedirectedElsewhere(RedirectedWithin)}
+	t.registry.Each(func(machine *agent.Machine) {
+		if !machine.Registered {
+			return
+		}
+		if machine.RelayedBy == "" && now.Sub(machine.LastHeartbeat) < t.heartbeatOverdue() {
+			r.heard++
+		}
+		if machine.FencingToken >= t.firstTerm {
+			r.answered++
+		}
+	})
+	return r
+}
+
+// favoursOther reports whether another controller had better lead than one that has led for so long.
+func (r reach) favoursOther(led time.Duration) bool {
+	if r.elsewhere <= TransferFactor*max(r.heard, 1) {
+		return false
+	}
+	return r.answered >= r.elsewhere || led >= keepWithoutAnswers
+}
