--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -1,41 +1,71 @@
 package placement
 
-// machineFilter limits the machines that are looked at for a job.
+// Feasibility: which machines may take a task at all.
+
+// AnyZone stands for a zone where none is asked for.
+const AnyZone = -1
+
+// machineFilter limits the machines that are considered for a job beyond what the job itself asks for.
 type machineFilter struct {
-	zone       int  // -1: any
-	imageReady bool // only those that have the job's image
+	zone       int  // AnyZone: all
+	imageReady bool // only machines that have the job's image
 }
 
 var (
-	anywhere  = machineFilter{zone: -1}
-	withImage = machineFilter{zone: -1, imageReady: true}
+	anyMachine        = machineFilter{zone: AnyZone}
+	machinesWithImage = machineFilter{zone: AnyZone, imageReady: true}
 )
 
-// feasible tells whether a task of j may be placed on a machine.
-func (p *pass) feasible(j *Job, i, only int) bool {
-	m := &p.machines[i]
-	return m.Open && !j.avoids(i) && m.Free.Fits(j.Need) && j.Allows(m) && (only < 0 || m.Zone == only)
+// feasible reports whether a task of the job may be placed on a machine now.
+func (p *pass) feasible(job *Job, machineIndex int, filter machineFilter) bool {
+	machine := &p.machines[machineIndex]
+	return machine.Open &&
+		!job.avoids(machineIndex) &&
+		machine.Free.Fits(job.Need) &&
+		job.Allows(machine) &&
+		p.passesFilter(job, machineIndex, filter)
 }
 
-// Allows tells whether a task of j may start on m, given j's other tasks.
-func (j *Job) Allows(m *Machine) bool {
-	if m.Type < 0 || m.Zone < 0 || m.Zone >= len(j.TasksInZone) {
+func (p *pass) passesFilter(job *Job, machineIndex int, filter machineFilter) bool {
+	if filter.zone >= 0 && p.machines[machineIndex].Zone != filter.zone {
 		return false
 	}
-	if j.Types != nil && !j.Types[m.Type] || j.Zone >= 0 && j.Zone != m.Zone || m.Spot && !j.Spot {
+	return !filter.imageReady || p.imageRankOn(job, machineIndex) == imageOnMachine
+}
+
+// avoids reports whether the job has failed on a machine and is kept off it.
+func (j *Job) avoids(machineIndex int) bool { return j.Avoid != nil && j.Avoid[machineIndex] }
+
+// Allows reports whether a task of j may start on the machine by its type, its zone and its price, given
+// where j's other tasks are. Room on the machine, and whether it is open, are left out.
+func (j *Job) Allows(machine *Machine) bool {
+	if machine.Type < 0 || machine.Zone < 0 || machine.Zone >= len(j.TasksInZone) {
 		return false
 	}
-	if j.Apart && j.TasksInZone[m.Zone] >= (j.Tasks+1)/2 {
+	if j.Types != nil && !j.Types[machine.Type] {
 		return false
 	}
-	if j.OneZone {
-		for z, n := range j.TasksInZone {
-			if n > 0 && z != m.Zone {
-				return false
-			}
-		}
+	if j.Zone >= 0 && j.Zone != machine.Zone {
+		return false
 	}
-	return true
+	if machine.Spot && !j.Spot {
+		return false
+	}
+	if j.Apart && j.TasksInZone[machine.Zone] >= j.maxTasksPerZone() {
+		return false
+	}
+	return !j.OneZone || !j.hasTasksOutside(machine.Zone)
 }
 
-func (j *Job) avoids(machine int) bool { return j.Avoid != nil && j.Avoid[machine] }
+// maxTasksPerZone returns how many tasks of a job that is to be spread over zones may be in one: half of
+// them, rounded up.
+func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
+
+func (j *Job) hasTasksOutside(zone int) bool {
+	for other, tasks := range j.TasksInZone {
+		if tasks > 0 && other != zone {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -1,110 +1,112 @@
 package placement
 
+// Gangs: jobs of which all tasks start together or none does.
+
 import "cmp"
 
-// placeGang places all waiting tasks of a job in this pass or none. Where all must
-// be in one zone, it is the one in which the last of them has its image soonest, and of
-// equals the one with the lowest indices; they begin when the last one can.
-func (p *pass) placeGang(i int, j *Job) {
-	zones := []int{-1}
-	if j.OneZone {
-		zones = zones[:0]
-		for z := range j.TasksInZone {
-			zones = append(zones, z)
-		}
-	}
-	if j.Reservation {
-		p.reserveMachines(j, zones)
+// placeGang places all waiting tasks of a gang in this pass or none. A gang that finds no room makes some
+// if it may preempt, and otherwise has machines reserved.
+func (p *pass) placeGang(gang *Job) {
+	zones := gang.zonesToTry()
+	if gang.Reservation {
+		p.reserveMachines(gang, zones)
 		return
 	}
-	if p.inBestZone(j, zones, func(zone int) gangTrial { return p.tryPlaceGang(i, j, zone) }) {
+	if p.inBestZone(gang, zones, p.tryPlaceGang) {
 		return
 	}
-	p.plan.Unplaced[i] = j.Waiting
-	if !p.teams[j.Team].fits(j.Need, j.Waiting) {
+	p.plan.Unplaced[gang.position] = gang.Waiting
+	if !p.teamOf(gang).hasRoomFor(gang.Need, gang.Waiting) {
 		return
 	}
-	// Preemption is outside the design, as for services. Without it a gang of high priority
-	// waited behind arrays of lower priority until its gaps came, which thin spread makes late
-	// (rush-forecast waited for 17 s and more where 3 s is the aim). What is free counts as
-	// room that costs nothing.
-	if j.Urgent && p.inBestZone(j, zones, func(zone int) gangTrial { return p.tryPreemptForGang(i, j, zone) }) {
+	// Preemption is outside the design, as it is for services: without it a gang of high priority waits
+	// behind arrays of lower priority until enough machines have room at once, which thin spread makes late.
+	if gang.Urgent && p.inBestZone(gang, zones, p.tryPreemptForGang) {
 		return
 	}
-	p.reserveMachines(j, zones)
+	p.reserveMachines(gang, zones)
+}
+
+// zonesToTry returns the zones in which the job is tried one after the other.
+func (j *Job) zonesToTry() []int {
+	if !j.OneZone {
+		return []int{AnyZone}
+	}
+	zones := make([]int, len(j.TasksInZone))
+	for zone := range zones {
+		zones[zone] = zone
+	}
+	return zones
 }
 
 // gangTrial is what trying a gang in one zone comes to.
 type gangTrial struct {
-	complete       bool
-	worstImageRank int     // of the machine that has its image last
-	cost           float64 // of equal ranks the lower is better
+	complete  bool      // there is room for all tasks
+	slowest   imageRank // of the machine that would have the image last: the tasks begin when the last one can
+	totalCost float64   // of equal ranks the lower is better: load indices, or run time lost
 }
 
 func (t gangTrial) compare(other gangTrial) int {
-	return cmp.Or(cmp.Compare(t.worstImageRank, other.worstImageRank), cmp.Compare(t.cost, other.cost))
+	return cmp.Or(cmp.Compare(t.slowest, other.slowest), cmp.Compare(t.totalCost, other.totalCost))
 }
 
-// inBestZone tries a gang in each zone and leaves it where that is best, or nowhere if no
-// zone takes all of it.
-func (p *pass) inBestZone(j *Job, zones []int, try func(zone int) gangTrial) bool {
-	best, least := -1, gangTrial{}
-	for k, zone := range zones {
-		p.beginTrial(j)
-		t := try(zone)
-		p.rollBack(j)
-		if t.complete && (best < 0 || t.compare(least) < 0) {
-			best, least = k, t
+// inBestZone tries a gang in each zone and then places it, or makes room for it, in the zone where that is
+// best, the first of equals. It reports whether there is a zone that takes all of it; if not, the pass is
+// as it was.
+func (p *pass) inBestZone(gang *Job, zones []int, try func(gang *Job, zone int) gangTrial) bool {
+	bestZone, best := AnyZone, gangTrial{}
+	for _, zone := range zones {
+		p.beginTrial(gang)
+		trial := try(gang, zone)
+		p.rollBack(gang)
+		if trial.complete && (!best.complete || trial.compare(best) < 0) {
+			bestZone, best = zone, trial
 		}
 	}
-	if best >= 0 {
-		try(zones[best])
+	if best.complete {
+		try(gang, bestZone)
 	}
-	return best >= 0
+	return best.complete
 }
 
-// tryPlaceGang places as much of a gang as fits in a zone, or anywhere if it is negative.
-func (p *pass) tryPlaceGang(i int, j *Job, zone int) (t gangTrial) {
-	k, plain := j.gangEquivalenceClass(zone)
-	if least, known := p.gangNoRoom[k]; plain && known && j.Waiting >= least {
-		return t
+// tryPlaceGang places as many of a gang's tasks as fit in a zone, or in any.
+func (p *pass) tryPlaceGang(gang *Job, zone int) gangTrial {
+	class, hasClass := gang.gangClass(zone)
+	if least, known := p.gangNoRoom[class]; hasClass && known && gang.Waiting >= least {
+		return gangTrial{}
 	}
-	n := 0
-	for n < j.Waiting && p.teams[j.Team].room(j.Need) {
-		m := p.bestMachine(j, zone)
-		if m < 0 {
+	var trial gangTrial
+	team := p.teamOf(gang)
+	placed := 0
+	for placed < gang.Waiting && team.hasRoomFor(gang.Need, 1) {
+		machineIndex := p.bestMachine(gang, machineFilter{zone: zone})
+		if machineIndex == noMachine {
 			break
 		}
-		t.worstImageRank = max(t.worstImageRank, p.imageRank(j, m))
-		t.cost += p.machines[m].Load
-		p.assign(i, j, m)
-		n++
+		trial.slowest = max(trial.slowest, p.imageRankOn(gang, machineIndex))
+		trial.totalCost += p.machines[machineIndex].Load
+		p.assign(gang, machineIndex)
+		placed++
 	}
-	t.complete = n == j.Waiting
-	if plain && !t.complete && p.teams[j.Team].room(j.Need) {
-		p.gangNoRoom[k] = j.Waiting // room only shrinks within a pass
+	trial.complete = placed == gang.Waiting
+	if hasClass && !trial.complete && team.hasRoomFor(gang.Need, 1) {
+		p.gangNoRoom[class] = gang.Waiting // room only shrinks within a pass
 	}
-	return t
-}
-
-// gangPreemptionClass is what decides for how many tasks of a gang others can be stopped in a zone.
-type gangPreemptionClass struct {
-	equivalenceClass
-	priority    int
-	mayDisplace bool
+	return trial
 }
 
-// tryPreemptForGang makes room for as much of a gang as it can in a zone, its team's limit leaving
-// room for all of it.
-func (p *pass) tryPreemptForGang(i int, j *Job, zone int) gangTrial {
-	k, plain := j.gangEquivalenceClass(zone)
-	key := gangPreemptionClass{k, j.Priority, j.MayDisplace}
-	if least, known := p.gangNoPreemption[key]; plain && known && j.Waiting >= least {
+// tryPreemptForGang makes room for as many of a gang's tasks as it can in a zone, or in any. The team's
+// limit has to have room for all of them. What is free counts as room that costs nothing.
+func (p *pass) tryPreemptForGang(gang *Job, zone int) gangTrial {
+	class, hasClass := gang.gangClass(zone)
+	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayDisplace}
+	if least, known := p.gangNoPreemption[preemptionClass]; hasClass && known && gang.Waiting >= least {
 		return gangTrial{}
 	}
-	made, lost := p.preempt(i, j, j.Waiting, machineFilter{zone: zone})
-	if plain && made < j.Waiting {
-		p.gangNoPreemption[key] = j.Waiting // what may be stopped only shrinks within a pass
+	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
+	complete := result.tasks == gang.Waiting
+	if hasClass && !complete {
+		p.gangNoPreemption[preemptionClass] = gang.Waiting // what may be stopped only shrinks within a pass
 	}
-	return gangTrial{complete: made == j.Waiting, cost: lost}
+	return gangTrial{complete: complete, totalCost: result.lostSeconds}
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -1,53 +1,52 @@
 package placement
 
+// Order: in which order waiting jobs have their turn.
+
 import "sort"
 
-// placementOrder returns the positions of the jobs in the order in which they are placed.
-func placementOrder(jobs []Job) []int {
-	order := make([]int, len(jobs))
-	for i := range order {
-		order[i] = i
+// placementOrder returns the jobs in the order in which they are placed.
+func placementOrder(jobs []Job) []*Job {
+	sequence := make([]*Job, len(jobs))
+	for position := range jobs {
+		sequence[position] = &jobs[position]
 	}
-	sort.Slice(order, func(x, y int) bool {
-		a, b := &jobs[order[x]], &jobs[order[y]]
-		if a.Priority != b.Priority {
-			return a.Priority > b.Priority
-		}
-		// Exception to the design (priority, then arrival): work within its team's
-		// guarantee need not wait for other teams' work beyond theirs, as
-		// DEPLOY-tulipshelf.md promises ("guaranteed").
-		if a.BeyondGuarantee != b.BeyondGuarantee {
-			return b.BeyondGuarantee
-		}
-		// Exception to the design (arrival): among arrays, the highest response ratio
-		// first, that is the least work left for the time waited. By arrival one large
-		// array makes all behind it late (rough of kapana-orders); by work alone a
-		// large one might never have its turn.
-		if a.Ratio != b.Ratio {
-			return a.Ratio < b.Ratio
-		}
-		return a.Arrival < b.Arrival
-	})
-	return order
+	sort.Slice(sequence, func(x, y int) bool { return placedBefore(sequence[x], sequence[y]) })
+	return sequence
+}
+
+// placedBefore reports whether a has its turn before b: by the design the job of higher priority, and of
+// equals the one that arrived first. Two exceptions to the design (docs/placement.md) come in between.
+func placedBefore(a, b *Job) bool {
+	switch {
+	case a.Priority != b.Priority:
+		return a.Priority > b.Priority
+	case a.BeyondGuarantee != b.BeyondGuarantee:
+		// Exception 3, guarantee before arrival: without it, work within its team's guarantee waits for
+		// other teams' work beyond theirs, which DEPLOY-tulipshelf.md ("guaranteed") rules out.
+		return b.BeyondGuarantee
+	case a.Ratio != b.Ratio:
+		// Exception 4, response ratio before arrival: by arrival, one large array makes all behind it
+		// late; by the work left alone, a large array might never have its turn.
+		return a.Ratio < b.Ratio
+	}
+	return a.Arrival < b.Arrival
 }
 
-// startOverdueJobs lets each job that has waited too long with none of its tasks begun
-// begin with one, before all others and in order of arrival.
+// startOverdueJobs lets each job that has waited too long with none of its tasks begun begin with one,
+// before all others and in order of arrival.
 //
-// Exception to the design (priority, then arrival): by priority and response ratio
-// alone a class of low priority, or the largest arrays, may never have their turn
-// while bursts of others go on (menu-sync waited up to 283 s on rough of
-// kapana-orders-grown), and users count a job that has not begun within four
-// minutes as failed.
-func (p *pass) startOverdueJobs(jobs []Job, sorted []int) {
-	var late []int
-	for _, i := range sorted {
-		if jobs[i].Overdue && !jobs[i].Gang {
-			late = append(late, i)
+// Exception 5 to the design (docs/placement.md): by priority and response ratio alone, a class of low
+// priority or the largest arrays may never have their turn while bursts of others go on, and users count
+// a job that does not begin as failed.
+func (p *pass) startOverdueJobs(sequence []*Job) {
+	var overdue []*Job
+	for _, job := range sequence {
+		if job.Overdue && !job.Gang {
+			overdue = append(overdue, job)
 		}
 	}
-	sort.Slice(late, func(x, y int) bool { return jobs[late[x]].Arrival < jobs[late[y]].Arrival })
-	for _, i := range late {
-		jobs[i].Waiting -= p.placeTasks(i, &jobs[i], 1, anywhere)
+	sort.Slice(overdue, func(x, y int) bool { return overdue[x].Arrival < overdue[y].Arrival })
+	for _, job := range overdue {
+		job.Waiting -= p.placeTasks(job, 1, anyMachine)
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -1,29 +1,58 @@
 package placement
 
+// The state of a pass: its snapshot, the plan so far, and what the phases remember from job to job.
+
 import "time"
 
-// pass is the state of one pass.
+// pass is the state of one pass. Machines and jobs are named by their positions in the caller's lists.
 type pass struct {
 	now      time.Time
 	machines []Machine
 	teams    []Team
 	plan     Plan
 
-	noRoom            map[equivalenceClass]bool              // kinds of task that no machine has room for in this pass
-	preemptionOptions map[preemptionClaim][]preemptionOption // what making room for a task would cost, by machine
-	ownsTasks         []bool                                 // machines whose tasks are this pass's own copy
-	taskEnds          [][]taskEnd                            // of the tasks by machine; nil: not yet worked out
-	gangNoRoom        map[equivalenceClass]int               // least number of a gang's tasks for which there is no room
-	// Least number of a gang's tasks for which others cannot be stopped.
-	gangNoPreemption map[gangPreemptionClass]int
-	futureSlots      map[equivalenceClass]futureSlotList // room for gangs' tasks as others end
-	machineChanges   int                                 // of machines so far, those rolled back left out
-	savepoint        *savepoint                          // of the try under way; nil: of none
-	starvedJobs      []*Job                              // that wait for a machine, stop nothing for it, and come before the rest
+	// Copy on write, and the rollback of trials (rollback.go).
+	ownsTasks      []bool     // machines whose Tasks are this pass's own copy; others are copied before the first write
+	machineChanges int        // number of changes of machines so far; a rollback takes its changes back
+	savepoint      *savepoint // of the trial under way; nil outside a trial
+
+	// What one task or gang found out and others in this pass need not look for again.
+	noRoom            map[equivalenceClass]bool              // no machine has room for a task of this class
+	gangNoRoom        map[gangClass]int                      // least size of a gang for which there is no room
+	gangNoPreemption  map[gangPreemptionClass]int            // least size of a gang for which preemption makes no room
+	preemptionOptions map[preemptionClaim][]preemptionOption // by machine
+	taskEnds          [][]taskEnd                            // by machine; nil: not yet worked out
+	futureSlots       map[gangClass]futureSlotList           // for reservations
+
+	starvedJobs []*Job // those that found no machine, preempt nothing, and come before the jobs that follow
 }
 
-func newPass(now time.Time, machines []Machine, teams []Team, jobs int) *pass {
-	return &pass{now: now, machines: machines, teams: teams, plan: Plan{Unplaced: make([]int, jobs)},
-		noRoom: map[equivalenceClass]bool{}, preemptionOptions: map[preemptionClaim][]preemptionOption{}, ownsTasks: make([]bool, len(machines)), taskEnds: make([][]taskEnd, len(machines)),
-		gangNoRoom: map[equivalenceClass]int{}, gangNoPreemption: map[gangPreemptionClass]int{}, futureSlots: map[equivalenceClass]futureSlotList{}}
+func newPass(now time.Time, machines []Machine, jobs []Job, teams []Team) *pass {
+	for position := range jobs {
+		jobs[position].position = position
+	}
+	return &pass{
+		now:               now,
+		machines:          machines,
+		teams:             teams,
+		plan:              Plan{Unplaced: make([]int, len(jobs))},
+		ownsTasks:         make([]bool, len(machines)),
+		noRoom:            map[equivalenceClass]bool{},
+		gangNoRoom:        map[gangClass]int{},
+		gangNoPreemption:  map[gangPreemptionClass]int{},
+		preemptionOptions: map[preemptionClaim][]preemptionOption{},
+		taskEnds:          make([][]taskEnd, len(machines)),
+		futureSlots:       map[gangClass]futureSlotList{},
+	}
+}
+
+// teamOf returns the team of a job.
+func (p *pass) teamOf(job *Job) *Team { return &p.teams[job.Team] }
+
+// forgetTasksOn drops what was remembered of the tasks on a machine. It is called whenever they change.
+func (p *pass) forgetTasksOn(machineIndex int) {
+	p.taskEnds[machineIndex] = nil
+	for _, options := range p.preemptionOptions {
+		options[machineIndex].state = optionUnknown
+	}
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -49,3 +49,5 @@
 	}
 	return times
 }
+
+func (a Amounts) isZero() bool { return a == Amounts{} }
--- a/internal/placement/rollback.go
+++ b/internal/placement/rollback.go
@@ -1,60 +1,72 @@
 package placement
 
+// Rollback: a gang is tried in one zone after the other, and each trial is undone before the next.
+
 import "slices"
 
-// savepoint is what a pass was like when a try began: all that tries change, and of machines
-// just those that this one does.
+// savepoint is what a pass was like when a trial began: all that trials change, and of the machines those
+// that this one has changed.
 type savepoint struct {
-	machines                 map[int]savedMachine
-	teams                    []Team
-	tasksInZone              []int
-	assignments, preemptions int
-	machineChanges           int
+	machines       map[int]savedMachine // by position
+	teams          []Team
+	tasksInZone    []int
+	assignments    int // number of them in the plan
+	preemptions    int // number of them in the plan
+	machineChanges int
 }
 
+// savedMachine is a machine before a trial changed it.
 type savedMachine struct {
 	machine   Machine
 	ownsTasks bool
-	image     Image
+	image     Image // of the gang that is tried
 }
 
-// beginTrial begins a try that can be rolled back, with a gang.
-func (p *pass) beginTrial(j *Job) {
-	p.savepoint = &savepoint{machines: map[int]savedMachine{}, teams: slices.Clone(p.teams), tasksInZone: slices.Clone(j.TasksInZone),
-		assignments: len(p.plan.Assignments), preemptions: len(p.plan.Preemptions), machineChanges: p.machineChanges}
+// beginTrial begins a trial of a gang; rollBack ends it. Trials do not nest.
+func (p *pass) beginTrial(gang *Job) {
+	p.savepoint = &savepoint{
+		machines:       map[int]savedMachine{},
+		teams:          slices.Clone(p.teams),
+		tasksInZone:    slices.Clone(gang.TasksInZone),
+		assignments:    len(p.plan.Assignments),
+		preemptions:    len(p.plan.Preemptions),
+		machineChanges: p.machineChanges,
+	}
 }
 
-// beforeChange has to be called before a machine is changed for j.
-func (p *pass) beforeChange(j *Job, m int) {
+// beforeChange has to be called before a machine is changed for a job, within a trial or not.
+func (p *pass) beforeChange(job *Job, machineIndex int) {
 	p.machineChanges++
 	if p.savepoint == nil {
 		return
 	}
-	if _, done := p.savepoint.machines[m]; done {
+	if _, saved := p.savepoint.machines[machineIndex]; saved {
 		return
 	}
-	was := savedMachine{machine: p.machines[m], ownsTasks: p.ownsTasks[m]}
-	if j.Image != nil {
-		was.image = j.Image[m]
+	before := savedMachine{machine: p.machines[machineIndex], ownsTasks: p.ownsTasks[machineIndex]}
+	if job.Image != nil {
+		before.image = job.Image[machineIndex]
 	}
-	p.savepoint.machines[m] = was
-	p.ownsTasks[m] = false // its tasks are copied before they change
+	p.savepoint.machines[machineIndex] = before
+	p.ownsTasks[machineIndex] = false // the savepoint refers to the tasks: they are copied before the next write
 }
 
-// rollBack brings back the pass, and j, to where the try began.
-func (p *pass) rollBack(j *Job) {
-	for m, was := range p.savepoint.machines {
-		if p.ownsTasks[m] {
-			p.forgetTasksOn(m)
+// rollBack brings the pass and the gang back to where the trial began, and ends it.
+func (p *pass) rollBack(gang *Job) {
+	for machineIndex, before := range p.savepoint.machines {
+		if p.ownsTasks[machineIndex] {
+			p.forgetTasksOn(machineIndex) // the trial has changed them
 		}
-		p.machines[m], p.ownsTasks[m] = was.machine, was.ownsTasks
-		if j.Image != nil {
-			j.Image[m] = was.image
+		p.machines[machineIndex] = before.machine
+		p.ownsTasks[machineIndex] = before.ownsTasks
+		if gang.Image != nil {
+			gang.Image[machineIndex] = before.image
 		}
 	}
 	copy(p.teams, p.savepoint.teams)
-	copy(j.TasksInZone, p.savepoint.tasksInZone)
+	copy(gang.TasksInZone, p.savepoint.tasksInZone)
+	p.plan.Assignments = p.plan.Assignments[:p.savepoint.assignments]
+	p.plan.Preemptions = p.plan.Preemptions[:p.savepoint.preemptions]
 	p.machineChanges = p.savepoint.machineChanges
-	p.plan.Assignments, p.plan.Preemptions = p.plan.Assignments[:p.savepoint.assignments], p.plan.Preemptions[:p.savepoint.preemptions]
 	p.savepoint = nil
 }
--- a/internal/placement/team.go
+++ b/internal/placement/team.go
@@ -1,38 +1,38 @@
 package placement
 
-// Team is a team's limit and what its tasks use now.
+// Teams and their limits.
+
+// Team is a team's limit and what its tasks use, in CPUs and GPUs. Memory has no limit.
 type Team struct {
 	CPUsMax, GPUsMax float64
 	CPUsUsed         float64
 	GPUsUsed         float64
-	Opportunistic    bool    // has no guarantee
-	stopped          Amounts // of its tasks that stop for others, and still count
-}
-
-func (t *Team) room(n Amounts) bool {
-	return t.CPUsUsed+n[CPU] <= t.CPUsMax+tolerance && t.GPUsUsed+n[GPU] <= t.GPUsMax+tolerance
+	Opportunistic    bool    // has no guarantee: its tasks run on what others leave
+	stopping         Amounts // of its tasks that stop for others and count as used until they are gone
 }
 
-// fits tells whether the team may use n more of a task's amounts.
-func (t *Team) fits(need Amounts, n int) bool {
-	k := float64(n)
-	return t.CPUsUsed+k*need[CPU] <= t.CPUsMax+tolerance && t.GPUsUsed+k*need[GPU] <= t.GPUsMax+tolerance
+// hasRoomFor reports whether so many more tasks are within the team's limit.
+func (t *Team) hasRoomFor(need Amounts, tasks int) bool {
+	factor := float64(tasks)
+	return t.CPUsUsed+factor*need[CPU] <= t.CPUsMax+tolerance &&
+		t.GPUsUsed+factor*need[GPU] <= t.GPUsMax+tolerance
 }
 
-// excess returns by how much the team would be over its limit with n more, once
-// those that stop have stopped.
-func (t *Team) excess(n Amounts) Amounts {
-	var out Amounts
-	if d := t.CPUsUsed - t.stopped[CPU] + n[CPU] - t.CPUsMax; d > tolerance {
-		out[CPU] = d
+// excess returns by how much one more task would take the team over its limit, once those of its tasks
+// that stop are gone.
+func (t *Team) excess(need Amounts) Amounts {
+	var excess Amounts
+	if cpus := t.CPUsUsed - t.stopping[CPU] + need[CPU] - t.CPUsMax; cpus > tolerance {
+		excess[CPU] = cpus
 	}
-	if d := t.GPUsUsed - t.stopped[GPU] + n[GPU] - t.GPUsMax; d > tolerance {
-		out[GPU] = d
+	if gpus := t.GPUsUsed - t.stopping[GPU] + need[GPU] - t.GPUsMax; gpus > tolerance {
+		excess[GPU] = gpus
 	}
-	return out
+	return excess
 }
 
-func (t *Team) book(n Amounts, k float64) {
-	t.CPUsUsed += k * n[CPU]
-	t.GPUsUsed += k * n[GPU]
+// book counts one more task as used.
+func (t *Team) book(need Amounts) {
+	t.CPUsUsed += need[CPU]
+	t.GPUsUsed += need[GPU]
 }
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -1,95 +1,119 @@
 package placement
 
+// Victims: which tasks on one machine are stopped for a job, and what that costs.
+
 import "slices"
 
-// preemptionClaim is what decides which tasks give way on a machine.
+// preemptionClaim is what decides which tasks give way on a machine, as long as the team's limit plays no
+// part. Tasks with the same claim share their preemption options.
 type preemptionClaim struct {
-	need                Amounts
-	priority            int
-	urgent, mayDisplace bool
+	need        Amounts
+	priority    int
+	urgent      bool
+	mayDisplace bool
 }
 
-// preemptionOption is what making room for one task on a machine takes.
+// preemptionOption is what making room for one task on one machine takes.
 type preemptionOption struct {
-	victims     []int
-	lostSeconds float64
-	ok          bool
-	known       bool
+	state       optionState
+	victims     []int   // positions among the machine's tasks
+	lostSeconds float64 // run time that the victims lose, that of their gangs' other members included
 }
 
-// preemptionOptionsFor returns what making room for a task would cost on each machine, as far as
-// it is known from tasks with the same claim earlier in this pass.
-func (p *pass) preemptionOptionsFor(j *Job, over Amounts) []preemptionOption {
-	if over != (Amounts{}) {
-		return make([]preemptionOption, len(p.machines)) // depends on the team and its use
+// optionState is how much is known of a preemption option.
+type optionState uint8
+
+const (
+	optionUnknown    optionState = iota // not worked out, or the machine's tasks have changed since
+	optionImpossible                    // no tasks that give way free enough
+	optionPossible
+)
+
+// preemptionOptionsFor returns the options for a task of the job by machine, as far as they are known from
+// tasks with the same claim earlier in this pass.
+func (p *pass) preemptionOptionsFor(job *Job, excess Amounts) []preemptionOption {
+	if !excess.isZero() {
+		return make([]preemptionOption, len(p.machines)) // they depend on the team and what it uses now
 	}
-	k := preemptionClaim{j.Need, j.Priority, j.Urgent, j.MayDisplace}
-	if p.preemptionOptions[k] == nil {
-		p.preemptionOptions[k] = make([]preemptionOption, len(p.machines))
+	claim := preemptionClaim{need: job.Need, priority: job.Priority, urgent: job.Urgent, mayDisplace: job.MayDisplace}
+	if p.preemptionOptions[claim] == nil {
+		p.preemptionOptions[claim] = make([]preemptionOption, len(p.machines))
 	}
-	return p.preemptionOptions[k]
+	return p.preemptionOptions[claim]
 }
 
-// forgetTasksOn drops what was worked out from the tasks on a machine.
-func (p *pass) forgetTasksOn(machine int) {
-	p.taskEnds[machine] = nil
-	for _, costs := range p.preemptionOptions {
-		costs[machine].known = false
+// chooseVictims picks tasks on a machine that give way to the job, in the order of compareVictims, until a
+// task of the job fits and its team is no longer over its limit.
+func (p *pass) chooseVictims(machine *Machine, job *Job, excess Amounts) preemptionOption {
+	option := preemptionOption{state: optionImpossible}
+	free := machine.Free
+	for _, taskIndex := range p.preemptibleTasks(machine, job, excess) {
+		if roomIsMade(free, job.Need, excess) {
+			break
+		}
+		victim := &machine.Tasks[taskIndex]
+		option.victims = append(option.victims, taskIndex)
+		if !victim.Stopping {
+			option.lostSeconds += p.now.Sub(victim.StartedAt).Seconds() * float64(1+victim.MembersElsewhere)
+		}
+		free = free.Add(victim.Need, 1)
+		excess = excess.Add(victim.Need, -1)
+		excess[Memory] = 0 // teams have no limit on memory
+	}
+	if roomIsMade(free, job.Need, excess) {
+		option.state = optionPossible
 	}
+	return option
 }
 
-// mustYield tells whether a task has to give way to j: to an urgent job one of lower
-// priority, and to work within its team's guarantee the work of teams that have none.
-//
-// It guards against teams without a guarantee that keep what others were promised: on inc-bc39 long tasks
-// of a team without a guarantee held most machines for 400 s, and of audit-backfill, of the same
-// priority and within its teams' guarantees, 0.54 was done by its deadline in place of
-// 0.93 (PROTOCOL-tulipshelf.md, "Preemption").
-func (p *pass) mustYield(t *Task, j *Job) bool {
-	return j.Urgent && t.Priority < j.Priority || j.MayDisplace && p.teams[t.Team].Opportunistic
+// roomIsMade reports whether a task fits into what is free and its team is within its limit.
+func roomIsMade(free, need, excess Amounts) bool {
+	withinLimit := Amounts{}.Fits(excess)
+	return withinLimit && free.Fits(need)
 }
 
-// chooseVictims picks tasks that give way to j, those already stopping and the youngest
-// first, until j's task fits and its team is over its limit no more. The cost is the run
-// time lost.
-func (p *pass) chooseVictims(m *Machine, j *Job, over Amounts) preemptionOption {
-	v := preemptionOption{known: true}
-	free := m.Free
-	limited := over != (Amounts{})
-	var order []int
-	for i, t := range m.Tasks {
-		if t.Team >= 0 && t.Need != (Amounts{}) && (!limited || t.Team == j.Team) && p.mustYield(&m.Tasks[i], j) {
-			order = append(order, i)
+// preemptibleTasks returns the positions of a machine's tasks that give way to the job, the first to be
+// stopped first: of all teams, or of the job's own where its limit is what stands in the way.
+func (p *pass) preemptibleTasks(machine *Machine, job *Job, excess Amounts) []int {
+	var preemptible []int
+	ownOnly := !excess.isZero()
+	for taskIndex := range machine.Tasks {
+		task := &machine.Tasks[taskIndex]
+		if task.Team < 0 || task.Need.isZero() || ownOnly && task.Team != job.Team {
+			continue
 		}
-	}
-	slices.SortFunc(order, func(x, y int) int {
-		a, b := &m.Tasks[x], &m.Tasks[y]
-		switch {
-		case a.Stopping != b.Stopping && a.Stopping:
-			return -1
-		case a.Stopping != b.Stopping:
-			return 1
-		case a.Priority != b.Priority:
-			return a.Priority - b.Priority
-		case !a.StartedAt.Equal(b.StartedAt):
-			return b.StartedAt.Compare(a.StartedAt)
-		}
-		return a.ID - b.ID
-	})
-	enough := func() bool { return free.Fits(j.Need) && (Amounts{}).Fits(over) }
-	for _, i := range order {
-		if enough() {
-			break
-		}
-		t := &m.Tasks[i]
-		free = free.Add(t.Need, 1)
-		over = over.Add(t.Need, -1)
-		over[Memory] = 0 // not limited
-		v.victims = append(v.victims, i)
-		if !t.Stopping {
-			v.lostSeconds += p.now.Sub(t.StartedAt).Seconds() * float64(1+t.MembersElsewhere)
+		if p.mustYield(task, job) {
+			preemptible = append(preemptible, taskIndex)
 		}
 	}
-	v.ok = enough()
-	return v
+	slices.SortFunc(preemptible, func(x, y int) int { return compareVictims(&machine.Tasks[x], &machine.Tasks[y]) })
+	return preemptible
+}
+
+// mustYield reports whether a task has to give way to the job: to an urgent job a task of lower priority,
+// and to work within its team's guarantee that may displace others, the tasks of opportunistic teams.
+//
+// Exception 6 to the design (docs/placement.md): without displacement, long tasks of teams without a
+// guarantee keep what others were promised (docs/incidents/inc-bc39.md).
+func (p *pass) mustYield(task *Task, job *Job) bool {
+	if job.Urgent && task.Priority < job.Priority {
+		return true
+	}
+	return job.MayDisplace && p.teams[task.Team].Opportunistic
+}
+
+// compareVictims compares two tasks, the one that is stopped first before the other: those that stop
+// already, as they lose no more, then the lowest priority, then the youngest, which loses least.
+func compareVictims(a, b *Task) int {
+	switch {
+	case a.Stopping != b.Stopping && a.Stopping:
+		return -1
+	case a.Stopping != b.Stopping:
+		return 1
+	case a.Priority != b.Priority:
+		return a.Priority - b.Priority
+	case !a.StartedAt.Equal(b.StartedAt):
+		return b.StartedAt.Compare(a.StartedAt)
+	}
+	return a.ID - b.ID
 }
