--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// campaignRetry is about how long a candidate waits after a campaign that failed, so
+	// campaignRetryDelay is about how long a candidate waits after a campaign that failed, so
 	// that a store which refuses or has just lost its own leader is not asked all the time.
-	campaignRetry = 300 * time.Millisecond
+	campaignRetryDelay = 300 * time.Millisecond
 
 	// followInterval is for how long one watch waits for a change of the leadership. A
 	// leader that stays is confirmed this often (Candidate.Confirmed).
 	followInterval = 5 * time.Second
 
-	// backOffDivisor gives the time, TTL/backOffDivisor, for which a candidate lets a
+	// deferDivisor gives the time, TTL/deferDivisor, for which a candidate lets a
 	// preferred one stand first. It is short, as that one may be unable to stand.
-	backOffDivisor = 4
+	deferDivisor = 4
 )
 
 // Run campaigns until ctx ends. While this node leads, it runs lead with a context that
@@ -36,7 +36,7 @@
 		term, err := c.campaign(ctx)
 		if err != nil {
 			slog.Debug("campaign failed", "err", err)
-			clock.Sleep(ctx, jitter(campaignRetry))
+			clock.Sleep(ctx, jitter(campaignRetryDelay))
 			continue
 		}
 		if term == nil {
@@ -62,18 +62,18 @@
 	switch {
 	case state.heldByOther(c.Node):
 		return nil, c.follow(ctx, state)
-	case c.shouldBackOff():
-		c.backedOff = true
-		clock.Sleep(ctx, c.LeaseTTL/backOffDivisor)
+	case c.shouldDefer():
+		c.hasDeferred = true
+		clock.Sleep(ctx, c.LeaseTTL/deferDivisor)
 		return nil, nil
 	}
-	return c.stand(ctx, state)
+	return c.claimLeadership(ctx, state)
 }
 
 // follow waits for a change of the leadership that another node holds, or for
 // followInterval.
 func (c *Candidate) follow(ctx context.Context, state electionState) error {
-	c.backedOff = false
+	c.hasDeferred = false
 	c.mu.Lock()
 	c.view.confirm(state.holder.Node, state.holder.Term, time.Now())
 	c.mu.Unlock()
@@ -81,23 +81,23 @@
 	return err
 }
 
-// shouldBackOff reports whether a preferred node should stand before this one, which gives
+// shouldDefer reports whether a preferred node should stand before this one, which gives
 // way once an election. Without it a node that most machines cannot reach is elected again,
 // and the next term is as short as the last (docs/leadership.md, "Left without workers").
-func (c *Candidate) shouldBackOff() bool {
-	return c.PreferOther != nil && !c.backedOff && c.PreferOther()
+func (c *Candidate) shouldDefer() bool {
+	return c.PreferOther != nil && !c.hasDeferred && c.PreferOther()
 }
 
-// stand claims the leadership on a new lease. The lease of a claim that failed is revoked:
-// if the claim is applied late after all, it would hold the key for a node that does not
-// know of it.
-func (c *Candidate) stand(ctx context.Context, state electionState) (*Term, error) {
+// claimLeadership claims the leadership on a new lease. The lease of a claim that failed is
+// revoked: if the claim is applied late after all, it would hold the key for a node that
+// does not know of it.
+func (c *Candidate) claimLeadership(ctx context.Context, state electionState) (*Term, error) {
 	sent := time.Now()
 	lease, err := c.Store.Grant(ctx, c.LeaseTTL)
 	if err != nil {
 		return nil, fmt.Errorf("leadership: lease: %w", err)
 	}
-	issued, err := c.claimNext(ctx, lease, state)
+	issued, err := c.claimNextTerm(ctx, lease, state)
 	if err != nil {
 		if revokeErr := c.Store.Revoke(context.WithoutCancel(ctx), lease); revokeErr != nil {
 			slog.Debug("lease not revoked", "err", revokeErr)
@@ -107,8 +107,8 @@
 	return &Term{candidate: c, lease: lease, issued: issued, validUntil: leaseValidUntil(sent, c.LeaseTTL)}, nil
 }
 
-// claimNext takes the term after the latest, provided that state still stands.
-func (c *Candidate) claimNext(ctx context.Context, lease uint64, state electionState) (issuedTerm, error) {
+// claimNextTerm takes the term after the latest, provided that state still stands.
+func (c *Candidate) claimNextTerm(ctx context.Context, lease uint64, state electionState) (issuedTerm, error) {
 	next := state.newClaim(c.Node, lease)
 	revision, err := c.Store.Txn(ctx, next.compares, next.mutations, kvstore.PriorityLease)
 	if errors.Is(err, kvstore.ErrUnknown) {
@@ -124,7 +124,7 @@
 // was applied, and the claim's own error else.
 func (c *Candidate) readBack(ctx context.Context, sent claim, unanswered error) (uint64, error) {
 	state, err := c.readState(ctx)
-	if err != nil || !state.shows(sent) {
+	if err != nil || !state.writtenBy(sent) {
 		return 0, unanswered
 	}
 	return state.latest.revision, nil
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -22,7 +22,7 @@
 	Store       *kvstore.Client // holds the election's keys
 	PreferOther func() bool     // reports whether another node should be elected rather than this one; nil: never
 
-	backedOff bool // this node has let another stand first in this election; Run's goroutine alone uses it
+	hasDeferred bool // this node has let another stand first in this election; Run's goroutine alone uses it
 
 	mu   sync.Mutex
 	view view // guarded by mu
@@ -64,7 +64,7 @@
 func (c *Candidate) TransferLeadership() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.view.transfer() {
+	if c.view.markTransferring() {
 		c.view.current.cancel()
 	}
 }
--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -67,8 +67,8 @@
 	return n
 }
 
-// elected waits until the node leads and returns its term.
-func (c *cluster) elected(n *node, within time.Duration) *Term {
+// awaitElected waits until the node leads and returns its term.
+func (c *cluster) awaitElected(n *node, within time.Duration) *Term {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if term := n.leading.Load(); term != nil {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// deposed waits until the node's term has ended.
-func (c *cluster) deposed(n *node, term *Term, within time.Duration) {
+// awaitDeposed waits until the node's term has ended.
+func (c *cluster) awaitDeposed(n *node, term *Term, within time.Duration) {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); n.leading.Load() == term; time.Sleep(10 * time.Millisecond) {
 		if !time.Now().Before(deadline) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// writes returns the error of a write of the term, as a leader makes them.
-func (c *cluster) writes(term *Term) error {
+// writeUnder returns the error of a write of the term, as a leader makes them.
+func (c *cluster) writeUnder(term *Term) error {
 	_, err := c.client("writer").Txn(c.ctx, []kvstore.Compare{term.Fence()},
 		[]kvstore.Mutation{{Put: "test/key", Value: wire.Marshal(term.Number())}}, kvstore.PriorityUser)
 	return err
@@ -99,7 +99,7 @@
 func (c *cluster) wantFenced(term *Term) {
 	c.t.Helper()
 	var conflict *kvstore.ConflictError
-	if err := c.writes(term); !errors.As(err, &conflict) {
+	if err := c.writeUnder(term); !errors.As(err, &conflict) {
 		c.t.Errorf("a write of an earlier term: %v, want a conflict", err)
 	}
 }
@@ -121,18 +121,18 @@
 func (c *cluster) failover() failover {
 	c.t.Helper()
 	a := c.start("a")
-	first := c.elected(a, time.Second)
+	first := c.awaitElected(a, time.Second)
 	b := c.start("b")
 	c.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
-	return failover{deposed: a, first: first, second: c.elected(b, 2*leaseTTL)}
+	return failover{deposed: a, first: first, second: c.awaitElected(b, 2*leaseTTL)}
 }
 
 func TestElectionAndFailover(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
-		first := c.elected(a, time.Second)
+		first := c.awaitElected(a, time.Second)
 		c.wantNumber(first, 1)
-		if err := c.writes(first); err != nil {
+		if err := c.writeUnder(first); err != nil {
 			t.Errorf("the leader's write: %v", err)
 		}
 		b := c.start("b")
@@ -142,7 +142,7 @@
 		}
 		a.stop()
 		died := time.Now()
-		second := c.elected(b, 2*leaseTTL)
+		second := c.awaitElected(b, 2*leaseTTL)
 		c.wantNumber(second, 2)
 		if first.Valid() {
 			t.Errorf("two valid terms, %v after the leader's death", time.Since(died))
@@ -158,9 +158,9 @@
 func TestRestartedLeaderTakesOverAtOnce(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
-		first := c.elected(a, time.Second)
+		first := c.awaitElected(a, time.Second)
 		a.stop()
-		second := c.elected(c.start("a"), leaseTTL/4)
+		second := c.awaitElected(c.start("a"), leaseTTL/4)
 		c.wantNumber(second, 2)
 		c.wantFenced(first)
 	})
@@ -170,9 +170,9 @@
 	t.Run("applied", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
 			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
-			term := c.elected(c.start("a"), 200*time.Millisecond)
+			term := c.awaitElected(c.start("a"), 200*time.Millisecond)
 			c.wantNumber(term, 1)
-			if err := c.writes(term); err != nil {
+			if err := c.writeUnder(term); err != nil {
 				t.Errorf("the leader's write: %v", err)
 			}
 		})
@@ -183,9 +183,9 @@
 			a := c.start("a")
 			time.Sleep(100 * time.Millisecond)
 			c.store.ReleaseHeld() // its lease is revoked by now
-			term := c.elected(a, time.Second)
+			term := c.awaitElected(a, time.Second)
 			c.wantNumber(term, 1)
-			if err := c.writes(term); err != nil {
+			if err := c.writeUnder(term); err != nil {
 				t.Errorf("the leader's write: %v", err)
 			}
 		})
@@ -195,7 +195,7 @@
 func TestRenewal(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a, b := c.start("a"), c.start("b", func(b *Candidate) { b.PreferOther = func() bool { return true } })
-		term := c.elected(a, time.Second)
+		term := c.awaitElected(a, time.Second)
 		for range 20 {
 			time.Sleep(leaseTTL / 2)
 			if !term.Valid() || a.leading.Load() != term {
@@ -224,7 +224,7 @@
 			t.Error("two valid terms")
 		}
 		c.network.SetFaults(fake.NetworkFaults{})
-		c.deposed(a, first, leaseTTL)
+		c.awaitDeposed(a, first, leaseTTL)
 		if err := first.Advance(c.ctx); !errors.Is(err, ErrDeposed) {
 			t.Errorf("advance after the loss: %v, want ErrDeposed", err)
 		}
@@ -238,7 +238,7 @@
 func TestAdvance(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
-		term := c.elected(a, time.Second)
+		term := c.awaitElected(a, time.Second)
 		before := term.Fence()
 		if err := term.Advance(c.ctx); err != nil {
 			t.Fatal(err)
@@ -247,7 +247,7 @@
 		if term.Fence() == before {
 			t.Error("the fence of the term before")
 		}
-		if err := c.writes(term); err != nil {
+		if err := c.writeUnder(term); err != nil {
 			t.Errorf("a write of the new term: %v", err)
 		}
 		if leader, number := a.Leader(); leader != "a" || number != 2 {
@@ -259,7 +259,7 @@
 func TestUnansweredAdvance(t *testing.T) {
 	t.Run("read back", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
-			term := c.elected(c.start("a"), time.Second)
+			term := c.awaitElected(c.start("a"), time.Second)
 			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 			if err := term.Advance(c.ctx); err != nil {
 				t.Fatal(err)
@@ -269,7 +269,7 @@
 	})
 	t.Run("adopted by the next", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
-			term := c.elected(c.start("a"), time.Second)
+			term := c.awaitElected(c.start("a"), time.Second)
 			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1, DownAfterPrefix: keyPrefix}) // so that it cannot be read back
 			if err := term.Advance(c.ctx); !errors.Is(err, kvstore.ErrUnknown) {
 				t.Fatalf("unanswered: %v, want ErrUnknown", err)
@@ -280,7 +280,7 @@
 				t.Fatal(err)
 			}
 			c.wantNumber(term, 2)
-			if err := c.writes(term); err != nil {
+			if err := c.writeUnder(term); err != nil {
 				t.Errorf("a write of the adopted term: %v", err)
 			}
 		})
@@ -290,12 +290,12 @@
 func TestTransferLeadership(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
-		first := c.elected(a, time.Second)
+		first := c.awaitElected(a, time.Second)
 		b := c.start("b")
 		time.Sleep(time.Second)
 		a.TransferLeadership()
-		c.wantNumber(c.elected(b, leaseTTL/4), 2)
-		c.deposed(a, first, 10*time.Millisecond)
+		c.wantNumber(c.awaitElected(b, leaseTTL/4), 2)
+		c.awaitDeposed(a, first, 10*time.Millisecond)
 	})
 }
 
@@ -303,14 +303,14 @@
 func TestTransferToNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
-		first := c.elected(a, time.Second)
+		first := c.awaitElected(a, time.Second)
 		a.TransferLeadership()
-		c.deposed(a, first, 10*time.Millisecond)
+		c.awaitDeposed(a, first, 10*time.Millisecond)
 		time.Sleep(leaseTTL / 4)
 		if a.leading.Load() != nil {
 			t.Error("it has given no other node the time to be elected")
 		}
-		c.wantNumber(c.elected(a, 2*leaseTTL), 2)
+		c.wantNumber(c.awaitElected(a, 2*leaseTTL), 2)
 	})
 }
 
@@ -321,7 +321,7 @@
 		a := c.start("a", preferOther)
 		time.Sleep(leaseTTL / 8)
 		b := c.start("b")
-		c.elected(b, leaseTTL/8)
+		c.awaitElected(b, leaseTTL/8)
 		b.stop()
 		for len(c.store.Keys(holderKey)) > 0 {
 			time.Sleep(10 * time.Millisecond)
@@ -330,7 +330,7 @@
 		if a.leading.Load() != nil {
 			t.Error("it does not give way in the next election")
 		}
-		c.elected(a, leaseTTL/4)
+		c.awaitElected(a, leaseTTL/4)
 	})
 	simulate(t, func(c *cluster) {
 		a := c.start("a", preferOther)
@@ -338,7 +338,7 @@
 		if a.leading.Load() != nil {
 			t.Error("the preferred node had no time to stand")
 		}
-		c.elected(a, leaseTTL/4)
+		c.awaitElected(a, leaseTTL/4)
 	})
 }
 
@@ -353,7 +353,7 @@
 			t.Fatal("deposed by its own term")
 		}
 		a.ObserveTerm("b", second.Number())
-		c.deposed(a, first, 10*time.Millisecond)
+		c.awaitDeposed(a, first, 10*time.Millisecond)
 		if leader, term := a.Leader(); leader != "b" || term != second.Number() {
 			t.Errorf("a names %q of term %d", leader, term)
 		}
@@ -376,7 +376,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			simulate(t, func(c *cluster) {
 				a := c.start("a")
-				term := c.elected(a, time.Second)
+				term := c.awaitElected(a, time.Second)
 				test.prepare(c)
 				a.ObserveToken(c.ctx, term.Number())
 				time.Sleep(10 * time.Millisecond)
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -35,11 +35,11 @@
 	leadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.view.begin(term, cancel)
+	c.view.beginTerm(term, cancel)
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		c.view.end(c.Node)
+		c.view.endTerm(c.Node)
 		c.mu.Unlock()
 	}()
 	done := make(chan struct{})
@@ -84,7 +84,7 @@
 	if err := c.Store.Extend(ctx, term.lease); err != nil {
 		return err
 	}
-	term.renewed(leaseValidUntil(sent, c.LeaseTTL))
+	term.setValidUntil(leaseValidUntil(sent, c.LeaseTTL))
 	return nil
 }
 
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// shows reports whether s is the outcome of the claim. Only the claim's own transaction
+// writtenBy reports whether s is the outcome of the claim. Only the claim's own transaction
 // gives both keys one revision under its lease.
-func (s electionState) shows(sent claim) bool {
+func (s electionState) writtenBy(sent claim) bool {
 	oneTransaction := s.holderRevision == s.latest.revision
 	return oneTransaction && s.holder.Lease == sent.lease && s.latest.number == sent.number
 }
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -86,7 +86,7 @@
 		{"advanced since", heldBy("a", 5, 9, 51), false},
 		{"keys written by two transactions", torn, false},
 	} {
-		if got := test.state.shows(sent); got != test.want {
+		if got := test.state.writtenBy(sent); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -64,14 +64,14 @@
 	case advanceDeposed:
 		return fmt.Errorf("leadership: advance term %d: %w", t.Number(), ErrDeposed)
 	case advanceWasApplied:
-		t.advanced(state.latest)
+		t.setIssued(state.latest)
 		return nil
 	}
-	issued, err := t.candidate.claimNext(ctx, t.lease, state)
+	issued, err := t.candidate.claimNextTerm(ctx, t.lease, state)
 	if err != nil {
 		return err
 	}
-	t.advanced(issued)
+	t.setIssued(issued)
 	t.candidate.observe(t.candidate.Node, issued.number)
 	return nil
 }
@@ -91,15 +91,15 @@
 	return t.issued
 }
 
-// advanced takes in that a term was issued to this leader.
-func (t *Term) advanced(issued issuedTerm) {
+// setIssued takes in that a term was issued to this leader.
+func (t *Term) setIssued(issued issuedTerm) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.issued = issued
 }
 
-// renewed takes in that the lease was renewed.
-func (t *Term) renewed(validUntil time.Time) {
+// setValidUntil takes in that the lease was renewed.
+func (t *Term) setValidUntil(validUntil time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.validUntil = validUntil
--- a/internal/leadership/view.go
+++ b/internal/leadership/view.go
@@ -58,22 +58,22 @@
 	return v.current != nil && leader != self
 }
 
-// begin takes in that this node leads from now on.
-func (v *view) begin(term *Term, cancel context.CancelFunc) {
+// beginTerm takes in that this node leads from now on.
+func (v *view) beginTerm(term *Term, cancel context.CancelFunc) {
 	v.current = &activeTerm{term: term, cancel: cancel}
 }
 
-// end takes in that this node, self, leads no more.
-func (v *view) end(self string) {
+// endTerm takes in that this node, self, leads no more.
+func (v *view) endTerm(self string) {
 	v.current = nil
 	if v.leader == self {
 		v.leader = ""
 	}
 }
 
-// transfer marks the leadership as one that ends for another node to lead. It reports
+// markTransferring marks the leadership as one that ends for another node to lead. It reports
 // whether there is one.
-func (v *view) transfer() bool {
+func (v *view) markTransferring() bool {
 	if v.current == nil {
 		return false
 	}
--- a/internal/leadership/view_test.go
+++ b/internal/leadership/view_test.go
@@ -10,7 +10,7 @@
 func leadingView() (*view, *Term) {
 	v, term := &view{}, &Term{issued: issuedTerm{number: 3}}
 	v.observe("a", 3)
-	v.begin(term, func() {})
+	v.beginTerm(term, func() {})
 	return v, term
 }
 
@@ -27,9 +27,9 @@
 	v := &view{}
 	v.observeTerm("a", "a", 3)
 	wantLeader(t, v, "", 3)
-	v.begin(&Term{}, func() {})
+	v.beginTerm(&Term{}, func() {})
 	wantLeader(t, v, "a", 3)
-	v.end("a")
+	v.endTerm("a")
 	wantLeader(t, v, "", 3)
 }
 
@@ -76,15 +76,15 @@
 
 func TestTransferMarksOneLeadership(t *testing.T) {
 	v := &view{}
-	if v.transfer() || v.transferring() {
+	if v.markTransferring() || v.transferring() {
 		t.Error("a node that does not lead transfers its leadership")
 	}
-	v.begin(&Term{}, func() {})
-	if v.transferring() || !v.transfer() || !v.transferring() {
+	v.beginTerm(&Term{}, func() {})
+	if v.transferring() || !v.markTransferring() || !v.transferring() {
 		t.Error("a leader does not transfer its leadership")
 	}
-	v.end("a")
-	v.begin(&Term{}, func() {})
+	v.endTerm("a")
+	v.beginTerm(&Term{}, func() {})
 	if v.transferring() {
 		t.Error("the next leadership is transferred too")
 	}
@@ -133,7 +133,7 @@
 	}
 	v, term := leadingView()
 	v.beginTokenCheck(7)
-	v.begin(&Term{issued: issuedTerm{number: 8}}, func() {})
+	v.beginTerm(&Term{issued: issuedTerm{number: 8}}, func() {})
 	if got := v.finishTokenCheck(term, 7, electionState{}, unreachable); got != tokenOutdated {
 		t.Errorf("the term has ended meanwhile: verdict %d, want %d", got, tokenOutdated)
 	}
