--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -1,4 +1,4 @@
-// Campaigning: follow another leader, give way to a preferred node, or claim the next term.
+// Campaigning: following another leader, deferring to a preferred node, claiming the next term.
 
 package leadership
 
@@ -15,22 +15,24 @@
 )
 
 const (
-	// campaignRetryDelay is about how long a candidate waits after a campaign that failed, so
-	// that a store which refuses or has just lost its own leader is not asked all the time.
+	// campaignRetryDelay is the mean delay after a failed campaign. It limits the request rate
+	// on a store that refuses requests or has just lost its own leader.
 	campaignRetryDelay = 300 * time.Millisecond
 
-	// followInterval is for how long one watch waits for a change of the leadership. A
-	// leader that stays is confirmed this often (Candidate.Confirmed).
+	// followInterval is the maximum duration of one watch for a change of leadership, and so
+	// the interval at which an unchanged leader is confirmed (Candidate.Confirmed).
 	followInterval = 5 * time.Second
 
-	// deferDivisor gives the time, TTL/deferDivisor, for which a candidate lets a
-	// preferred one stand first. It is short, as that one may be unable to stand.
+	// deferDivisor is the divisor of the lease's TTL that gives the delay by which a candidate
+	// defers to a preferred one. The delay is short, as the preferred candidate may be unable to
+	// campaign.
 	deferDivisor = 4
 )
 
-// Run campaigns until ctx ends. While this node leads, it runs lead with a context that
-// ends when leadership is lost; leadership ends when lead returns, too. It waits for lead
-// before it campaigns again or returns.
+// Run campaigns for leadership until ctx ends. When this node is elected, Run calls lead in
+// another goroutine, with a context that is cancelled when the leadership is lost or ctx ends.
+// The leadership also ends when lead returns. Run waits for lead to return before it campaigns
+// again or returns.
 func (c *Candidate) Run(ctx context.Context, lead func(context.Context, *Term)) {
 	for ctx.Err() == nil {
 		term, err := c.campaign(ctx)
@@ -48,12 +50,13 @@
 	}
 }
 
-// jitter returns about d, from half to one and a half times as long, so that nodes do not
-// act in step.
+// jitter returns a random duration from 0.5 to 1.5 times d, so that nodes do not act in step.
+// It panics unless d is positive.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// campaign returns this node's term if it was elected. It returns nil if another node leads
-// or should stand first, after it has waited for a change of that.
+// campaign tries once to have this node elected and returns its term. It returns nil without an
+// error if another node leads, after a change of leadership or followInterval, and if the node
+// defers to a preferred one, after the delay of deferDivisor.
 func (c *Candidate) campaign(ctx context.Context) (*Term, error) {
 	state, err := c.readState(ctx)
 	if err != nil {
@@ -70,8 +73,9 @@
 	return c.claimLeadership(ctx, state)
 }
 
-// follow waits for a change of the leadership that another node holds, or for
-// followInterval.
+// follow records the leader that state names, which is another node, and waits up to
+// followInterval for a change of leadership. It permits this node to defer in the next election.
+// The error is that of kvstore.Client.Watch.
 func (c *Candidate) follow(ctx context.Context, state electionState) error {
 	c.hasDeferred = false
 	c.mu.Lock()
@@ -81,21 +85,22 @@
 	return err
 }
 
-// shouldDefer reports whether a preferred node should stand before this one, which gives
-// way once an election. Without it a node that most machines cannot reach is elected again,
-// and the next term is as short as the last (docs/leadership.md, "Left without workers").
+// shouldDefer reports whether this node should let a preferred node campaign first. A node
+// defers at most once per election. Guards against short terms in a row: a node that most
+// machines cannot reach would be elected again, and its next term would be as short as the last
+// (docs/leadership.md, "Left without workers").
 func (c *Candidate) shouldDefer() bool {
 	return c.PreferOther != nil && !c.hasDeferred && c.PreferOther()
 }
 
-// claimLeadership claims the leadership on a new lease. The lease of a claim that failed is
-// revoked: if the claim is applied late after all, it would hold the key for a node that
-// does not know of it.
+// claimLeadership claims the leadership with a new lease and returns the node's term. It
+// revokes the lease if the claim fails. Guards against a claim that the store applies late: the
+// holder's key would name a node that does not act as the leader.
 func (c *Candidate) claimLeadership(ctx context.Context, state electionState) (*Term, error) {
 	sent := time.Now()
 	lease, err := c.Store.Grant(ctx, c.LeaseTTL)
 	if err != nil {
-		return nil, fmt.Errorf("leadership: lease: %w", err)
+		return nil, fmt.Errorf("leadership: grant lease of %v: %w", c.LeaseTTL, err)
 	}
 	issued, err := c.claimNextTerm(ctx, lease, state)
 	if err != nil {
@@ -107,7 +112,9 @@
 	return &Term{candidate: c, lease: lease, issued: issued, validUntil: leaseValidUntil(sent, c.LeaseTTL)}, nil
 }
 
-// claimNextTerm takes the term after the latest, provided that state still stands.
+// claimNextTerm takes the term after the latest one in state, and attaches the holder's key to
+// lease. It fails if either key has changed since state was read. The error wraps that of
+// kvstore.Client.Txn; after kvstore.ErrUnknown the claim may have been applied.
 func (c *Candidate) claimNextTerm(ctx context.Context, lease uint64, state electionState) (issuedTerm, error) {
 	next := state.newClaim(c.Node, lease)
 	revision, err := c.Store.Txn(ctx, next.compares, next.mutations, kvstore.PriorityLease)
@@ -115,13 +122,14 @@
 		revision, err = c.readBack(ctx, next, err)
 	}
 	if err != nil {
-		return issuedTerm{}, fmt.Errorf("leadership: claim: %w", err)
+		return issuedTerm{}, fmt.Errorf("leadership: claim term %d: %w", next.number, err)
 	}
 	return issuedTerm{number: next.number, revision: revision}, nil
 }
 
-// readBack returns the revision of a claim that went unanswered, if the store shows that it
-// was applied, and the claim's own error else.
+// readBack reads from the store whether a claim without a response was applied, and returns the
+// claim's revision if so. Otherwise, or if the read fails, it returns the claim's own error,
+// unanswered.
 func (c *Candidate) readBack(ctx context.Context, sent claim, unanswered error) (uint64, error) {
 	state, err := c.readState(ctx)
 	if err != nil || !state.writtenBy(sent) {
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -1,4 +1,4 @@
-// The candidate of a node: what others may ask it, and tell it of the leadership.
+// The candidate of a node: queries of the leadership, and observations from peers and agents.
 
 package leadership
 
@@ -11,33 +11,34 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Candidate takes part in the elections for one node. All its methods may be called by any
-// goroutine at any time, but Run by one alone.
+// Candidate takes part in elections on behalf of one node. Its methods are safe for concurrent
+// use, except that only one goroutine may call Run. Run calls PreferOther without holding mu.
 //
-// Its lock may be held while a Term's is taken, not the other way round.
+// Lock order: Candidate.mu before Term.mu.
 type Candidate struct {
-	// Set before the first call of a method, and not changed after that.
-	Node        string          // this node's name, which no other candidate has
-	LeaseTTL    time.Duration   // of the leader's lease: after a leader's death nobody leads for up to so long
-	Store       *kvstore.Client // holds the election's keys
-	PreferOther func() bool     // reports whether another node should be elected rather than this one; nil: never
+	// Fields to be set before the first method call and not changed afterwards.
+	Node        string          // name of this node, unique among the candidates
+	LeaseTTL    time.Duration   // TTL of the leader's lease; maximum delay of the election after a leader's crash
+	Store       *kvstore.Client // client of the key-value store with the election's keys
+	PreferOther func() bool     // whether another node should preferably be elected; nil means never
 
-	hasDeferred bool // this node has let another stand first in this election; Run's goroutine alone uses it
+	hasDeferred bool // whether this node has deferred in this election; used only by Run's goroutine
 
 	mu   sync.Mutex
-	view view // guarded by mu
+	view view // this node's view of the leadership; guarded by mu
 }
 
-// Leader returns the name of the node last known to lead, "" if none is, and the highest
-// term known. A node names itself only while it leads.
+// Leader returns the name of the last known leader, "" if unknown, and the highest known term.
+// A node names itself only while it leads or transfers its leadership.
 func (c *Candidate) Leader() (string, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.knownLeader(c.Node)
 }
 
-// Confirmed returns the leader and its term; ok says whether the key-value store has named
-// another node as the leader to this one within d.
+// Confirmed returns the last known leader and the highest known term. ok reports whether a
+// leader is known and this node has, within the last d, read from the key-value store that
+// another node leads. That read may have named an earlier leader than the one returned.
 func (c *Candidate) Confirmed(d time.Duration) (leader string, term uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,9 +46,9 @@
 	return v.leader, v.term, v.leader != "" && time.Since(v.confirmedAt) < d
 }
 
-// ObserveTerm takes in what another node says of the leadership. A higher term than the
-// highest known was issued by an election, so this node leads no more, even if it cannot
-// reach the key-value store to see that for itself.
+// ObserveTerm records the leader and term reported by another node. If a term above the highest
+// known one has another leader, that leader was elected later, so this node's leadership ends,
+// even if this node cannot reach the key-value store to read the term itself.
 func (c *Candidate) ObserveTerm(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +60,8 @@
 	current.cancel()
 }
 
-// TransferLeadership ends this node's term, if it leads, so that another node leads, one
-// that the machines can reach. It does not wait for that.
+// TransferLeadership ends this node's leadership, if it leads, so that a node that the machines
+// can reach is elected. It does not wait for the election.
 func (c *Candidate) TransferLeadership() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,10 +70,10 @@
 	}
 }
 
-// ObserveToken takes in that an agent has seen a fencing token above this leader's. Only an
-// election issues one, so this node leads no more, unless the key-value store says that no
-// such term exists. Where it cannot be asked the agent's word stands (view.finishTokenCheck).
-// It makes a request to the store, which ctx bounds.
+// ObserveToken handles a fencing token that an agent has seen. A token above this leader's own
+// is issued only to a leader that is elected later, so it ends this node's leadership, unless
+// the key-value store shows that no such term was issued. The leadership also ends if the store
+// cannot be read (view.finishTokenCheck). The read of the store is bounded by ctx.
 func (c *Candidate) ObserveToken(ctx context.Context, token uint64) {
 	c.mu.Lock()
 	checked := c.view.beginTokenCheck(token)
@@ -93,15 +94,15 @@
 	}
 }
 
-// observe takes in who was elected, as the key-value store says.
+// observe records the leader of a term, as read from or written to the key-value store.
 func (c *Candidate) observe(leader string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.observe(leader, term)
 }
 
-// readState reads the election's keys. The errors are those of kvstore.Client.List, and of
-// decoding.
+// readState reads and decodes the election's keys. The errors are those of kvstore.Client.List
+// and of decodeElectionState.
 func (c *Candidate) readState(ctx context.Context) (electionState, error) {
 	page, err := c.Store.List(ctx, keyPrefix, "", maxElectionKeys, kvstore.PriorityLease)
 	if err != nil {
--- a/internal/leadership/doc.go
+++ b/internal/leadership/doc.go
@@ -1,14 +1,16 @@
 // Package leadership elects one controller of the service as its leader.
 //
-// The leader holds a key of the key-value store that hangs on a lease. Every election,
-// also of the same node, takes the next term in the same transaction. The term's number is
-// the fencing token that agents see, and the revision of the term's key is a compare of
-// every write of a leader: a deposed leader writes nothing, whatever its clock says.
+// The leader owns a key in the key-value store that is attached to a lease. Every election,
+// including the re-election of the same node, takes the next term in the transaction that
+// writes this key. The term number is the fencing token that worker agents check. Every write
+// of a leader compares the revision of the term's key, so the store rejects the writes of a
+// deposed leader, whatever its clock says.
 //
-// A process makes one Candidate and calls its Run, which campaigns, and while the node
-// leads renews the lease and runs the leader's work with its Term. What a node reads or
-// hears is judged by functions without requests, clocks or locks: those of electionState
-// for what the store holds, those of view for what the node knows.
+// A process creates one Candidate and calls its Run method. Run campaigns for leadership; while
+// the node leads, Run renews the lease and runs the leader's work with the node's Term. The
+// decisions are made by functions that send no requests, read no clocks and take no locks: the
+// methods of electionState decide on what the store contains, those of view on what the node
+// has observed.
 //
-// docs/leadership.md has the reasons.
+// The reasons for this design are in docs/leadership.md.
 package leadership
--- a/internal/leadership/records.go
+++ b/internal/leadership/records.go
@@ -9,32 +9,32 @@
 	"tulipshelf/internal/wire"
 )
 
-// Keys of the election in the key-value store, with the form of their values. They share a
-// prefix so that one request reads both, as of one revision.
+// Keys of the election in the key-value store. Their common prefix allows both to be read by
+// one request, at one revision.
 const (
 	keyPrefix = "lead/"
-	holderKey = "lead/holder" // a holderRecord, on the leader's lease: absent while nobody leads
-	termKey   = "lead/term"   // a termRecord, kept for ever: the highest term issued
+	holderKey = "lead/holder" // holds a holderRecord; ends with the leader's lease, to which it is attached
+	termKey   = "lead/term"   // holds a termRecord with the highest term issued; never deleted
 )
 
-// maxElectionKeys bounds what is read under keyPrefix. There are two keys; the rest is room
-// for those of later versions.
+// maxElectionKeys is the maximum number of keys read under keyPrefix. There are two keys; the
+// higher limit allows for keys of later versions.
 const maxElectionKeys = 10
 
-// holderRecord is the value of holderKey: who leads.
+// holderRecord is the value of holderKey: the leader, its term and its lease.
 type holderRecord struct {
 	Node  string `cbor:"node"`
 	Term  uint64 `cbor:"term"`
 	Lease uint64 `cbor:"lease"`
 }
 
-// termRecord is the value of termKey.
+// termRecord is the value of termKey: the highest term issued.
 type termRecord struct {
 	Term uint64 `cbor:"term"`
 }
 
-// decodeElectionState returns what the keys under keyPrefix say. Keys that it does not
-// know are passed over.
+// decodeElectionState decodes the keys under keyPrefix. It ignores unknown keys, and returns an
+// error if the value of a known key cannot be decoded.
 func decodeElectionState(page kvstore.Page) (electionState, error) {
 	state := electionState{storeRevision: page.Revision}
 	for _, item := range page.Items {
@@ -49,7 +49,7 @@
 			state.latest = issuedTerm{number: record.Term, revision: item.Revision}
 		}
 		if err != nil {
-			return electionState{}, fmt.Errorf("leadership: %s: %w", item.Key, err)
+			return electionState{}, fmt.Errorf("leadership: decode value of %s: %w", item.Key, err)
 		}
 	}
 	return state, nil
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -1,4 +1,4 @@
-// Leading: the lease is renewed until it is lost or given up.
+// Leading: renewal of the lease until the leadership is lost or transferred.
 
 package leadership
 
@@ -12,25 +12,27 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Times of renewals, as divisors of the lease's TTL. A renewal that hangs until its time-out
-// leaves time for another before the lease expires.
+// Pause before each renewal and time-out of its request, as divisors of the lease's TTL. After a
+// renewal that times out, there is time for another one before the lease expires.
 const (
 	renewIntervalDivisor = 4
 	renewTimeoutDivisor  = 3
 )
 
-// clockDriftMargin is the part of a lease's TTL that a leader does not count on: twice the
-// bound on the drift of a monotonic clock, as this node's may be slow and the store's fast.
+// clockDriftMargin is the fraction of a lease's TTL by which a leader treats the lease as shorter.
+// It is twice the bound on the drift of a monotonic clock, as this node's clock may be slow and
+// the store's fast.
 const clockDriftMargin = 0.001
 
-// leaseValidUntil returns until when nobody else can be elected, given that the lease was
-// granted or renewed by a request sent then.
+// leaseValidUntil returns the time before which no other node can be elected. sent is the time
+// at which the request that granted or renewed the lease was sent.
 func leaseValidUntil(sent time.Time, ttl time.Duration) time.Time {
 	return sent.Add(ttl - time.Duration(float64(ttl)*clockDriftMargin))
 }
 
-// keepLeading runs lead and renews the lease meanwhile. It returns once lead has returned;
-// lead's context ends when leadership is lost or ctx ends.
+// keepLeading runs lead and renews the lease meanwhile. The context of lead is cancelled when the
+// leadership is lost or ctx ends. keepLeading returns after lead has returned and, if the
+// leadership ended by a transfer, after the transfer is complete.
 func (c *Candidate) keepLeading(ctx context.Context, term *Term, lead func(context.Context, *Term)) {
 	leadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,9 +61,9 @@
 	}
 }
 
-// renewUntilLost renews the lease until it has expired or ctx ends. A renewal that fails for
-// any other reason is tried again: after an outage of the key-value store every lease has its
-// full time again, so no other node can be elected in it.
+// renewUntilLost renews the lease until it has expired or ctx ends. A renewal that fails for any
+// other reason is retried: the key-value store restarts every lease with its full TTL after an
+// outage, so no other node can be elected during the outage.
 func (c *Candidate) renewUntilLost(ctx context.Context, term *Term) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, c.LeaseTTL/renewIntervalDivisor)
@@ -76,7 +78,8 @@
 	}
 }
 
-// renew renews the lease once. kvstore.ErrNotFound says that it has expired or was revoked.
+// renew renews the lease once. The error is that of kvstore.Client.Extend: kvstore.ErrNotFound
+// means that the lease has expired or was revoked.
 func (c *Candidate) renew(ctx context.Context, term *Term) error {
 	ctx, cancel := context.WithTimeout(ctx, c.LeaseTTL/renewTimeoutDivisor)
 	defer cancel()
@@ -88,9 +91,9 @@
 	return nil
 }
 
-// completeTransfer lets another node be elected. Nothing is sent under the term any more.
-// The others have until about when the lease would have expired; if none of them can lead,
-// this node campaigns again.
+// completeTransfer revokes the lease and pauses, so that another node can be elected. The
+// leader's work has ended before and sends nothing more under the term. The pause is 0.5 to 1.5
+// times the lease's TTL; if no other node has been elected by its end, this node campaigns again.
 func (c *Candidate) completeTransfer(ctx context.Context, term *Term) {
 	term.Resign(ctx)
 	clock.Sleep(ctx, jitter(c.LeaseTTL))
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -1,4 +1,4 @@
-// Decisions that follow from what the key-value store holds.
+// Decisions based on the election's keys in the key-value store.
 
 package leadership
 
@@ -7,40 +7,40 @@
 	"tulipshelf/internal/wire"
 )
 
-// electionState is what the key-value store held at one revision, and the decisions that
-// follow from it. It makes no requests.
+// electionState is the content of the election's keys at one revision of the key-value store.
+// Its methods make the decisions that depend only on this content and send no requests.
 type electionState struct {
-	holder         holderRecord // zero if holderRevision is
-	holderRevision uint64       // of holderKey; 0: nobody leads
-	latest         issuedTerm   // the highest term issued; zero before the first election
-	storeRevision  uint64       // of the read: a watch goes on from here
+	holder         holderRecord // value of holderKey; zero if the key does not exist
+	holderRevision uint64       // revision of holderKey; 0 if the key does not exist
+	latest         issuedTerm   // highest term issued; zero before the first election
+	storeRevision  uint64       // revision of the store at the read, from which a watch continues
 }
 
-// issuedTerm is a term as the store holds it.
+// issuedTerm is a term that the store has issued, with the revision of its record.
 type issuedTerm struct {
 	number   uint64
-	revision uint64 // of termKey as the claim of this term wrote it
+	revision uint64 // revision of termKey written by the claim of this term
 }
 
-// heldByOther reports whether another node than the given one holds the leadership.
+// heldByOther reports whether a node other than the given one holds the leadership.
 //
-// A key that names the node itself was left by an earlier process of it. A node is one
-// process, so nobody acts under that key any more, and it is taken over without waiting for
-// the lease to expire.
+// A key that names the given node itself is left over from an earlier process of the node, or
+// from a term of this process that has ended. A node runs as one process, so no leader acts
+// under such a key, and the node replaces it without waiting for the lease to expire.
 func (s electionState) heldByOther(node string) bool {
 	return s.holderRevision != 0 && s.holder.Node != node
 }
 
-// claim is a transaction that takes the next term.
+// claim is a transaction that takes the next term and the holder's key.
 type claim struct {
-	number    uint64 // of the term
-	lease     uint64 // that the holder's key will hang on
+	number    uint64 // number of the claimed term
+	lease     uint64 // lease to which the transaction attaches holderKey
 	compares  []kvstore.Compare
 	mutations []kvstore.Mutation
 }
 
-// newClaim returns the claim of the term after the latest. It fails as a whole if either
-// key has changed since s was read.
+// newClaim returns the claim of the term after the latest one, for the given node and lease.
+// The transaction changes nothing if either key has changed since s was read.
 func (s electionState) newClaim(node string, lease uint64) claim {
 	number := s.latest.number + 1
 	return claim{
@@ -57,23 +57,24 @@
 	}
 }
 
-// writtenBy reports whether s is the outcome of the claim. Only the claim's own transaction
-// gives both keys one revision under its lease.
+// writtenBy reports whether s was written by the transaction of the claim. Only this
+// transaction writes both keys at the same revision, with the claim's lease and term.
 func (s electionState) writtenBy(sent claim) bool {
 	oneTransaction := s.holderRevision == s.latest.revision
 	return oneTransaction && s.holder.Lease == sent.lease && s.latest.number == sent.number
 }
 
-// advanceStep is what a leader does that wants a new term.
+// advanceStep is the next action of a leader that wants a new term.
 type advanceStep int
 
 const (
-	advanceByClaim    advanceStep = iota // claim the term after the latest
-	advanceDeposed                       // nothing: the leadership is no longer its own
-	advanceWasApplied                    // adopt the latest term: an earlier claim that went unanswered was applied
+	advanceByClaim    advanceStep = iota // claim the term after the latest one
+	advanceDeposed                       // no action: the leader has lost the leadership
+	advanceWasApplied                    // adopt the latest term: an unanswered claim was applied
 )
 
-// advanceStep decides for the leader whose lease and term are given.
+// advanceStep returns the next action of the leader that holds the given lease and whose last
+// known term is current.
 func (s electionState) advanceStep(lease uint64, current issuedTerm) advanceStep {
 	switch {
 	case s.holder.Lease != lease:
--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -1,4 +1,4 @@
-// A term of leadership, as the leader's work uses it.
+// The leader's handle of its leadership: fencing token, compare for writes, advance, resignation.
 
 package leadership
 
@@ -13,48 +13,50 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// ErrDeposed says that a leader has lost its leadership, as happens in any failover: its lease
-// has expired or another node was elected. Term.Advance wraps it. Whoever finds by a failed
-// compare of Term.Fence that the leadership is over may return it too, so that this end of a
-// leader can be told from a fault.
+// ErrDeposed is the error of a leader that has lost its leadership, because its lease expired
+// or another node was elected. This happens in any failover and is not a fault. Term.Advance
+// wraps it. A caller whose write fails on the compare of Term.Fence may wrap it too, so that its
+// own callers can distinguish the loss of leadership from a fault.
 var ErrDeposed = errors.New("leadership: deposed")
 
-// Term is one leadership of this node: from its election until it is lost, through all the
-// numbers that Advance takes meanwhile. Candidate.Run makes it. Its methods may be called
-// by any goroutine, also after the leadership has ended.
+// Term is one leadership of this node, from its election until the leadership is lost. Its
+// number increases with each successful Advance. Terms are created by Candidate.Run. The methods
+// are safe for concurrent use, also after the leadership has ended.
 type Term struct {
-	candidate *Candidate // not changed after the election
-	lease     uint64     // that the holder's key hangs on; not changed after the election
+	candidate *Candidate // candidate that was elected; constant
+	lease     uint64     // lease to which the holder's key is attached; constant
 
 	mu         sync.Mutex
-	issued     issuedTerm // guarded by mu
-	validUntil time.Time  // guarded by mu; nobody else can be elected before it
+	issued     issuedTerm // term last issued to this leader; guarded by mu
+	validUntil time.Time  // time before which no other node can be elected; guarded by mu
 }
 
-// Number returns the term's number, which is the fencing token.
+// Number returns the current term number, which is the fencing token.
 func (t *Term) Number() uint64 { return t.latest().number }
 
-// Fence returns the compare that every write of this term carries. It fails once a newer
-// term was issued, also to this leader.
+// Fence returns the compare that every write of the leader must include. It fails once a newer
+// term has been issued, also if that term was issued to this leader.
 func (t *Term) Fence() kvstore.Compare {
 	return kvstore.Compare{Key: termKey, Revision: t.latest().revision}
 }
 
-// Valid reports whether no other node can have been elected: the lease was renewed by a
-// request sent less than its TTL ago, with a margin for the clocks' drift. It decides only
-// whether the leader goes on working; safety rests on Fence and the token.
+// Valid reports whether no other node can have been elected yet: the request that last granted
+// or renewed the lease was sent less than the TTL ago, minus a margin for clock drift. It only
+// decides whether the leader continues to work. Safety depends on Fence and the fencing token,
+// not on Valid.
 func (t *Term) Valid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Now().Before(t.validUntil)
 }
 
-// Advance takes a new term without giving up the leadership. Agents that have seen it
-// execute no late copy of a command sent under an earlier one.
+// Advance takes a new term while this node remains the leader. Agents that have seen the new
+// term do not execute a delayed copy of a command that was sent under an earlier term.
 //
-// The error wraps ErrDeposed if the leadership is over, else that of the key-value store.
-// After kvstore.ErrUnknown the term may have been taken all the same: the next call adopts
-// it, and until then the store may refuse writes under Fence.
+// The error wraps ErrDeposed if the key-value store shows at the call that the leadership has
+// ended, and otherwise the error of the read or of the claim. After kvstore.ErrUnknown the new
+// term may have been issued: the next call adopts it, and until then the store may reject writes
+// that include Fence.
 func (t *Term) Advance(ctx context.Context) error {
 	state, err := t.candidate.readState(ctx)
 	if err != nil {
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// Resign revokes the lease, so that another node can lead at once. A failure is logged: the
-// lease expires by itself then.
+// Resign revokes the lease, so that another node can be elected at once. A failure is only
+// logged, as the lease then expires after its TTL.
 func (t *Term) Resign(ctx context.Context) {
 	if err := t.candidate.Store.Revoke(ctx, t.lease); err != nil {
 		slog.Info("lease not revoked", "err", err)
@@ -91,14 +93,15 @@
 	return t.issued
 }
 
-// setIssued takes in that a term was issued to this leader.
+// setIssued records a term that was issued to this leader.
 func (t *Term) setIssued(issued issuedTerm) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.issued = issued
 }
 
-// setValidUntil takes in that the lease was renewed.
+// setValidUntil records the time before which no other node can be elected, after a renewal of
+// the lease.
 func (t *Term) setValidUntil(validUntil time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/leadership/view.go
+++ b/internal/leadership/view.go
@@ -1,4 +1,4 @@
-// What a node knows of the leadership, and how each observation changes that.
+// A node's view of the leadership, and its update by each observation.
 
 package leadership
 
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// view is what one node knows of the leadership, from the key-value store, its peers and
-// agents, and how that changes with each observation. It makes no requests. Its Candidate
-// guards it by its lock.
+// view is one node's view of the leadership, as observed from the key-value store, the peers
+// and the worker agents. Its methods send no requests. It is guarded by Candidate.mu.
 type view struct {
-	leader      string      // that was elected last, as far as known; "": unknown
-	term        uint64      // the highest term known
-	confirmedAt time.Time   // when the store was last read and named another node
-	current     *activeTerm // while this node leads, else nil
+	leader      string      // leader of the highest known term; "" if unknown or ended
+	term        uint64      // highest known term; 0 if none
+	confirmedAt time.Time   // time of the last read of the store that named another node; zero if none
+	current     *activeTerm // this node's own leadership; nil if none
 
-	checkingToken bool // a higher token that was shown is being looked up in the store
+	checkingToken bool // whether a check of a higher fencing token is running
 }
 
-// activeTerm is the leadership of this node.
+// activeTerm is a leadership of this node, until its end or until its transfer is complete.
 type activeTerm struct {
 	term         *Term
-	cancel       context.CancelFunc // ends the leader's work
-	transferring bool               // it ends for another node to lead
+	cancel       context.CancelFunc // cancels the context of the leader's work
+	transferring bool               // whether the leadership ends by a transfer to another node
 }
 
-// knownLeader returns the leader and its term as this node, self, may name them to others.
-// It names itself only while it leads: others may have told it of an earlier process of its
-// own.
+// knownLeader returns the leader, "" if unknown, and the highest known term, for publication to
+// others. The node, self, names itself only while it leads or transfers its leadership: a peer
+// may have named an earlier process of the node as the leader.
 func (v *view) knownLeader(self string) (string, uint64) {
 	if v.leader == self && v.current == nil {
 		return "", v.term
@@ -36,20 +35,22 @@
 	return v.leader, v.term
 }
 
-// observe takes in who was elected, as read from the store. Older news changes nothing.
+// observe records the leader of a term, as read from the store. A term below the highest known
+// one is ignored.
 func (v *view) observe(leader string, term uint64) {
 	if term >= v.term {
 		v.leader, v.term = leader, term
 	}
 }
 
-// confirm takes in that the store, read at that time, names another node.
+// confirm records that the store, read at the given time, named another node as the leader.
 func (v *view) confirm(leader string, term uint64, at time.Time) {
 	v.observe(leader, term)
 	v.confirmedAt = at
 }
 
-// observeTerm takes in what a peer says and reports whether it deposes this node, self.
+// observeTerm records the leader and term reported by a peer. It reports whether they depose
+// this node, self. A term that is not above the highest known one is ignored.
 func (v *view) observeTerm(self, leader string, term uint64) bool {
 	if term <= v.term {
 		return false
@@ -58,12 +59,13 @@
 	return v.current != nil && leader != self
 }
 
-// beginTerm takes in that this node leads from now on.
+// beginTerm records that this node has become the leader. cancel cancels the context of the
+// leader's work.
 func (v *view) beginTerm(term *Term, cancel context.CancelFunc) {
 	v.current = &activeTerm{term: term, cancel: cancel}
 }
 
-// endTerm takes in that this node, self, leads no more.
+// endTerm records that this node, self, is no longer the leader.
 func (v *view) endTerm(self string) {
 	v.current = nil
 	if v.leader == self {
@@ -71,8 +73,8 @@
 	}
 }
 
-// markTransferring marks the leadership as one that ends for another node to lead. It reports
-// whether there is one.
+// markTransferring marks this node's leadership as ending by a transfer to another node. It
+// returns false if the node does not lead.
 func (v *view) markTransferring() bool {
 	if v.current == nil {
 		return false
@@ -81,12 +83,14 @@
 	return true
 }
 
-// transferring reports whether this node's leadership ends for another node to lead.
+// transferring reports whether this node leads and its leadership ends by a transfer to another
+// node.
 func (v *view) transferring() bool { return v.current != nil && v.current.transferring }
 
-// beginTokenCheck returns this node's term if a token that an agent shows calls it in
-// question, and else nil. The caller reads the store and passes the outcome to
-// finishTokenCheck; one check runs at a time, as every agent may show the same token.
+// beginTokenCheck begins the check of a fencing token that an agent has seen, if this node leads
+// and the token is above its term's number. It returns the term; the caller must read the store
+// and pass the result to finishTokenCheck. It returns nil if no check is needed or if one is
+// running: only one runs at a time, as every agent may report the same token.
 func (v *view) beginTokenCheck(token uint64) *Term {
 	if v.current == nil || v.checkingToken || token <= v.current.term.Number() {
 		return nil
@@ -95,18 +99,19 @@
 	return v.current.term
 }
 
-// tokenVerdict is what a token above the leader's own turns out to be.
+// tokenVerdict is the result of the check of a token above the leader's own.
 type tokenVerdict int
 
 const (
-	tokenDeposes     tokenVerdict = iota // another node was elected
-	tokenNeverIssued                     // no election has issued it
-	tokenOutdated                        // the term that it called in question has ended meanwhile
+	tokenDeposes     tokenVerdict = iota // another node was elected, or the store could not be read
+	tokenNeverIssued                     // the store has not issued a term as high as the token
+	tokenOutdated                        // the checked term ended during the check
 )
 
-// finishTokenCheck judges a token by the state that was read for it. Where the store could
-// not be read the agent's word stands: a leader that is cut off from the store and from its
-// peers learns of its successor in no other way.
+// finishTokenCheck ends the check of a token and returns its result. checked is the term that
+// beginTokenCheck returned, state and readErr are the result of the read of the store. After a
+// failed read the token deposes the leader: a leader that is cut off from the store and from
+// its peers has no other way to learn of its successor.
 func (v *view) finishTokenCheck(checked *Term, token uint64, state electionState, readErr error) tokenVerdict {
 	v.checkingToken = false
 	switch {
