--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -18,20 +18,21 @@
 	leaseTTL  = 2 * time.Second
 )
 
-// cluster is a key-value store with candidates around it, in simulated time.
+// cluster is a key-value store and its candidates on a simulated network, in simulated time.
 type cluster struct {
 	t       *testing.T
-	ctx     context.Context // that everything runs under
+	ctx     context.Context // context of all candidates and servers
 	network *fake.Network
 	store   *fake.Store
 }
 
+// simulate runs test with a new cluster, and stops the cluster when test returns.
 func simulate(t *testing.T, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stopAll := context.WithCancel(t.Context())
 		defer func() {
 			stopAll()
-			time.Sleep(time.Minute) // for requests that are still on their way
+			time.Sleep(time.Minute) // lets requests in flight end
 		}()
 		c := &cluster{t: t, ctx: ctx, network: fake.NewNetwork(ctx), store: fake.NewStore()}
 		go c.network.Serve(ctx, storeAddr, c.store.Handle)
@@ -40,18 +41,19 @@
 	})
 }
 
-// client returns a client of the store for the host called name.
+// client returns a client of the store that sends from the host with the given name.
 func (c *cluster) client(name string) *kvstore.Client {
 	return kvstore.New(c.network.Dial(name), storeAddr, 1000, 1000)
 }
 
-// node is a candidate that runs. Its leader's work does nothing but wait for its end.
+// node is a running candidate. Its leader's work only waits for the end of its context.
 type node struct {
 	*Candidate
-	leading atomic.Pointer[Term] // while its leader's work runs
-	stop    context.CancelFunc   // ends the process without a word to anybody
+	leading atomic.Pointer[Term] // term whose leader's work is running; nil if none
+	stop    context.CancelFunc   // stops the candidate without revoking its lease, as a crash does
 }
 
+// start starts a candidate with the given name, after the options have changed its fields.
 func (c *cluster) start(name string, options ...func(*Candidate)) *node {
 	n := &node{Candidate: &Candidate{Node: name, LeaseTTL: leaseTTL, Store: c.client(name)}}
 	for _, option := range options {
@@ -67,7 +69,8 @@
 	return n
 }
 
-// awaitElected waits until the node leads and returns its term.
+// awaitElected waits until the node leads and returns its term. It fails the test if the node does
+// not lead within the given time.
 func (c *cluster) awaitElected(n *node, within time.Duration) *Term {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -75,11 +78,12 @@
 			return term
 		}
 	}
-	c.t.Fatalf("%s is not elected within %v", n.Node, within)
+	c.t.Fatalf("%s was not elected within %v", n.Node, within)
 	return nil
 }
 
-// awaitDeposed waits until the node's term has ended.
+// awaitDeposed waits until the node no longer leads the given term. It fails the test if the term
+// has not ended within the given time.
 func (c *cluster) awaitDeposed(n *node, term *Term, within time.Duration) {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); n.leading.Load() == term; time.Sleep(10 * time.Millisecond) {
@@ -89,35 +93,37 @@
 	}
 }
 
-// writeUnder returns the error of a write of the term, as a leader makes them.
+// writeUnder writes a key with the fence of the term, as a leader does, and returns the error.
 func (c *cluster) writeUnder(term *Term) error {
 	_, err := c.client("writer").Txn(c.ctx, []kvstore.Compare{term.Fence()},
 		[]kvstore.Mutation{{Put: "test/key", Value: wire.Marshal(term.Number())}}, kvstore.PriorityUser)
 	return err
 }
 
+// wantFenced checks that the store rejects a write of the term, which must not be the latest.
 func (c *cluster) wantFenced(term *Term) {
 	c.t.Helper()
 	var conflict *kvstore.ConflictError
 	if err := c.writeUnder(term); !errors.As(err, &conflict) {
-		c.t.Errorf("a write of an earlier term: %v, want a conflict", err)
+		c.t.Errorf("write under an earlier term: error %v, want a ConflictError", err)
 	}
 }
 
 func (c *cluster) wantNumber(term *Term, number uint64) {
 	c.t.Helper()
 	if got := term.Number(); got != number {
-		c.t.Errorf("term %d, want %d", got, number)
+		c.t.Errorf("term number is %d, want %d", got, number)
 	}
 }
 
-// failover is an election of another node, while the leader that was is cut off from the
-// store.
+// failover is the result of a failover: the former leader is still partitioned from the store,
+// and its successor has been elected.
 type failover struct {
 	deposed       *node
-	first, second *Term // of the deposed node and of its successor, "b"
+	first, second *Term // terms of the deposed node and of its successor, "b"
 }
 
+// failover partitions the leader "a" from the store and waits until "b" is elected.
 func (c *cluster) failover() failover {
 	c.t.Helper()
 	a := c.start("a")
@@ -133,28 +139,29 @@
 		first := c.awaitElected(a, time.Second)
 		c.wantNumber(first, 1)
 		if err := c.writeUnder(first); err != nil {
-			t.Errorf("the leader's write: %v", err)
+			t.Errorf("write of the leader: %v", err)
 		}
 		b := c.start("b")
 		time.Sleep(time.Second)
 		if leader, term, ok := b.Confirmed(2 * time.Second); leader != "a" || term != 1 || !ok {
-			t.Errorf("b follows %q of term %d (confirmed: %v)", leader, term, ok)
+			t.Errorf("b follows %q, term %d, confirmed %v; want \"a\", term 1, confirmed", leader, term, ok)
 		}
 		a.stop()
 		died := time.Now()
 		second := c.awaitElected(b, 2*leaseTTL)
 		c.wantNumber(second, 2)
 		if first.Valid() {
-			t.Errorf("two valid terms, %v after the leader's death", time.Since(died))
+			t.Errorf("term 1 is still valid after the election of term 2, %v after the leader's crash", time.Since(died))
 		}
 		c.wantFenced(first)
 		if leader, term := b.Leader(); leader != "b" || term != 2 {
-			t.Errorf("b names %q of term %d", leader, term)
+			t.Errorf("b names leader %q of term %d, want \"b\" of term 2", leader, term)
 		}
 	})
 }
 
-// A node that is back at once does not wait for the lease of its earlier process.
+// Guards against a needless wait after a restart: the lease of the earlier process would block the
+// election until it expires. The restarted leader replaces its own key at once.
 func TestRestartedLeaderTakesOverAtOnce(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
@@ -173,7 +180,7 @@
 			term := c.awaitElected(c.start("a"), 200*time.Millisecond)
 			c.wantNumber(term, 1)
 			if err := c.writeUnder(term); err != nil {
-				t.Errorf("the leader's write: %v", err)
+				t.Errorf("write of the leader: %v", err)
 			}
 		})
 	})
@@ -182,11 +189,11 @@
 			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: keyPrefix})
 			a := c.start("a")
 			time.Sleep(100 * time.Millisecond)
-			c.store.ReleaseHeld() // its lease is revoked by now
+			c.store.ReleaseHeld() // the candidate has already revoked the claim's lease
 			term := c.awaitElected(a, time.Second)
 			c.wantNumber(term, 1)
 			if err := c.writeUnder(term); err != nil {
-				t.Errorf("the leader's write: %v", err)
+				t.Errorf("write of the leader: %v", err)
 			}
 		})
 	})
@@ -199,19 +206,20 @@
 		for range 20 {
 			time.Sleep(leaseTTL / 2)
 			if !term.Valid() || a.leading.Load() != term {
-				t.Fatal("the lease is not renewed")
+				t.Fatal("leadership lost or lease not renewed without faults")
 			}
 		}
-		// No lease expires in an outage, so the leader stays, but it cannot know that.
+		// No lease expires during an outage of the store, so the leader keeps the leadership. It cannot
+		// observe that, so its term is not valid.
 		c.store.SetFaults(fake.StoreFaults{Down: true})
 		time.Sleep(2 * leaseTTL)
 		if term.Valid() {
-			t.Error("valid without renewals")
+			t.Error("term is valid though the lease could not be renewed for twice its TTL")
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		time.Sleep(leaseTTL)
 		if !term.Valid() || a.leading.Load() != term || b.leading.Load() != nil {
-			t.Error("leadership lost by an outage")
+			t.Error("the outage of the store ended or changed the leadership")
 		}
 	})
 }
@@ -221,16 +229,16 @@
 		f := c.failover()
 		a, first, second := f.deposed, f.first, f.second
 		if first.Valid() {
-			t.Error("two valid terms")
+			t.Error("the first term is still valid after the election of the second")
 		}
 		c.network.SetFaults(fake.NetworkFaults{})
 		c.awaitDeposed(a, first, leaseTTL)
 		if err := first.Advance(c.ctx); !errors.Is(err, ErrDeposed) {
-			t.Errorf("advance after the loss: %v, want ErrDeposed", err)
+			t.Errorf("Advance after the loss of leadership: error %v, want ErrDeposed", err)
 		}
 		time.Sleep(leaseTTL)
 		if leader, term := a.Leader(); leader != "b" || term != second.Number() {
-			t.Errorf("a names %q of term %d", leader, term)
+			t.Errorf("a names leader %q of term %d, want \"b\" of term %d", leader, term, second.Number())
 		}
 	})
 }
@@ -245,13 +253,13 @@
 		}
 		c.wantNumber(term, 2)
 		if term.Fence() == before {
-			t.Error("the fence of the term before")
+			t.Error("Advance did not change the fence")
 		}
 		if err := c.writeUnder(term); err != nil {
-			t.Errorf("a write of the new term: %v", err)
+			t.Errorf("write under the new term: %v", err)
 		}
 		if leader, number := a.Leader(); leader != "a" || number != 2 {
-			t.Errorf("a names %q of term %d", leader, number)
+			t.Errorf("a names leader %q of term %d, want \"a\" of term 2", leader, number)
 		}
 	})
 }
@@ -270,9 +278,10 @@
 	t.Run("adopted by the next", func(t *testing.T) {
 		simulate(t, func(c *cluster) {
 			term := c.awaitElected(c.start("a"), time.Second)
-			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1, DownAfterPrefix: keyPrefix}) // so that it cannot be read back
+			// The outage after the transaction makes the read-back of the claim fail.
+			c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1, DownAfterPrefix: keyPrefix})
 			if err := term.Advance(c.ctx); !errors.Is(err, kvstore.ErrUnknown) {
-				t.Fatalf("unanswered: %v, want ErrUnknown", err)
+				t.Fatalf("Advance without a response: error %v, want ErrUnknown", err)
 			}
 			c.wantNumber(term, 1)
 			c.store.SetFaults(fake.StoreFaults{})
@@ -281,7 +290,7 @@
 			}
 			c.wantNumber(term, 2)
 			if err := c.writeUnder(term); err != nil {
-				t.Errorf("a write of the adopted term: %v", err)
+				t.Errorf("write under the adopted term: %v", err)
 			}
 		})
 	})
@@ -299,7 +308,8 @@
 	})
 }
 
-// A leader that wants to transfer its leadership takes it again if nobody else does.
+// Guards against a cluster without a leader: after a transfer with no other candidate, the former
+// leader is elected again.
 func TestTransferToNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
@@ -308,13 +318,14 @@
 		c.awaitDeposed(a, first, 10*time.Millisecond)
 		time.Sleep(leaseTTL / 4)
 		if a.leading.Load() != nil {
-			t.Error("it has given no other node the time to be elected")
+			t.Error("a was elected again before another node had time to be elected")
 		}
 		c.wantNumber(c.awaitElected(a, 2*leaseTTL), 2)
 	})
 }
 
-// A candidate lets a preferred node stand first, but only for a moment.
+// A candidate defers to a preferred node in each election, but only for a short time, as the
+// preferred node may be unable to campaign.
 func TestPreferOther(t *testing.T) {
 	preferOther := func(c *Candidate) { c.PreferOther = func() bool { return true } }
 	simulate(t, func(c *cluster) {
@@ -328,7 +339,7 @@
 		}
 		time.Sleep(leaseTTL / 8)
 		if a.leading.Load() != nil {
-			t.Error("it does not give way in the next election")
+			t.Error("a did not defer to the preferred node in the next election")
 		}
 		c.awaitElected(a, leaseTTL/4)
 	})
@@ -336,13 +347,14 @@
 		a := c.start("a", preferOther)
 		time.Sleep(leaseTTL / 4)
 		if a.leading.Load() != nil {
-			t.Error("the preferred node had no time to stand")
+			t.Error("a was elected before the preferred node had time to campaign")
 		}
 		c.awaitElected(a, leaseTTL/4)
 	})
 }
 
-// A leader that cannot reach the store learns from a peer that another node was elected.
+// Guards against a deposed leader that continues to work: it cannot reach the store, and a peer
+// reports that another node was elected.
 func TestObserveTerm(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		f := c.failover()
@@ -350,12 +362,12 @@
 		a.ObserveTerm("b", first.Number())
 		time.Sleep(10 * time.Millisecond)
 		if a.leading.Load() != first {
-			t.Fatal("deposed by its own term")
+			t.Fatal("a was deposed by the number of its own term")
 		}
 		a.ObserveTerm("b", second.Number())
 		c.awaitDeposed(a, first, 10*time.Millisecond)
 		if leader, term := a.Leader(); leader != "b" || term != second.Number() {
-			t.Errorf("a names %q of term %d", leader, term)
+			t.Errorf("a names leader %q of term %d, want \"b\" of term %d", leader, term, second.Number())
 		}
 	})
 }
@@ -381,7 +393,7 @@
 				a.ObserveToken(c.ctx, term.Number())
 				time.Sleep(10 * time.Millisecond)
 				if a.leading.Load() != term {
-					t.Fatal("deposed by its own token")
+					t.Fatal("a was deposed by its own fencing token")
 				}
 				a.ObserveToken(c.ctx, token)
 				time.Sleep(10 * time.Millisecond)
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -7,7 +7,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// heldBy is the state after the node's election: both keys have the transaction's revision.
+// heldBy returns the state after the node's election: both keys have the revision of the claim's
+// transaction.
 func heldBy(node string, term, lease, revision uint64) electionState {
 	return electionState{
 		holder:         holderRecord{Node: node, Term: term, Lease: lease},
@@ -33,7 +34,7 @@
 	}
 	holder.Value = wire.Marshal("not a record")
 	if got, err := decodeElectionState(kvstore.Page{Items: []kvstore.Item{holder}}); err == nil {
-		t.Errorf("a holder that is no record is read as %+v", got)
+		t.Errorf("an invalid value of holderKey was decoded as %+v, want an error", got)
 	}
 }
 
@@ -49,19 +50,20 @@
 		{"by another node", heldBy("b", 3, 8, 9), true},
 	} {
 		if got := test.state.heldByOther("a"); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: heldByOther is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// A claim takes the next term on the condition that nobody has changed either key, and is
-// recognised by its lease, its term and its one revision.
+// A claim takes the next term on condition that neither key has changed. After a claim without a
+// response, a node must not adopt the term of another claim: the lease, the term and the common
+// revision of both keys identify its own.
 func TestClaim(t *testing.T) {
 	before := heldBy("a", 3, 8, 40)
 	before.latest.revision = 41
 	sent := before.newClaim("a", 9)
 	if sent.number != 4 {
-		t.Errorf("claims term %d, want 4", sent.number)
+		t.Errorf("the claim is of term %d, want 4", sent.number)
 	}
 	wantCompares := [2]kvstore.Compare{{Key: holderKey, Revision: 40}, {Key: termKey, Revision: 41}}
 	if len(sent.compares) != 2 || [2]kvstore.Compare(sent.compares) != wantCompares {
@@ -69,7 +71,7 @@
 	}
 	for _, mutation := range sent.mutations {
 		if leased := mutation.Lease == 9; leased != (mutation.Put == holderKey) {
-			t.Errorf("%s hangs on lease %d", mutation.Put, mutation.Lease)
+			t.Errorf("%s is attached to lease %d, want only holderKey on lease 9", mutation.Put, mutation.Lease)
 		}
 	}
 	torn := heldBy("a", 4, 9, 50)
@@ -87,7 +89,7 @@
 		{"keys written by two transactions", torn, false},
 	} {
 		if got := test.state.writtenBy(sent); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: writtenBy is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/leadership/view_test.go
+++ b/internal/leadership/view_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// leadingView is what node "a" knows while it leads term 3.
+// leadingView returns the view of node "a" while it leads term 3, and the term.
 func leadingView() (*view, *Term) {
 	v, term := &view{}, &Term{issued: issuedTerm{number: 3}}
 	v.observe("a", 3)
@@ -14,15 +14,16 @@
 	return v, term
 }
 
+// wantLeader checks the leader and the term that node "a" names.
 func wantLeader(t *testing.T, v *view, leader string, term uint64) {
 	t.Helper()
 	if gotLeader, gotTerm := v.knownLeader("a"); gotLeader != leader || gotTerm != term {
-		t.Errorf("the leader is %q of term %d, want %q of term %d", gotLeader, gotTerm, leader, term)
+		t.Errorf("the known leader is %q of term %d, want %q of term %d", gotLeader, gotTerm, leader, term)
 	}
 }
 
-// A node names itself as the leader only while it leads: a peer may tell it of the process
-// that it was before a restart.
+// Guards against a node that names itself as the leader without leading: a peer may still report
+// the node's process from before a restart as the leader.
 func TestKnownLeaderAfterRestart(t *testing.T) {
 	v := &view{}
 	v.observeTerm("a", "a", 3)
@@ -44,7 +45,7 @@
 	v.confirm("b", 6, read)
 	wantLeader(t, v, "b", 6)
 	if v.confirmedAt != read {
-		t.Errorf("confirmed at %v, want %v", v.confirmedAt, read)
+		t.Errorf("confirmedAt is %v, want %v", v.confirmedAt, read)
 	}
 }
 
@@ -65,28 +66,28 @@
 	} {
 		v, _ := leadingView()
 		if got := v.observeTerm("a", test.leader, test.term); got != test.deposes {
-			t.Errorf("%s: deposed %v, want %v", test.name, got, test.deposes)
+			t.Errorf("%s: observeTerm is %v, want %v", test.name, got, test.deposes)
 		}
 		wantLeader(t, v, test.wantLeader, test.wantTerm)
 	}
 	if v := (&view{}); v.observeTerm("a", "b", 4) {
-		t.Error("a node that does not lead was deposed")
+		t.Error("observeTerm deposed a node that does not lead")
 	}
 }
 
 func TestTransferMarksOneLeadership(t *testing.T) {
 	v := &view{}
 	if v.markTransferring() || v.transferring() {
-		t.Error("a node that does not lead transfers its leadership")
+		t.Error("a node that does not lead was marked as transferring")
 	}
 	v.beginTerm(&Term{}, func() {})
 	if v.transferring() || !v.markTransferring() || !v.transferring() {
-		t.Error("a leader does not transfer its leadership")
+		t.Error("a leader was not marked as transferring, or was before markTransferring")
 	}
 	v.endTerm("a")
 	v.beginTerm(&Term{}, func() {})
 	if v.transferring() {
-		t.Error("the next leadership is transferred too")
+		t.Error("the next leadership is still marked as transferring")
 	}
 }
 
@@ -94,21 +95,21 @@
 	v, term := leadingView()
 	for _, token := range []uint64{0, 2, 3} {
 		if v.beginTokenCheck(token) != nil {
-			t.Errorf("token %d calls term 3 in question", token)
+			t.Errorf("token %d begins a check of term 3, want none", token)
 		}
 	}
 	if v.beginTokenCheck(4) != term {
-		t.Error("token 4 does not call term 3 in question")
+		t.Error("token 4 does not begin a check of term 3")
 	}
 	if v.beginTokenCheck(5) != nil {
-		t.Error("two checks at a time")
+		t.Error("token 5 begins a second check while one is running")
 	}
 	v.finishTokenCheck(term, 4, electionState{}, nil)
 	if v.beginTokenCheck(5) != term {
-		t.Error("no check after one that has ended")
+		t.Error("token 5 does not begin a check after the first one has ended")
 	}
 	if (&view{}).beginTokenCheck(4) != nil {
-		t.Error("a node that does not lead checks a token")
+		t.Error("a node that does not lead begins a check of a token")
 	}
 }
 
@@ -135,6 +136,6 @@
 	v.beginTokenCheck(7)
 	v.beginTerm(&Term{issued: issuedTerm{number: 8}}, func() {})
 	if got := v.finishTokenCheck(term, 7, electionState{}, unreachable); got != tokenOutdated {
-		t.Errorf("the term has ended meanwhile: verdict %d, want %d", got, tokenOutdated)
+		t.Errorf("the term has ended during the check: verdict %d, want %d", got, tokenOutdated)
 	}
 }
