--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -128,8 +128,8 @@
 }
 
 // readBack reads from the store whether a claim without a response was applied, and returns the
-// claim's revision if so. Otherwise, or if the read fails, it returns the claim's own error,
-// unanswered.
+// claim's revision if so. Otherwise, or if the read fails, it returns unanswered, the error
+// of the claim itself.
 func (c *Candidate) readBack(ctx context.Context, sent claim, unanswered error) (uint64, error) {
 	state, err := c.readState(ctx)
 	if err != nil || !state.writtenBy(sent) {
--- a/internal/leadership/records.go
+++ b/internal/leadership/records.go
@@ -13,8 +13,8 @@
 // one request, at one revision.
 const (
 	keyPrefix = "lead/"
-	holderKey = "lead/holder" // holds a holderRecord; ends with the leader's lease, to which it is attached
-	termKey   = "lead/term"   // holds a termRecord with the highest term issued; never deleted
+	holderKey = "lead/holder" // holderRecord, attached to the leader's lease; absent without a leader
+	termKey   = "lead/term"   // termRecord with the highest term issued; never deleted
 )
 
 // maxElectionKeys is the maximum number of keys read under keyPrefix. There are two keys; the
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -93,7 +93,8 @@
 
 // completeTransfer revokes the lease and pauses, so that another node can be elected. The
 // leader's work has ended before and sends nothing more under the term. The pause is 0.5 to 1.5
-// times the lease's TTL; if no other node has been elected by its end, this node campaigns again.
+// times the lease's TTL, and so ends about when the lease would have expired. If no other node
+// has been elected by its end, this node campaigns again.
 func (c *Candidate) completeTransfer(ctx context.Context, term *Term) {
 	term.Resign(ctx)
 	clock.Sleep(ctx, jitter(c.LeaseTTL))
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -11,7 +11,7 @@
 // Its methods make the decisions that depend only on this content and send no requests.
 type electionState struct {
 	holder         holderRecord // value of holderKey; zero if the key does not exist
-	holderRevision uint64       // revision of holderKey; 0 if the key does not exist
+	holderRevision uint64       // revision of holderKey; 0 if the key does not exist: no leader
 	latest         issuedTerm   // highest term issued; zero before the first election
 	storeRevision  uint64       // revision of the store at the read, from which a watch continues
 }
