--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -125,9 +125,9 @@
 	return present && direct && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue()
 }
 
-// checkpointLeeway is how long before a termination notice runs out tasks are halted to save a
+// checkpointMargin is how long before a termination notice runs out tasks are halted to save a
 // checkpoint, beside the time that they need for it: the command has to reach them.
-const checkpointLeeway = 8 * time.Second
+const checkpointMargin = 8 * time.Second
 
 // drain empties a machine under a termination notice. Services stop at once, since they cannot
 // start elsewhere before they are gone here; tasks with checkpoints go on for as long as they can;
@@ -139,7 +139,7 @@
 	left := machine.TerminationAt.Sub(now)
 	for _, assignment := range machine.SortedAssignments() {
 		spec := assignment.Job.Spec
-		needed := time.Duration(spec.SaveS*float64(time.Second)) + checkpointLeeway
+		needed := time.Duration(spec.SaveS*float64(time.Second)) + checkpointMargin
 		switch {
 		case spec.Shape == job.Service:
 			machine.Stop(assignment, spec.SaveS)
@@ -199,23 +199,23 @@
 // attemptFailed blames the failure on the job if it fails everywhere, and else on the machine.
 func (t *attemptTracker) attemptFailed(machine *agent.Machine, j *jobstore.Job, state *jobState, now time.Time) {
 	if state.attemptFailed(machine.Name, now) {
-		t.exonerateMachines(j)
+		t.clearJobFailures(j)
 		return
 	}
 	machine.FailedAttempts++
 	machine.FailedJobs[j.Spec.ID] = struct{}{}
 	severalJobs := len(machine.FailedJobs) >= quarantineAfterJobs
-	doesWellElsewhere := j.DoneTasks() > 0 && machine.FailedAttempts >= quarantineAfterAttempts
-	if (severalJobs || doesWellElsewhere) && !machine.Quarantined {
+	succeedsElsewhere := j.DoneTasks() > 0 && machine.FailedAttempts >= quarantineAfterAttempts
+	if (severalJobs || succeedsElsewhere) && !machine.Quarantined {
 		machine.Quarantined = true
 		slog.Info("machine quarantined", "machine", machine.Name, "errors", machine.FailedAttempts)
 	}
 }
 
-// exonerateMachines no longer holds the failures of a job against the machines that ran it.
-func (t *attemptTracker) exonerateMachines(j *jobstore.Job) {
+// clearJobFailures no longer holds the failures of a job against the machines that ran it.
+func (t *attemptTracker) clearJobFailures(j *jobstore.Job) {
 	t.machines.registry.Each(func(machine *agent.Machine) {
-		if _, blamed := machine.FailedJobs[j.Spec.ID]; !blamed {
+		if _, failedHere := machine.FailedJobs[j.Spec.ID]; !failedHere {
 			return
 		}
 		delete(machine.FailedJobs, j.Spec.ID)
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -17,15 +17,15 @@
 	commands *commandSource
 	clients  map[string]*wire.Client // by machine
 
-	sending int // machines with a request for commands in flight
-	probing int // machines with a probe in flight
+	commandsInFlight int // machines with a request for commands in flight
+	probesInFlight   int // machines with a probe in flight
 }
 
 // Limits of direct requests.
 const (
-	// socketShare bounds the machines that are sent commands, or probed, at once: one socket in so
+	// socketDivisor bounds the machines that are sent commands, or probed, at once: one socket in so
 	// many. A burst of starts on hundreds of machines must not take the sockets of agents.
-	socketShare = 20
+	socketDivisor = 20
 
 	// probeInterval is how often one machine is probed.
 	probeInterval = 5 * time.Second
@@ -39,13 +39,13 @@
 	return &dispatcher{environment: env, registry: registry, commands: commands, clients: map[string]*wire.Client{}}
 }
 
-func (d *dispatcher) maxInFlight() int { return d.Settings.Resources.MaxSockets / socketShare }
+func (d *dispatcher) maxInFlight() int { return d.Settings.Resources.MaxSockets / socketDivisor }
 
 // sendUrgent sends commands that should not wait for a heartbeat. Machines beyond the bound have
 // their turn when others are done, or with their next heartbeat.
 func (d *dispatcher) sendUrgent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
-		if !machine.Urgent() || d.sending >= d.maxInFlight() {
+		if !machine.Urgent() || d.commandsInFlight >= d.maxInFlight() {
 			return
 		}
 		if now.Sub(machine.LastHeartbeat) >= d.Operator.UnhealthyAfter {
@@ -59,7 +59,7 @@
 
 func (d *dispatcher) send(machine *agent.Machine, commands []agent.Command) {
 	machine.RequestInFlight = true
-	d.sending++
+	d.commandsInFlight++
 	client := d.client(machine)
 	body := encodeCommands(d.term.Number(), machine.Incarnation, commands)
 	d.loop.start(func() {
@@ -82,13 +82,13 @@
 }
 
 func (e commandsAnswered) apply(l *Leader) {
-	l.dispatcher.sending--
-	l.directAnswer(e.machine, &e.status, e.err)
+	l.dispatcher.commandsInFlight--
+	l.handleDirectAnswer(e.machine, &e.status, e.err)
 }
 
-// directAnswer takes the answer to a direct request. Without one it is unknown whether commands
+// handleDirectAnswer takes the answer to a direct request. Without one it is unknown whether commands
 // were carried out, or yet will be; heartbeats tell.
-func (l *Leader) directAnswer(machine *agent.Machine, status *agent.Heartbeat, err error) {
+func (l *Leader) handleDirectAnswer(machine *agent.Machine, status *agent.Heartbeat, err error) {
 	machine.RequestInFlight = false
 	if err != nil {
 		slog.Debug("commands not answered", "machine", machine.Name, "err", err)
@@ -112,28 +112,28 @@
 // replaced sooner.
 func (d *dispatcher) probeSilent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
-		if d.needsProbe(machine, now) && d.probing < d.maxInFlight() {
+		if d.needsProbe(machine, now) && d.probesInFlight < d.maxInFlight() {
 			d.probe(machine, now)
 		}
 	})
 }
 
 func (d *dispatcher) needsProbe(machine *agent.Machine, now time.Time) bool {
-	heardAt := d.startedAt
+	lastContact := d.startedAt
 	if machine.Registered {
-		heardAt = machine.LastHeartbeat
+		lastContact = machine.LastHeartbeat
 	}
-	if now.Sub(heardAt) < d.Settings.Workers.HeartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
+	if now.Sub(lastContact) < d.Settings.Workers.HeartbeatOverdue() && machine.UnresponsiveSince.IsZero() {
 		return false
 	}
 	direct := machine.Addr != "" && machine.RelayedBy == "" && !machine.RequestInFlight
-	staying := machine.RetireReason == agent.NotRetired && !machine.Booting
-	return direct && staying && now.Sub(machine.LastProbe) >= probeInterval
+	active := machine.RetireReason == agent.NotRetired && !machine.Booting
+	return direct && active && now.Sub(machine.LastProbe) >= probeInterval
 }
 
 func (d *dispatcher) probe(machine *agent.Machine, now time.Time) {
 	machine.LastProbe, machine.RequestInFlight = now, true
-	d.probing++
+	d.probesInFlight++
 	client, term := d.client(machine), d.term.Number()
 	d.loop.start(func() {
 		ctx, cancel := context.WithTimeout(d.loop.ctx, agent.RequestTimeout)
@@ -155,9 +155,9 @@
 }
 
 func (e probeAnswered) apply(l *Leader) {
-	l.dispatcher.probing--
+	l.dispatcher.probesInFlight--
 	e.machine.ProbeFailed = e.err != nil
-	l.directAnswer(e.machine, &e.status, e.err)
+	l.handleDirectAnswer(e.machine, &e.status, e.err)
 }
 
 // client returns the client for direct requests to a machine.
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -16,26 +16,26 @@
 	registry *agent.Registry
 	recovery *recovery
 
-	// partitionedUntil is, by zone, when the zone was last seen to be cut off.
-	partitionedUntil []time.Time
+	// lastPartitioned is, by zone, when the zone was last seen to be cut off.
+	lastPartitioned []time.Time
 }
 
 // When machines are given up.
 const (
-	// bootGiveUpFactor is after how many times the usual boot time a machine is given up, and
+	// bootTimeoutFactor is after how many times the usual boot time a machine is given up, and
 	// bootOverdueFactor after how many it is no longer counted on.
-	bootGiveUpFactor  = 4
+	bootTimeoutFactor = 4
 	bootOverdueFactor = 1.6
 
-	// unknownTypeBoot is the time to boot of a machine whose type is not known.
-	unknownTypeBoot = time.Minute
+	// unknownTypeBootTimeout is the time to boot of a machine whose type is not known.
+	unknownTypeBootTimeout = time.Minute
 
-	// partitionShare is the share, one in so many, of silent machines from which the network is
+	// partitionSilentDivisor is the share, one in so many, of silent machines from which the network is
 	// more likely at fault than they are.
-	partitionShare = 3
+	partitionSilentDivisor = 3
 
-	// partitionMinMachines is the least number of machines from which anything is concluded.
-	partitionMinMachines = 2
+	// inconclusiveMachines is the least number of machines from which anything is concluded.
+	inconclusiveMachines = 2
 
 	// partitionMissedHeartbeats is how many heartbeats of a zone in a row are missed before it
 	// counts as cut off.
@@ -47,14 +47,14 @@
 	// partitionLeases is for how many leases the machines of a zone that is cut off are kept.
 	partitionLeases = 3
 
-	// unresponsivePatience is for how long an unresponsive machine is kept. In a partition late
+	// unresponsiveTimeout is for how long an unresponsive machine is kept. In a partition late
 	// copies of heartbeats look like that until other controllers relay them.
-	unresponsivePatience = RelayAfterSilence + 3*time.Second
+	unresponsiveTimeout = RelayAfterSilence + 3*time.Second
 
-	// cancelLeeway is the share of the cancellation deadline after which a machine with a cancelled
-	// task is given up, and cancelLeewayReconciling the same while a new leader reconciles.
-	cancelLeeway            = 0.55
-	cancelLeewayReconciling = 0.8
+	// cancelOverdueShare is the share of the cancellation deadline after which a machine with a cancelled
+	// task is given up, and cancelOverdueShareReconciling the same while a new leader reconciles.
+	cancelOverdueShare            = 0.55
+	cancelOverdueShareReconciling = 0.8
 )
 
 // RelayAfterSilence is for how long a leader must not have been heard from before another
@@ -66,7 +66,7 @@
 }
 
 // begin is called once the zones are known.
-func (h *machineHealth) begin() { h.partitionedUntil = make([]time.Time, len(h.topology.zones)) }
+func (h *machineHealth) begin() { h.lastPartitioned = make([]time.Time, len(h.topology.zones)) }
 
 // retire marks a machine to be returned to the cloud.
 func retire(machine *agent.Machine, reason agent.RetireReason) {
@@ -85,7 +85,7 @@
 		return
 	}
 	silence := h.measureSilence(now)
-	h.notePartitions(silence, now)
+	h.recordPartitions(silence, now)
 	h.registry.Each(func(machine *agent.Machine) {
 		if machine.RetireReason != agent.NotRetired {
 			return
@@ -103,9 +103,9 @@
 		return agent.RetireFailed
 	case machine.Quarantined:
 		return agent.RetireQuarantined
-	case !inUse(machine) && now.Sub(machine.Created) > h.bootLimit(machine):
+	case !hasBooted(machine) && now.Sub(machine.Created) > h.bootTimeout(machine):
 		return agent.RetireNeverBooted
-	case inUse(machine) && h.lost(machine, silence, now):
+	case hasBooted(machine) && h.lost(machine, silence, now):
 		return agent.RetireSilent
 	case h.reclaimed(machine, now):
 		return agent.RetireReclaimed
@@ -117,13 +117,15 @@
 	return agent.NotRetired
 }
 
-// inUse reports whether a machine has sent a heartbeat to this leader, or holds tasks by the records.
-func inUse(machine *agent.Machine) bool { return machine.Registered || len(machine.Assignments) > 0 }
+// hasBooted reports whether a machine has sent a heartbeat to this leader, or holds tasks by the records.
+func hasBooted(machine *agent.Machine) bool {
+	return machine.Registered || len(machine.Assignments) > 0
+}
 
 // reclaimed reports whether the cloud has taken a machine, as its termination notice said.
 func (h *machineHealth) reclaimed(machine *agent.Machine, now time.Time) bool {
-	noticeEnded := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
-	return noticeEnded && h.silentFor(machine, now) >= h.Operator.UnhealthyAfter
+	noticeExpired := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
+	return noticeExpired && h.silentFor(machine, now) >= h.Operator.UnhealthyAfter
 }
 
 // unusable reports whether a machine is empty and nothing can be placed on it.
@@ -134,7 +136,7 @@
 
 // unresponsive reports whether nothing has reached a machine for too long.
 func unresponsive(machine *agent.Machine, now time.Time) bool {
-	return !machine.UnresponsiveSince.IsZero() && now.Sub(machine.UnresponsiveSince) >= unresponsivePatience
+	return !machine.UnresponsiveSince.IsZero() && now.Sub(machine.UnresponsiveSince) >= unresponsiveTimeout
 }
 
 // silentFor returns for how long this leader has not heard from a machine.
@@ -150,21 +152,21 @@
 
 // suggestsPartition reports whether so many are silent that the network is more likely at fault.
 func (c silentCount) suggestsPartition() bool {
-	return c.silent > partitionMinMachines && c.silent*partitionShare > c.total
+	return c.silent > inconclusiveMachines && c.silent*partitionSilentDivisor > c.total
 }
 
 // clusterSilence is how many machines are silent.
 type clusterSilence struct {
-	all       silentCount
-	byZone    []silentCount
-	lastHeard []time.Time // by zone: the newest heartbeat of any machine there
+	all           silentCount
+	byZone        []silentCount
+	lastHeartbeat []time.Time // by zone: the newest heartbeat of any machine there
 }
 
 func (h *machineHealth) measureSilence(now time.Time) clusterSilence {
 	zones := len(h.topology.zones)
-	silence := clusterSilence{byZone: make([]silentCount, zones), lastHeard: make([]time.Time, zones)}
+	silence := clusterSilence{byZone: make([]silentCount, zones), lastHeartbeat: make([]time.Time, zones)}
 	h.registry.Each(func(machine *agent.Machine) {
-		if !inUse(machine) {
+		if !hasBooted(machine) {
 			return
 		}
 		silent := 0
@@ -178,18 +180,18 @@
 		}
 		silence.byZone[machine.Zone].total++
 		silence.byZone[machine.Zone].silent += silent
-		if machine.LastHeartbeat.After(silence.lastHeard[machine.Zone]) {
-			silence.lastHeard[machine.Zone] = machine.LastHeartbeat
+		if machine.LastHeartbeat.After(silence.lastHeartbeat[machine.Zone]) {
+			silence.lastHeartbeat[machine.Zone] = machine.LastHeartbeat
 		}
 	})
 	return silence
 }
 
-// notePartitions notes which zones are cut off now.
-func (h *machineHealth) notePartitions(silence clusterSilence, now time.Time) {
+// recordPartitions notes which zones are cut off now.
+func (h *machineHealth) recordPartitions(silence clusterSilence, now time.Time) {
 	for zone, count := range silence.byZone {
-		if h.noHeartbeats(count, silence.lastHeard[zone], now) || silence.all.suggestsPartition() || count.suggestsPartition() {
-			h.partitionedUntil[zone] = now
+		if h.noHeartbeats(count, silence.lastHeartbeat[zone], now) || silence.all.suggestsPartition() || count.suggestsPartition() {
+			h.lastPartitioned[zone] = now
 		}
 	}
 }
@@ -198,11 +200,11 @@
 // dozens send a heartbeat each second: where none does, the zone is cut off, long before a third of
 // its machines count as silent. Those whose heartbeats came last before the partition would be
 // given up until then.
-func (h *machineHealth) noHeartbeats(count silentCount, lastHeard, now time.Time) bool {
-	if lastHeard.IsZero() || count.total <= partitionMinMachines {
+func (h *machineHealth) noHeartbeats(count silentCount, lastHeartbeat, now time.Time) bool {
+	if lastHeartbeat.IsZero() || count.total <= inconclusiveMachines {
 		return false
 	}
-	gap := now.Sub(lastHeard)
+	gap := now.Sub(lastHeartbeat)
 	missed := float64(count.total) * gap.Seconds() / h.Settings.Workers.HeartbeatInterval.Seconds()
 	return gap >= partitionMinSilence && missed >= partitionMissedHeartbeats
 }
@@ -217,11 +219,11 @@
 func (h *machineHealth) lost(machine *agent.Machine, silence clusterSilence, now time.Time) bool {
 	replaceAfter := h.Operator.ReplaceAfter
 	silent := h.silentFor(machine, now)
-	if machine.Zone != unknownIndex && !h.partitionedUntil[machine.Zone].IsZero() {
-		if h.partitionedUntil[machine.Zone].Equal(now) {
-			return silent >= h.partitionPatience(machine, silence.byZone[machine.Zone])
+	if machine.Zone != unknownIndex && !h.lastPartitioned[machine.Zone].IsZero() {
+		if h.lastPartitioned[machine.Zone].Equal(now) {
+			return silent >= h.silenceLimitInPartition(machine, silence.byZone[machine.Zone])
 		}
-		silent = min(silent, now.Sub(h.partitionedUntil[machine.Zone]))
+		silent = min(silent, now.Sub(h.lastPartitioned[machine.Zone]))
 	}
 	if !machine.Registered {
 		return silent >= max(replaceAfter, h.Settings.Workers.Lease)
@@ -229,13 +231,13 @@
 	if silent >= replaceAfter {
 		return true
 	}
-	return machine.ProbeFailed && silent >= h.Operator.UnhealthyAfter && h.silentAlone(machine, silence, now)
+	return machine.ProbeFailed && silent >= h.Operator.UnhealthyAfter && h.partitionRuledOut(machine, silence, now)
 }
 
-// partitionPatience is for how long a machine in a zone that is cut off is kept. Those that serve
+// silenceLimitInPartition is for how long a machine in a zone that is cut off is kept. Those that serve
 // in a zone from which a new leader has heard nobody were silent before it: the zone was cut off
 // before, as others have found their way by then.
-func (h *machineHealth) partitionPatience(machine *agent.Machine, zone silentCount) time.Duration {
+func (h *machineHealth) silenceLimitInPartition(machine *agent.Machine, zone silentCount) time.Duration {
 	replaceAfter, lease := h.Operator.ReplaceAfter, h.Settings.Workers.Lease
 	leasesKept := h.Settings.HasController(h.topology.zones[machine.Zone])
 	switch {
@@ -247,23 +249,23 @@
 	return max(replaceAfter, lease)
 }
 
-// silentAlone reports whether the machine alone is silent: only where a partition would have shown
+// partitionRuledOut reports whether the machine alone is silent: only where a partition would have shown
 // by now.
-func (h *machineHealth) silentAlone(machine *agent.Machine, silence clusterSilence, now time.Time) bool {
-	if machine.Zone == unknownIndex || now.Sub(h.partitionedUntil[machine.Zone]) <= h.Settings.Workers.Lease {
+func (h *machineHealth) partitionRuledOut(machine *agent.Machine, silence clusterSilence, now time.Time) bool {
+	if machine.Zone == unknownIndex || now.Sub(h.lastPartitioned[machine.Zone]) <= h.Settings.Workers.Lease {
 		return false
 	}
 	interval := h.Settings.Workers.HeartbeatInterval
-	shown := (h.Operator.UnhealthyAfter - interval*5/4).Seconds()
+	detectionSeconds := (h.Operator.UnhealthyAfter - interval*5/4).Seconds()
 	machines := float64(silence.byZone[machine.Zone].total)
-	return machines*shown >= partitionMissedHeartbeats*interval.Seconds()
+	return machines*detectionSeconds >= partitionMissedHeartbeats*interval.Seconds()
 }
 
-func (h *machineHealth) bootLimit(machine *agent.Machine) time.Duration {
+func (h *machineHealth) bootTimeout(machine *agent.Machine) time.Duration {
 	if machine.Type == unknownIndex {
-		return unknownTypeBoot
+		return unknownTypeBootTimeout
 	}
-	return time.Duration(bootGiveUpFactor * h.topology.types[machine.Type].BootS * float64(time.Second))
+	return time.Duration(bootTimeoutFactor * h.topology.types[machine.Type].BootS * float64(time.Second))
 }
 
 // bootOverdue reports whether a machine has taken longer to boot than any that is in order. It may
@@ -279,11 +281,11 @@
 // first reconciles, as most machines that it does not know yet are there and only have to be told,
 // but not until it is too late to return the others.
 func (h *machineHealth) cancelOverdue(machine *agent.Machine, now time.Time) bool {
-	leeway := cancelLeeway
+	share := cancelOverdueShare
 	if !h.recovery.timedOut(now) {
-		leeway = cancelLeewayReconciling
+		share = cancelOverdueShareReconciling
 	}
-	limit := time.Duration(leeway * float64(h.Settings.Workers.CancelDeadline))
+	limit := time.Duration(share * float64(h.Settings.Workers.CancelDeadline))
 	for _, assignment := range machine.Assignments {
 		if assignment.Job.Cancelled && now.Sub(assignment.Job.CancelledAt) > limit {
 			return true
--- a/internal/leader/health_test.go
+++ b/internal/leader/health_test.go
@@ -47,11 +47,11 @@
 			now := time.Now()
 			registerMachines(l, 0, c.machines, now.Add(-c.silence))
 			registerMachines(l, 1, 100, now)
-			l.health.notePartitions(l.health.measureSilence(now), now)
-			if got := l.health.partitionedUntil[0].Equal(now); got != c.partitioned {
+			l.health.recordPartitions(l.health.measureSilence(now), now)
+			if got := l.health.lastPartitioned[0].Equal(now); got != c.partitioned {
 				t.Errorf("partitioned: %v", got)
 			}
-			if !l.health.partitionedUntil[1].IsZero() {
+			if !l.health.lastPartitioned[1].IsZero() {
 				t.Error("the other zone counts as partitioned")
 			}
 		})
@@ -71,7 +71,7 @@
 	if reason := l.health.retireReason(lone, silence, now); reason != agent.RetireSilent {
 		t.Errorf("silent alone and without an answer to a probe: %q", reason)
 	}
-	l.health.partitionedUntil[0] = now
+	l.health.lastPartitioned[0] = now
 	if reason := l.health.retireReason(lone, silence, now); reason != agent.NotRetired {
 		t.Errorf("in a partition: %q", reason)
 	}
@@ -83,7 +83,7 @@
 
 // A machine that cannot be told of a cancellation is returned in time for its task to be gone by the
 // deadline, later while a new leader still reconciles.
-func TestMachineWithCancelledTaskIsGivenUp(t *testing.T) {
+func TestMachineWithCancelledTaskIsRetired(t *testing.T) {
 	l := newTestLeader(healthSettings())
 	deadline := l.Settings.Workers.CancelDeadline
 	machine := registerMachines(l, 0, 1, time.Now())[0]
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -93,7 +93,7 @@
 	previousVersion := machine.Version
 	wasSilent := !machine.Registered || now.Sub(machine.LastHeartbeat) >= h.Operator.UnhealthyAfter
 	if !machine.Registered {
-		h.learnImages(machine, heartbeat, now)
+		h.recordImages(machine, heartbeat, now)
 	}
 	outcomes, fresh := machine.ApplyHeartbeat(heartbeat, h.Settings.Workers.Lease, now)
 	if !fresh {
@@ -120,10 +120,10 @@
 	}
 }
 
-// learnImages takes from a machine's first heartbeat to this leader which images it has: those of
+// recordImages takes from a machine's first heartbeat to this leader which images it has: those of
 // the tasks that run or have run there. Without it a new leader knows only of what runs, and sends
 // work elsewhere to fetch what is here.
-func (h *heartbeatHandler) learnImages(machine *agent.Machine, heartbeat *agent.Heartbeat, now time.Time) {
+func (h *heartbeatHandler) recordImages(machine *agent.Machine, heartbeat *agent.Heartbeat, now time.Time) {
 	if machine.Type == unknownIndex {
 		return
 	}
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -30,12 +30,12 @@
 	// transferDelay leaves the third controller the time to learn which one is to be elected.
 	transferDelay = 1500 * time.Millisecond
 
-	// keepWithoutAnswers is for how long a leader stays that cannot have lost the machines: fewer
+	// unacknowledgedTransferDelay is for how long a leader stays that cannot have lost the machines: fewer
 	// have ever shown a token of its term than reach the other controller. It guards against
 	// leaders that transfer to each other for ever where nothing reaches the machines: their
 	// heartbeats go round the controllers, and it takes three of them to one leader to show
 	// (TestAllUnresponsiveMachinesAreReplaced).
-	keepWithoutAnswers = time.Minute
+	unacknowledgedTransferDelay = time.Minute
 )
 
 // considerTransfer transfers leadership once the reason for it has lasted.
@@ -43,8 +43,8 @@
 	if now.Sub(t.startedAt) < t.Operator.ReconcileTimeout || !t.term.Valid() {
 		return // agents still find their way here
 	}
-	reach := t.measureReach(now)
-	if !reach.favoursOther(now.Sub(t.startedAt)) {
+	counts := t.countContacts(now)
+	if !counts.shouldTransfer(now.Sub(t.startedAt)) {
 		t.wantedSince = time.Time{}
 		return
 	}
@@ -52,38 +52,38 @@
 		t.wantedSince = now
 	}
 	if now.Sub(t.wantedSince) >= transferDelay {
-		slog.Info("transferring leadership: machines reach another controller", "term", t.term.Number(), "heard", reach.heard, "elsewhere", reach.elsewhere)
+		slog.Info("transferring leadership: machines reach another controller", "term", t.term.Number(), "heard", counts.direct, "elsewhere", counts.redirected)
 		t.Node.TransferLeadership()
 	}
 }
 
-// reach is how many machines reach this leader, and others.
-type reach struct {
-	heard     int // have sent a heartbeat here lately, directly
-	answered  int // have shown a token of this leader
-	elsewhere int // have lately reached one other controller
+// contactCounts is how many machines reach this leader, and others.
+type contactCounts struct {
+	direct       int // have sent a heartbeat here lately, directly
+	acknowledged int // have shown a token of this leader
+	redirected   int // have lately reached one other controller
 }
 
-func (t *leadershipTransfer) measureReach(now time.Time) reach {
-	r := reach{elsewhere: t.Node.RedirectedElsewhere(RedirectionWindow)}
+func (t *leadershipTransfer) countContacts(now time.Time) contactCounts {
+	counts := contactCounts{redirected: t.Node.RedirectedElsewhere(RedirectionWindow)}
 	t.registry.Each(func(machine *agent.Machine) {
 		if !machine.Registered {
 			return
 		}
 		if machine.RelayedBy == "" && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue() {
-			r.heard++
+			counts.direct++
 		}
 		if machine.FencingToken >= t.firstTerm {
-			r.answered++
+			counts.acknowledged++
 		}
 	})
-	return r
+	return counts
 }
 
-// favoursOther reports whether another controller had better lead than one that has led for so long.
-func (r reach) favoursOther(led time.Duration) bool {
-	if r.elsewhere <= TransferMachineRatio*max(r.heard, 1) {
+// shouldTransfer reports whether another controller had better lead than one that has led for so long.
+func (c contactCounts) shouldTransfer(leadingFor time.Duration) bool {
+	if c.redirected <= TransferMachineRatio*max(c.direct, 1) {
 		return false
 	}
-	return r.answered >= r.elsewhere || led >= keepWithoutAnswers
+	return c.acknowledged >= c.redirected || leadingFor >= unacknowledgedTransferDelay
 }
--- a/internal/leader/transfer_test.go
+++ b/internal/leader/transfer_test.go
@@ -9,19 +9,19 @@
 // reaches the machines at all.
 func TestTransferOnlyToAControllerThatIsReached(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		reach reach
-		led   time.Duration
-		want  bool
+		name       string
+		counts     contactCounts
+		leadingFor time.Duration
+		want       bool
 	}{
-		{"machines come here", reach{heard: 100, answered: 100, elsewhere: 0}, time.Hour, false},
-		{"as many go elsewhere", reach{heard: 100, answered: 100, elsewhere: 100}, time.Hour, false},
-		{"more than twice as many go elsewhere", reach{heard: 10, answered: 100, elsewhere: 21}, time.Second, true},
-		{"none comes here, some elsewhere", reach{heard: 0, answered: 3, elsewhere: 3}, time.Second, true},
-		{"none was ever answered", reach{heard: 0, answered: 0, elsewhere: 50}, keepWithoutAnswers - 1, false},
-		{"none was ever answered, for a minute", reach{heard: 0, answered: 0, elsewhere: 50}, keepWithoutAnswers, true},
+		{"machines come here", contactCounts{direct: 100, acknowledged: 100, redirected: 0}, time.Hour, false},
+		{"as many go elsewhere", contactCounts{direct: 100, acknowledged: 100, redirected: 100}, time.Hour, false},
+		{"more than twice as many go elsewhere", contactCounts{direct: 10, acknowledged: 100, redirected: 21}, time.Second, true},
+		{"none comes here, some elsewhere", contactCounts{direct: 0, acknowledged: 3, redirected: 3}, time.Second, true},
+		{"none was ever answered", contactCounts{direct: 0, acknowledged: 0, redirected: 50}, unacknowledgedTransferDelay - 1, false},
+		{"none was ever answered, for a minute", contactCounts{direct: 0, acknowledged: 0, redirected: 50}, unacknowledgedTransferDelay, true},
 	} {
-		if got := c.reach.favoursOther(c.led); got != c.want {
+		if got := c.counts.shouldTransfer(c.leadingFor); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
