--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -109,7 +109,7 @@
 		reachable = reachable && machine.AssignmentOf(attempt) != nil && t.reachable(machine, now)
 	})
 	if !reachable || gang.DoneTasks() > 0 || !gang.GangComplete() {
-		slog.Debug("gang not stopped", "job", gang.Spec.ID)
+		slog.Debug("gang not halted for a checkpoint: a machine is unreachable, a task is done or the gang is incomplete", "job", gang.Spec.ID)
 		return
 	}
 	gang.EachAttempt(func(attempt *jobstore.Attempt) {
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -71,7 +71,7 @@
 // retire marks a machine to be returned to the cloud.
 func retire(machine *agent.Machine, reason agent.RetireReason) {
 	machine.RetireReason = reason
-	slog.Info("machine given up", "machine", machine.Name, "why", reason, "tasks", len(machine.Assignments))
+	slog.Info("machine marked to be returned to the cloud", "machine", machine.Name, "why", reason, "tasks", len(machine.Assignments))
 }
 
 // retireUnhealthy gives up machines for what time has shown.
