--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -9,8 +9,8 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// attemptTracker ends attempts: what proof of an attempt's end means for its job and its machine,
-// and which attempts have to be halted.
+// attemptTracker halts attempts that must not go on, and applies the proof that an attempt has ended to
+// its job and its machine.
 type attemptTracker struct {
 	*environment
 	jobs     *jobTable
@@ -24,20 +24,21 @@
 	return &attemptTracker{environment: env, jobs: jobs, machines: machines, writer: writer, forecast: forecast, trigger: trigger}
 }
 
-// reconcile withdraws what is left of cancelled jobs and of gangs that have lost a part.
+// reconcile stops the live attempts of cancelled jobs and of incomplete gangs.
 func (t *attemptTracker) reconcile(now time.Time) {
 	t.jobs.store.Each(func(j *jobstore.Job) {
 		t.withdrawIncompleteGang(j, now)
 		if j.Cancelled {
 			t.stopAttempts(j, now)
 		} else if t.Node.IsCancelled(j.Spec.ID) {
-			t.cancelJobs([]string{j.Spec.ID}, now) // the news found the event queue full
+			t.cancelJobs([]string{j.Spec.ID}, now) // JobsCancelled found the event queue full
 		}
 	})
 }
 
-// cancelJobs takes the word of other controllers that jobs are cancelled. The records say so too,
-// but the key-value store may be away for longer than their tasks may go on.
+// cancelJobs marks jobs as cancelled that this controller or another knows to be cancelled, and stops
+// their attempts. It ignores jobs that have ended or are marked already. The records show cancellations
+// too, but an outage of the key-value store may last for longer than tasks of cancelled jobs may run.
 func (t *attemptTracker) cancelJobs(ids []string, now time.Time) {
 	for _, id := range ids {
 		if j := t.jobs.store.MarkCancelled(id, now); j != nil {
@@ -47,12 +48,13 @@
 	}
 }
 
-// stopAttempts stops what is left of a job: starts that were never sent are taken back, the others
-// are halted. What this controller has learned to be gone, by itself or from the others, is so
-// whoever led when it was reported.
+// stopAttempts stops all live attempts of a job. Attempts whose start was never sent are withdrawn;
+// unrecorded ones only while no write is in flight, which may record them. Attempts of a cancelled job
+// are ended if this controller has confirmed, or learned from another, that they are gone, whoever led
+// when their end was reported. All others are halted without a grace period.
 //
-// The latter guards against machines returned by a new leader for tasks that had long gone, where
-// the ends of their jobs could not be recorded in time (docs/incidents/inc-b469.md).
+// Ending confirmed attempts guards against a new leader that returns machines for tasks that are long
+// gone: the ends of their jobs could not be recorded in time (docs/incidents/inc-b469.md).
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.busy {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
@@ -79,17 +81,18 @@
 	}
 }
 
-// recordedButNeverSent reports whether this leader has recorded the start and never sent it.
+// recordedButNeverSent reports whether the start of a recorded attempt was recorded by this leader and
+// never sent.
 func (t *attemptTracker) recordedButNeverSent(assignment *agent.Assignment) bool {
 	return assignment.FirstSent.IsZero() && assignment.ID().Term() >= t.firstTerm
 }
 
-// withdrawIncompleteGang withdraws an attempt to run a gang of which a part is gone: what is left
-// only holds room and waits, or ends by itself a little later. The gang starts anew once all of it
-// is proven gone.
+// withdrawIncompleteGang stops the live attempts of a gang that is not complete: such attempts only hold
+// resources and wait, or end by themselves a little later. The gang starts anew once all of them are
+// proven gone. A cancelled gang, or one with a done task, is left as it is.
 //
-// It guards against gangs that nobody completes: a leader that ends while it records or sends the
-// starts of one, a machine that dies before the others have begun.
+// Guards against gangs that nobody completes: a leader ends while it records or sends the starts of the
+// members, or a machine dies before the other members have begun.
 func (t *attemptTracker) withdrawIncompleteGang(j *jobstore.Job, now time.Time) {
 	if !j.IsGang() || j.Cancelled {
 		return
@@ -100,8 +103,9 @@
 	}
 }
 
-// checkpointGang lets a gang save a checkpoint and stop, if all of its machines can be reached in
-// time; otherwise none is halted, as a part would only lose the progress of all.
+// checkpointGang halts all members of a gang, with a grace period in which they save a checkpoint. If a
+// machine of the gang is not reachable, none is halted: to halt only some members would lose the
+// progress of all. A gang that is incomplete, or has a done task, is not halted either.
 func (t *attemptTracker) checkpointGang(gang *jobstore.Job, now time.Time) {
 	reachable := true
 	gang.EachAttempt(func(attempt *jobstore.Attempt) {
@@ -118,20 +122,22 @@
 	})
 }
 
-// reachable reports whether a machine was heard from lately and gets the commands sent to it.
+// reachable reports whether commands sent to a machine can be expected to arrive: its heartbeats are
+// direct and not overdue, no request to it is in flight, and it has not failed, left a probe unanswered
+// or become unresponsive.
 func (t *attemptTracker) reachable(machine *agent.Machine, now time.Time) bool {
 	present := machine.Registered && !machine.Gone && !machine.Failed
 	direct := machine.RelayedBy == "" && !machine.ProbeFailed && !machine.RequestInFlight && machine.UnresponsiveSince.IsZero()
 	return present && direct && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue()
 }
 
-// checkpointMargin is how long before a termination notice runs out tasks are halted to save a
-// checkpoint, beside the time that they need for it: the command has to reach them.
+// checkpointMargin is the time, beyond what a task needs to save a checkpoint, by which it is halted
+// before a termination notice expires. The halt has to reach the task within it.
 const checkpointMargin = 8 * time.Second
 
-// drain empties a machine under a termination notice. Services stop at once, since they cannot
-// start elsewhere before they are gone here; tasks with checkpoints go on for as long as they can;
-// the others may yet be done in time.
+// drain halts tasks on a machine that has a termination notice. Services are halted at once, since they
+// cannot start elsewhere before they are gone here. Tasks with checkpoints run until the time left is
+// only enough to halt them and save one. Other tasks are not halted, as they may be done in time.
 func (t *attemptTracker) drain(machine *agent.Machine, now time.Time) {
 	if machine.TerminationAt.IsZero() {
 		return
@@ -153,14 +159,15 @@
 	}
 }
 
-// A machine is quarantined once tasks of so many jobs have failed on it with none done in between,
-// or so many tasks of a job that does well elsewhere.
+// Limits of failures on a machine, counted since a task was last done there. The machine is quarantined
+// once attempts of quarantineAfterJobs jobs have failed, or once quarantineAfterAttempts attempts have
+// failed and the job of the latest has done tasks, so that it succeeds elsewhere.
 const (
 	quarantineAfterJobs     = 2
 	quarantineAfterAttempts = 2
 )
 
-// attemptEnded takes the proof that an attempt on a machine is gone.
+// attemptEnded applies the proof that an attempt on a machine is gone.
 func (t *attemptTracker) attemptEnded(machine *agent.Machine, outcome agent.Outcome, now time.Time) {
 	attempt := outcome.Assignment.Attempt
 	done := outcome.Cause == agent.CauseDone
@@ -184,7 +191,8 @@
 	}
 }
 
-// attemptDone learns the run time and clears what failures were blamed on.
+// attemptDone records the run time of a done attempt for the forecast, and resets the failure counts of
+// its machine and its job.
 func (t *attemptTracker) attemptDone(machine *agent.Machine, assignment *agent.Assignment, state *jobState, now time.Time) {
 	spec := assignment.Job.Spec
 	if !assignment.RunningSince.IsZero() {
@@ -196,7 +204,8 @@
 	state.attemptDone()
 }
 
-// attemptFailed blames the failure on the job if it fails everywhere, and else on the machine.
+// attemptFailed attributes a failure to the job if the job now counts as failing on every machine,
+// otherwise to the machine, which it may quarantine.
 func (t *attemptTracker) attemptFailed(machine *agent.Machine, j *jobstore.Job, state *jobState, now time.Time) {
 	if state.attemptFailed(machine.Name, now) {
 		t.clearJobFailures(j)
@@ -212,7 +221,8 @@
 	}
 }
 
-// clearJobFailures no longer holds the failures of a job against the machines that ran it.
+// clearJobFailures removes the failures of a job from the machines that ran it, and ends the quarantine
+// of those that are not being retired and have too few failed jobs left.
 func (t *attemptTracker) clearJobFailures(j *jobstore.Job) {
 	t.machines.registry.Each(func(machine *agent.Machine) {
 		if _, failedHere := machine.FailedJobs[j.Spec.ID]; !failedHere {
@@ -224,7 +234,8 @@
 	})
 }
 
-// jobEnded drops what the leader holds of a job whose end is recorded.
+// jobEnded drops the leader's state of a job whose end is recorded, and queues the deletion of its
+// chunks.
 func (t *attemptTracker) jobEnded(j *jobstore.Job) {
 	t.trigger.request()
 	delete(t.jobs.states, j)
@@ -234,10 +245,11 @@
 	t.writer.addGarbage(j.GarbageMutations(maxGarbageOfJob)...)
 }
 
-// maxGarbageOfJob is more than the chunks of any job.
+// maxGarbageOfJob is a limit above the number of chunks of any job.
 const maxGarbageOfJob = 1 << 20
 
-// renumberUnsent gives attempts that were never sent numbers of the term that has just begun.
+// renumberUnsent gives new numbers, of the term that has just begun, to attempts that were never sent
+// because they are not recorded.
 func (t *attemptTracker) renumberUnsent(now time.Time) {
 	t.jobs.store.RenumberUnrecorded(t.term.Number(), func(renumbered jobstore.Renumbered) {
 		attempt := renumbered.Attempt
@@ -245,11 +257,11 @@
 	})
 }
 
-// jobsCancelled is the news from this controller or another that jobs are cancelled.
+// jobsCancelled is a report, from this controller or another, that jobs are cancelled.
 type jobsCancelled struct{ jobIDs []string }
 
 func (e jobsCancelled) apply(l *Leader) { l.attempts.cancelJobs(e.jobIDs, time.Now()) }
 
-// JobsCancelled takes the news that jobs are cancelled. It is safe for concurrent use. News that
-// finds the event queue full comes again with the next look at all jobs.
+// JobsCancelled queues a report that jobs are cancelled. It is safe for concurrent use. If the event
+// queue is full, the report is dropped, and reconcile finds the cancelled jobs later.
 func (l *Leader) JobsCancelled(jobIDs []string) { l.loop.trySubmit(jobsCancelled{jobIDs}) }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -6,17 +6,17 @@
 	"tulipshelf/internal/agent"
 )
 
-// commandSource says which commands a machine is to get.
+// commandSource determines which commands a machine is sent.
 type commandSource struct {
 	*environment
 	jobs *jobTable
 }
 
-// forMachine returns the commands for a machine. While it is not sure that this controller still
-// leads, they end what is left of cancelled jobs and do nothing else.
+// forMachine returns the commands for a machine. While it is not certain that this controller still
+// leads, these only halt tasks of cancelled jobs.
 //
-// It guards against an outage of the key-value store, or a partition from it, that outlasts the
-// time in which a cancelled task must be gone.
+// Guards against tasks of cancelled jobs that run beyond the cancellation deadline: an outage of the
+// key-value store, or a partition from it, may outlast that deadline.
 func (c *commandSource) forMachine(machine *agent.Machine, now time.Time) []agent.Command {
 	if !c.term.Valid() {
 		return machine.HaltCommands(agent.MaxCommands)
@@ -24,15 +24,16 @@
 	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, c.jobs.resultSettled, now)
 }
 
-// forRelayedMachine returns the commands for a machine that only another controller reaches. What
-// may be forgotten can wait until the partition is over; with it the commands of a large zone did
-// not fit into what may be written.
+// forRelayedMachine returns the commands for a machine that only another controller reaches. Commands
+// to forget exited tasks are left out, as they can wait until the partition is over. With them the
+// commands for a large zone exceeded the limit of what may be written.
 func (c *commandSource) forRelayedMachine(machine *agent.Machine, now time.Time) []agent.Command {
 	neverSettled := func(string) bool { return false }
 	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, neverSettled, now)
 }
 
-// allSettled reports whether all results that a machine still reports are recorded.
+// allSettled reports whether the result of every exited task that a machine still reports is recorded,
+// or needed by nobody.
 func (c *commandSource) allSettled(machine *agent.Machine) bool {
 	settled := true
 	machine.EachExited(func(taskName string) { settled = settled && c.jobs.resultSettled(taskName) })
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -10,7 +10,8 @@
 )
 
 // dispatcher sends direct requests to worker agents: commands that should not wait for the next
-// heartbeat, and probes of machines whose heartbeats are late. A machine has one request in flight.
+// heartbeat, and probes of machines that are unresponsive or whose heartbeats are overdue. A machine
+// has at most one request in flight.
 type dispatcher struct {
 	*environment
 	registry *agent.Registry
@@ -23,15 +24,16 @@
 
 // Limits of direct requests.
 const (
-	// socketDivisor bounds the machines that are sent commands, or probed, at once: one socket in so
-	// many. A burst of starts on hundreds of machines must not take the sockets of agents.
+	// socketDivisor is the divisor of MaxSockets that gives the maximum number of machines with commands
+	// in flight, and of machines with a probe in flight. Guards against a lack of sockets for agents:
+	// a burst of starts on hundreds of machines would take them.
 	socketDivisor = 20
 
-	// probeInterval is how often one machine is probed.
+	// probeInterval is the minimum time between two probes of one machine.
 	probeInterval = 5 * time.Second
 
-	// idleConnectionAge is how long a connection to an agent is kept unused. One kept for each
-	// machine would take a third of all sockets.
+	// idleConnectionAge is the maximum time for which an unused connection to an agent is kept. One kept
+	// for each machine would take a third of all sockets.
 	idleConnectionAge = 2 * time.Second
 )
 
@@ -39,10 +41,13 @@
 	return &dispatcher{environment: env, registry: registry, commands: commands, clients: map[string]*wire.Client{}}
 }
 
+// maxInFlight returns the maximum number of machines with commands in flight, which is also that of
+// machines with a probe in flight.
 func (d *dispatcher) maxInFlight() int { return d.Settings.Resources.MaxSockets / socketDivisor }
 
-// sendUrgent sends commands that should not wait for a heartbeat. Machines beyond the bound have
-// their turn when others are done, or with their next heartbeat.
+// sendUrgent sends commands that should not wait for the next heartbeat. Machines beyond maxInFlight are
+// sent theirs once other requests have ended, or in the response to their next heartbeat. Silent
+// machines are left out.
 func (d *dispatcher) sendUrgent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
 		if !machine.Urgent() || d.commandsInFlight >= d.maxInFlight() {
@@ -74,7 +79,8 @@
 	return wire.Marshal(agent.CommandRequest{FencingToken: term, Incarnation: incarnation, Commands: commands})
 }
 
-// commandsAnswered is the answer to commands, or the lack of one.
+// commandsAnswered is the end of a request that sent commands: the status that the agent answered, or
+// the error of the request.
 type commandsAnswered struct {
 	machine *agent.Machine
 	status  agent.Heartbeat
@@ -86,8 +92,9 @@
 	l.handleDirectAnswer(e.machine, &e.status, e.err)
 }
 
-// handleDirectAnswer takes the answer to a direct request. Without one it is unknown whether commands
-// were carried out, or yet will be; heartbeats tell.
+// handleDirectAnswer applies the status that an agent answered to a direct request. If err is not nil,
+// it is unknown whether commands have been executed or will be; later heartbeats show it. An answer is
+// ignored if the machine is gone or it comes from another machine.
 func (l *Leader) handleDirectAnswer(machine *agent.Machine, status *agent.Heartbeat, err error) {
 	machine.RequestInFlight = false
 	if err != nil {
@@ -105,11 +112,13 @@
 	l.heartbeats.applyDirectAnswer(machine, status, time.Now())
 }
 
-// probeSilent brings this leader's token to machines that it does not hear from. They may still
-// send heartbeats to an earlier leader that is cut off from the key-value store and from the other
-// controllers but not from them; once they show it the higher token it turns them away. A machine
-// that seems unresponsive is probed too: one that answers is not. One that does not answer is
-// replaced sooner.
+// probeSilent probes machines whose heartbeats are overdue and passes them this leader's fencing token.
+// Their agents may still send heartbeats to an earlier leader that is partitioned from the key-value
+// store and from the other controllers, but not from the machines. That leader redirects an agent whose
+// heartbeat carries the higher token.
+//
+// Machines marked as unresponsive are probed too, and an answer removes the mark. A silent machine that
+// does not answer is replaced sooner.
 func (d *dispatcher) probeSilent(now time.Time) {
 	d.registry.Each(func(machine *agent.Machine) {
 		if d.needsProbe(machine, now) && d.probesInFlight < d.maxInFlight() {
@@ -118,6 +127,9 @@
 	})
 }
 
+// needsProbe reports whether a machine is to be probed now: its heartbeats are overdue or it is
+// unresponsive, it can take a direct request, it is neither booting nor being retired, and it was not
+// probed within probeInterval.
 func (d *dispatcher) needsProbe(machine *agent.Machine, now time.Time) bool {
 	lastContact := d.startedAt
 	if machine.Registered {
@@ -147,7 +159,7 @@
 	})
 }
 
-// probeAnswered is the answer to a probe, or the lack of one.
+// probeAnswered is the end of a probe: the status that the agent answered, or the error of the request.
 type probeAnswered struct {
 	machine *agent.Machine
 	status  agent.Heartbeat
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -8,64 +8,72 @@
 	"tulipshelf/internal/cloud"
 )
 
-// machineHealth decides which machines are given up for what time has shown, and tells lost
-// machines from a network partition.
+// machineHealth decides which unhealthy machines to retire, and tells lost machines from machines
+// behind a network partition.
 type machineHealth struct {
 	*environment
 	topology *topology
 	registry *agent.Registry
 	recovery *recovery
 
-	// lastPartitioned is, by zone, when the zone was last seen to be cut off.
+	// lastPartitioned is, by zone, the last time at which the zone was found partitioned; zero: never.
 	lastPartitioned []time.Time
 }
 
-// When machines are given up.
+// Limits after which machines are retired.
 const (
-	// bootTimeoutFactor is after how many times the usual boot time a machine is given up, and
-	// bootOverdueFactor after how many it is no longer counted on.
+	// bootTimeoutFactor is the multiple of the usual boot time after which a machine that has not
+	// booted is retired, and bootOverdueFactor the multiple after which its capacity is no longer
+	// counted on.
 	bootTimeoutFactor = 4
 	bootOverdueFactor = 1.6
 
-	// unknownTypeBootTimeout is the time to boot of a machine whose type is not known.
+	// unknownTypeBootTimeout is the time after which a machine of unknown type that has not booted is
+	// retired.
 	unknownTypeBootTimeout = time.Minute
 
-	// partitionSilentDivisor is the share, one in so many, of silent machines from which the network is
-	// more likely at fault than they are.
+	// partitionSilentDivisor is the n in the share 1/n of silent machines above which the network is
+	// more likely at fault than the machines.
 	partitionSilentDivisor = 3
 
-	// inconclusiveMachines is the least number of machines from which anything is concluded.
+	// inconclusiveMachines is the number of machines up to which, inclusive, no network partition is
+	// concluded: more than this many must be silent (suggestsPartition), or, for a zone without
+	// heartbeats, more than this many of its machines must have booted (noHeartbeats).
 	inconclusiveMachines = 2
 
-	// partitionMissedHeartbeats is how many heartbeats of a zone in a row are missed before it
-	// counts as cut off.
+	// partitionMissedHeartbeats is the minimum number of consecutive heartbeats that a zone must have
+	// missed, by the heartbeat interval and its number of machines, to count as partitioned.
 	partitionMissedHeartbeats = 10
 
-	// partitionMinSilence is the least time without any heartbeat of a zone.
+	// partitionMinSilence is the minimum time without any heartbeat from a zone for it to count as
+	// partitioned.
 	partitionMinSilence = time.Second
 
-	// partitionLeases is for how many leases the machines of a zone that is cut off are kept.
+	// partitionLeases is the retention period, in leases, of machines in a partitioned zone. Machines
+	// with services may have a shorter one (silenceLimitInPartition).
 	partitionLeases = 3
 
-	// unresponsiveTimeout is for how long an unresponsive machine is kept. In a partition late
-	// copies of heartbeats look like that until other controllers relay them.
+	// unresponsiveTimeout is the time after which an unresponsive machine is retired. It exceeds
+	// RelayAfterSilence: in a partition, late copies of heartbeats make a machine look unresponsive
+	// until other controllers relay its heartbeats.
 	unresponsiveTimeout = RelayAfterSilence + 3*time.Second
 
-	// cancelOverdueShare is the share of the cancellation deadline after which a machine with a cancelled
-	// task is given up, and cancelOverdueShareReconciling the same while a new leader reconciles.
+	// cancelOverdueShare is the share of the cancellation deadline after which a machine that holds a
+	// cancelled task is retired, and cancelOverdueShareReconciling the share that applies while a new
+	// leader reconciles.
 	cancelOverdueShare            = 0.55
 	cancelOverdueShareReconciling = 0.8
 )
 
-// RelayAfterSilence is for how long a leader must not have been heard from before another
-// controller answers worker agents in its place.
+// RelayAfterSilence is the time without contact with the leader after which another controller
+// answers worker agents in its place.
 const RelayAfterSilence = 5 * time.Second
 
 func newMachineHealth(env *environment, topology *topology, registry *agent.Registry, recovery *recovery) *machineHealth {
 	return &machineHealth{environment: env, topology: topology, registry: registry, recovery: recovery}
 }
 
-// begin is called once the zones are known.
+// begin allocates the state of each zone. It is called once the zones are known.
 func (h *machineHealth) begin() { h.lastPartitioned = make([]time.Time, len(h.topology.zones)) }
 
 // retire marks a machine to be returned to the cloud.
@@ -74,7 +82,9 @@
 	slog.Info("machine marked to be returned to the cloud", "machine", machine.Name, "why", reason, "tasks", len(machine.Assignments))
 }
 
-// retireUnhealthy gives up machines for what time has shown.
+// retireUnhealthy marks unhealthy machines to be returned to the cloud. A machine with an overdue
+// cancelled task is marked in any case, also if it is already marked for another reason. The others
+// are marked only while the term is valid and missing machines may be replaced.
 func (h *machineHealth) retireUnhealthy(now time.Time) {
 	h.registry.Each(func(machine *agent.Machine) {
 		if machine.RetireReason != agent.RetireStuckCancelled && h.cancelOverdue(machine, now) {
@@ -96,7 +106,7 @@
 	})
 }
 
-// retireReason returns why a machine is to be given up, or agent.NotRetired.
+// retireReason returns why a machine is to be retired, or agent.NotRetired.
 func (h *machineHealth) retireReason(machine *agent.Machine, silence clusterSilence, now time.Time) agent.RetireReason {
 	switch {
 	case machine.Failed:
@@ -117,29 +127,33 @@
 	return agent.NotRetired
 }
 
-// hasBooted reports whether a machine has sent a heartbeat to this leader, or holds tasks by the records.
+// hasBooted reports whether a machine is known to have booted: it has sent a heartbeat to this leader,
+// or has tasks assigned, which for a machine without a heartbeat come from the records.
 func hasBooted(machine *agent.Machine) bool {
 	return machine.Registered || len(machine.Assignments) > 0
 }
 
-// reclaimed reports whether the cloud has taken a machine, as its termination notice said.
+// reclaimed reports whether the cloud has presumably taken a machine back: its termination notice has
+// expired, and it has been silent for at least UnhealthyAfter.
 func (h *machineHealth) reclaimed(machine *agent.Machine, now time.Time) bool {
 	noticeExpired := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
 	return noticeExpired && h.silentFor(machine, now) >= h.Operator.UnhealthyAfter
 }
 
-// unusable reports whether a machine is empty and nothing can be placed on it.
+// unusable reports whether a registered machine is empty and nothing can be placed on it, as its type
+// or zone is unknown.
 func unusable(machine *agent.Machine) bool {
 	unknown := machine.Type == unknownIndex || machine.Zone == unknownIndex
 	return unknown && machine.Registered && len(machine.Assignments) == 0
 }
 
-// unresponsive reports whether nothing has reached a machine for too long.
+// unresponsive reports whether a machine has been unresponsive for at least unresponsiveTimeout.
 func unresponsive(machine *agent.Machine, now time.Time) bool {
 	return !machine.UnresponsiveSince.IsZero() && now.Sub(machine.UnresponsiveSince) >= unresponsiveTimeout
 }
 
-// silentFor returns for how long this leader has not heard from a machine.
+// silentFor returns the time since the last heartbeat of a machine, or since the start of this
+// leadership if the machine has sent this leader none.
 func (h *machineHealth) silentFor(machine *agent.Machine, now time.Time) time.Duration {
 	if machine.Registered {
 		return now.Sub(machine.LastHeartbeat)
@@ -147,19 +161,21 @@
 	return now.Sub(h.startedAt)
 }
 
-// silentCount is how many machines there are, and how many of them are silent.
+// silentCount counts machines that have booted, and those among them that have been silent for at
+// least UnhealthyAfter.
 type silentCount struct{ total, silent int }
 
-// suggestsPartition reports whether so many are silent that the network is more likely at fault.
+// suggestsPartition reports whether so many machines are silent that the network is more likely at
+// fault than the machines.
 func (c silentCount) suggestsPartition() bool {
 	return c.silent > inconclusiveMachines && c.silent*partitionSilentDivisor > c.total
 }
 
-// clusterSilence is how many machines are silent.
+// clusterSilence holds the counts of silent machines in the cluster and in each zone.
 type clusterSilence struct {
 	all           silentCount
 	byZone        []silentCount
-	lastHeartbeat []time.Time // by zone: the newest heartbeat of any machine there
+	lastHeartbeat []time.Time // by zone: time of the newest heartbeat of any machine there; zero: none
 }
 
 func (h *machineHealth) measureSilence(now time.Time) clusterSilence {
@@ -187,7 +203,7 @@
 	return silence
 }
 
-// recordPartitions notes which zones are cut off now.
+// recordPartitions records which zones are partitioned now.
 func (h *machineHealth) recordPartitions(silence clusterSilence, now time.Time) {
 	for zone, count := range silence.byZone {
 		if h.noHeartbeats(count, silence.lastHeartbeat[zone], now) || silence.all.suggestsPartition() || count.suggestsPartition() {
@@ -196,10 +212,13 @@
 	}
 }
 
-// noHeartbeats reports whether none of a zone's machines is heard from. Of hundreds of machines
-// dozens send a heartbeat each second: where none does, the zone is cut off, long before a third of
-// its machines count as silent. Those whose heartbeats came last before the partition would be
-// given up until then.
+// noHeartbeats reports whether a zone is partitioned, as none of its machines sends heartbeats. Zones
+// that have sent this leader no heartbeat yet, and zones of up to inconclusiveMachines, do not count.
+//
+// Guards against retiring machines of the zone before suggestsPartition holds: those whose last
+// heartbeats were the oldest when the partition began. Hundreds of machines send dozens of heartbeats
+// each second, so a zone without any is known to be partitioned long before a third of its machines
+// are silent.
 func (h *machineHealth) noHeartbeats(count silentCount, lastHeartbeat, now time.Time) bool {
 	if lastHeartbeat.IsZero() || count.total <= inconclusiveMachines {
 		return false
@@ -209,13 +228,17 @@
 	return gap >= partitionMinSilence && missed >= partitionMissedHeartbeats
 }
 
-// lost reports whether a machine that was there is taken for lost.
+// lost reports whether a machine that has booted counts as lost: after ReplaceAfter without a heartbeat,
+// or after UnhealthyAfter if it has also left a probe unanswered and a partition is ruled out.
+//
+// Machines in a partitioned zone are kept for longer, as they are not dead. A controller in the zone may
+// extend their leases. Without one their tasks end when the leases expire. Even then returning the
+// machines gains nothing, since their replacements would be cut off too, unless services wait to start
+// elsewhere.
 //
-// Where a zone is cut off its machines are not dead. A controller there may keep their leases;
-// without one their tasks end with those, and then nothing is gained by returning the machines
-// either, unless services wait to start elsewhere: others in their place would be cut off too. Once
-// the partition is over they have the usual time anew to come back, and after an election a lease's
-// time, as they may have to try every controller (docs/incidents/inc-2c92.md).
+// When a partition has ended, the time limits count anew from its end. After an election a machine that
+// has not sent a heartbeat to the new leader has at least a lease's time, as its agent may have to try
+// every controller (docs/incidents/inc-2c92.md).
 func (h *machineHealth) lost(machine *agent.Machine, silence clusterSilence, now time.Time) bool {
 	replaceAfter := h.Operator.ReplaceAfter
 	silent := h.silentFor(machine, now)
@@ -234,9 +257,12 @@
 	return machine.ProbeFailed && silent >= h.Operator.UnhealthyAfter && h.partitionRuledOut(machine, silence, now)
 }
 
-// silenceLimitInPartition is for how long a machine in a zone that is cut off is kept. Those that serve
-// in a zone from which a new leader has heard nobody were silent before it: the zone was cut off
-// before, as others have found their way by then.
+// silenceLimitInPartition returns the silence after which a machine in a zone that is partitioned now
+// counts as lost; zone holds the counts of that zone. The limit is partitionLeases, but one lease for a
+// machine that runs services in a zone without a controller. For such a machine it is only ReplaceAfter
+// if it has not sent this leader a heartbeat and the whole zone is silent: the partition then began
+// before this leader began, as agents of other zones have found this leader by that time. No limit
+// is below ReplaceAfter.
 func (h *machineHealth) silenceLimitInPartition(machine *agent.Machine, zone silentCount) time.Duration {
 	replaceAfter, lease := h.Operator.ReplaceAfter, h.Settings.Workers.Lease
 	leasesKept := h.Settings.HasController(h.topology.zones[machine.Zone])
@@ -249,8 +275,10 @@
 	return max(replaceAfter, lease)
 }
 
-// partitionRuledOut reports whether the machine alone is silent: only where a partition would have shown
-// by now.
+// partitionRuledOut reports whether a partition is ruled out as the cause of the silence of a machine
+// that has been silent for UnhealthyAfter. The zone must not have been partitioned within the last
+// lease, and must have enough machines that noHeartbeats would have detected a partition by now. Up to
+// 1.25 heartbeat intervals may lie between the machine's last heartbeat and the start of a partition.
 func (h *machineHealth) partitionRuledOut(machine *agent.Machine, silence clusterSilence, now time.Time) bool {
 	if machine.Zone == unknownIndex || now.Sub(h.lastPartitioned[machine.Zone]) <= h.Settings.Workers.Lease {
 		return false
@@ -261,6 +289,8 @@
 	return machines*detectionSeconds >= partitionMissedHeartbeats*interval.Seconds()
 }
 
+// bootTimeout returns the time, since this leader first knew of a machine, after which it is retired if
+// it has not booted.
 func (h *machineHealth) bootTimeout(machine *agent.Machine) time.Duration {
 	if machine.Type == unknownIndex {
 		return unknownTypeBootTimeout
@@ -268,8 +298,9 @@
 	return time.Duration(bootTimeoutFactor * h.topology.types[machine.Type].BootS * float64(time.Second))
 }
 
-// bootOverdue reports whether a machine has taken longer to boot than any that is in order. It may
-// never come up, so what it was rented for is rented again.
+// bootOverdue reports whether this leader has known of a machine for longer than any healthy machine of
+// its type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
+// The others may never boot, so what they were rented for is rented again.
 func (h *machineHealth) bootOverdue(machine *agent.Machine, now time.Time) bool {
 	if machine.Type == unknownIndex {
 		return false
@@ -277,9 +308,10 @@
 	return now.Sub(machine.Created).Seconds() > bootOverdueFactor*h.topology.types[machine.Type].BootS
 }
 
-// cancelOverdue reports whether a machine has held a cancelled task for too long. A new leader
-// first reconciles, as most machines that it does not know yet are there and only have to be told,
-// but not until it is too late to return the others.
+// cancelOverdue reports whether a machine has held a cancelled task for too long. The limit is higher
+// until a new leader's ReconcileTimeout has passed: most machines that have not sent it a heartbeat yet
+// are up and only need to be sent the halt. It still leaves the time to return the others before the
+// cancellation deadline.
 func (h *machineHealth) cancelOverdue(machine *agent.Machine, now time.Time) bool {
 	share := cancelOverdueShare
 	if !h.recovery.timedOut(now) {
@@ -294,8 +326,8 @@
 	return false
 }
 
-// retired returns the names of machines to return for which selected holds, as many as one request
-// takes.
+// retired returns the names of the machines whose RetireReason selected accepts, at most
+// cloud.MaxReturn, the limit of one request.
 func (h *machineHealth) retired(selected func(agent.RetireReason) bool) (names []string) {
 	h.registry.Each(func(machine *agent.Machine) {
 		if len(names) < cloud.MaxReturn && selected(machine.RetireReason) {
--- a/internal/leader/health_test.go
+++ b/internal/leader/health_test.go
@@ -9,7 +9,7 @@
 	"tulipshelf/internal/config"
 )
 
-// healthSettings are those of a cluster whose agents send a heartbeat every 5 s.
+// healthSettings returns the settings of a cluster whose agents send a heartbeat every 5 s.
 func healthSettings() config.Settings {
 	return config.Settings{
 		Peers:   []config.Peer{{Node: "node-1", Zone: "a"}},
@@ -17,7 +17,7 @@
 	}
 }
 
-// registerMachines adds machines that sent their last heartbeat at some time.
+// registerMachines adds count registered machines in a zone, whose last heartbeat was at lastHeartbeat.
 func registerMachines(l *Leader, zone, count int, lastHeartbeat time.Time) []*agent.Machine {
 	machines := make([]*agent.Machine, count)
 	for i := range machines {
@@ -28,8 +28,8 @@
 	return machines
 }
 
-// Of a hundred machines some heartbeat comes every 50 ms: a zone from which none came for a second
-// is cut off, and its machines are not taken for dead.
+// Guards against returning the machines of a partitioned zone as lost. A hundred machines send a
+// heartbeat every 50 ms on average, so a zone without any for a second is partitioned.
 func TestZoneWithoutHeartbeatsIsPartitioned(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -49,17 +49,18 @@
 			registerMachines(l, 1, 100, now)
 			l.health.recordPartitions(l.health.measureSilence(now), now)
 			if got := l.health.lastPartitioned[0].Equal(now); got != c.partitioned {
-				t.Errorf("partitioned: %v", got)
+				t.Errorf("zone without heartbeats partitioned: %v, want %v", got, c.partitioned)
 			}
 			if !l.health.lastPartitioned[1].IsZero() {
-				t.Error("the other zone counts as partitioned")
+				t.Error("zone with heartbeats counts as partitioned")
 			}
 		})
 	}
 }
 
-// A machine that alone is silent is given up soon if it does not answer a probe either; one in a
-// zone that is cut off, where a controller may keep its lease, only after three leases.
+// Guards against returning silent machines that a partition cuts off. A machine that is silent alone is
+// retired soon if it does not answer a probe either. A machine in a partitioned zone, where a controller
+// may extend its lease, is retired only after three leases.
 func TestSilentMachineIsKeptInAPartition(t *testing.T) {
 	l := newTestLeader(healthSettings())
 	now := time.Now().Add(time.Hour)
@@ -69,20 +70,21 @@
 	lone.LastHeartbeat, lone.ProbeFailed = now.Add(-silent), true
 	silence := l.health.measureSilence(now)
 	if reason := l.health.retireReason(lone, silence, now); reason != agent.RetireSilent {
-		t.Errorf("silent alone and without an answer to a probe: %q", reason)
+		t.Errorf("silent alone and without an answer to a probe: retire reason %q, want %q", reason, agent.RetireSilent)
 	}
 	l.health.lastPartitioned[0] = now
 	if reason := l.health.retireReason(lone, silence, now); reason != agent.NotRetired {
-		t.Errorf("in a partition: %q", reason)
+		t.Errorf("in a partition: retire reason %q, want none", reason)
 	}
 	lone.LastHeartbeat = now.Add(-partitionLeases * l.Settings.Workers.Lease)
 	if reason := l.health.retireReason(lone, silence, now); reason != agent.RetireSilent {
-		t.Errorf("in a partition of three leases: %q", reason)
+		t.Errorf("in a partition of three leases: retire reason %q, want %q", reason, agent.RetireSilent)
 	}
 }
 
-// A machine that cannot be told of a cancellation is returned in time for its task to be gone by the
-// deadline, later while a new leader still reconciles.
+// Guards against a cancelled task that outlives the cancellation deadline on a machine that cannot be
+// sent the halt. The machine is retired in time for the task to be gone by the deadline, later while a
+// new leader still reconciles.
 func TestMachineWithCancelledTaskIsRetired(t *testing.T) {
 	l := newTestLeader(healthSettings())
 	deadline := l.Settings.Workers.CancelDeadline
@@ -102,7 +104,7 @@
 			l.Operator.ReconcileTimeout = time.Hour
 		}
 		if got := l.health.cancelOverdue(machine, now); got != c.overdue {
-			t.Errorf("reconciled %v, after %.1f of the deadline: overdue %v", c.reconciled, c.share, got)
+			t.Errorf("reconciled %v, after %.1f of the deadline: overdue %v, want %v", c.reconciled, c.share, got, c.overdue)
 		}
 	}
 }
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -10,7 +10,7 @@
 	"tulipshelf/internal/wire"
 )
 
-// heartbeatHandler applies what worker agents say, and answers their heartbeats.
+// heartbeatHandler applies the heartbeats of worker agents to the leader's state, and answers them.
 type heartbeatHandler struct {
 	*environment
 	topology *topology
@@ -21,8 +21,10 @@
 	trigger  *passTrigger
 }
 
-// HandleHeartbeat applies an agent's heartbeat and returns the answer to it; redirected is true if
-// the agent has to go to another controller. It is safe for concurrent use.
+// HandleHeartbeat applies an agent's heartbeat and returns the response to it. If redirected is true,
+// the response is empty and the agent has to be redirected to another controller. If this leader cannot
+// answer now, for example while the event queue is full, the response asks the agent to retry. It is
+// safe for concurrent use.
 func (l *Leader) HandleHeartbeat(ctx context.Context, heartbeat *agent.Heartbeat) (response wire.Response, redirected bool) {
 	received := &heartbeatReceived{heartbeat: heartbeat}
 	if !l.loop.call(ctx, received) {
@@ -45,7 +47,7 @@
 	e.response, e.redirected = l.heartbeats.handle(e.heartbeat)
 }
 
-// unavailable is the answer to an agent that has to come back.
+// unavailable returns the response that asks an agent to retry after one second.
 func unavailable() wire.Response {
 	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: 1}
 }
@@ -53,7 +55,7 @@
 func (h *heartbeatHandler) handle(heartbeat *agent.Heartbeat) (response wire.Response, redirected bool) {
 	term := h.term.Number()
 	if heartbeat.FencingToken > term {
-		// The agent would drop whatever this leader answers, and stay here.
+		// The agent would discard any answer under the lower token, and not go to another controller.
 		h.reportHigherToken(heartbeat.FencingToken)
 		return wire.Response{}, true
 	}
@@ -71,19 +73,20 @@
 	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, false
 }
 
-// isNewest reports whether a heartbeat that was applied is the newest of its machine. A late copy
-// says nothing of the way that newer ones take.
+// isNewest reports whether a heartbeat is the newest that was applied to its machine. A late copy does
+// not show by which route newer ones arrive.
 func isNewest(machine *agent.Machine, heartbeat *agent.Heartbeat) bool {
 	return heartbeat.Incarnation == machine.Incarnation && heartbeat.Sequence == machine.Sequence
 }
 
-// reportHigherToken has the election find out whether a token above this leader's is a later term's.
+// reportHigherToken passes a token above this leader's to the election, which checks whether it belongs
+// to a later term. It does not wait for the result.
 func (h *heartbeatHandler) reportHigherToken(token uint64) {
 	h.loop.start(func() { h.Node.ObserveToken(h.loop.ctx, token) })
 }
 
-// apply learns from a heartbeat, or from the same status in the answer to a direct request. It
-// returns nil if the machine was returned to the cloud.
+// apply updates a machine and the attempts on it from a heartbeat, or from the status that an agent
+// answers to a direct request. It returns the machine, or nil if it was returned to the cloud.
 func (h *heartbeatHandler) apply(heartbeat *agent.Heartbeat, now time.Time) *agent.Machine {
 	if h.machines.registry.Add(heartbeat.Machine, now) == nil {
 		return nil
@@ -109,7 +112,7 @@
 	return machine
 }
 
-// logRunning logs the attempts that this heartbeat was the first to show running.
+// logRunning logs the attempts that the heartbeat applied at now is the first to report as running.
 func logRunning(machine *agent.Machine, now time.Time) {
 	for _, assignment := range machine.Assignments {
 		if assignment.RunningSince.Equal(now) {
@@ -120,9 +123,9 @@
 	}
 }
 
-// recordImages takes from a machine's first heartbeat to this leader which images it has: those of
-// the tasks that run or have run there. Without it a new leader knows only of what runs, and sends
-// work elsewhere to fetch what is here.
+// recordImages records which images a machine has, by its first heartbeat to this leader: those of the
+// reported tasks that are running or done. Without it a new leader would know only the images of running
+// tasks, and would place tasks on other machines, which fetch images that are present here.
 func (h *heartbeatHandler) recordImages(machine *agent.Machine, heartbeat *agent.Heartbeat, now time.Time) {
 	if machine.Type == unknownIndex {
 		return
@@ -138,8 +141,9 @@
 	}
 }
 
-// applyDirectAnswer learns from what a machine answers to a direct request. It is no sign that its
-// heartbeats still arrive, and without them its lease runs out.
+// applyDirectAnswer applies the status that a machine answers to a direct request. LastHeartbeat keeps
+// its value unless it was zero: the answer does not show that heartbeats still arrive, and without them
+// the machine's lease expires.
 func (h *heartbeatHandler) applyDirectAnswer(machine *agent.Machine, status *agent.Heartbeat, now time.Time) {
 	lastHeartbeat := machine.LastHeartbeat
 	h.apply(status, now)
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -7,41 +7,45 @@
 	"tulipshelf/internal/agent"
 )
 
-// leadershipTransfer ends the term if another controller is reached by far more machines than this
-// one.
+// leadershipTransfer ends the term if far more machines reach another controller than this one.
 //
-// It guards against a leader that has lost its worker agents, but neither the key-value store nor
-// the other controllers: those send the agents back to it until their leases run out.
+// Guards against a leader that has lost contact with its worker agents, but neither with the key-value
+// store nor with the other controllers: those redirect the agents to it until their leases expire.
 type leadershipTransfer struct {
 	*environment
 	registry *agent.Registry
 
-	wantedSince time.Time // since when the machines go elsewhere; zero: they do not
+	wantedSince time.Time // start of the time for which shouldTransfer has held; zero: it does not hold
 }
 
-// TransferMachineRatio is how many times as many machines must reach another controller before it had
-// better lead, and RedirectionWindow how recently it must have said so. A candidate goes by the same.
+// TransferMachineRatio is the ratio of machines that reach another controller to machines that reach
+// this one above which the other should lead. RedirectionWindow is the maximum age of the other's report
+// of its number of machines. A candidate for the leadership applies the same limits.
 const (
 	TransferMachineRatio = 2
 	RedirectionWindow    = 3 * time.Second
 )
 
 const (
-	// transferDelay leaves the third controller the time to learn which one is to be elected.
+	// transferDelay is the time for which shouldTransfer must have held. It leaves the third controller
+	// the time to learn which one is to be elected.
 	transferDelay = 1500 * time.Millisecond
 
-	// unacknowledgedTransferDelay is for how long a leader stays that cannot have lost the machines: fewer
-	// have ever shown a token of its term than reach the other controller. It guards against
-	// leaders that transfer to each other for ever where nothing reaches the machines: their
-	// heartbeats go round the controllers, and it takes three of them to one leader to show
-	// (TestAllUnresponsiveMachinesAreReplaced).
+	// unacknowledgedTransferDelay is the minimum time from the start of a leadership to a transfer if fewer
+	// machines have acknowledged a token of this leader than reach the other controller. Such a leader
+	// cannot have lost those machines.
+	//
+	// Guards against leaders that transfer to each other forever while nothing reaches the machines:
+	// their agents send heartbeats to one controller after the other, and a leader needs three of them
+	// from a machine to detect that it is unresponsive (TestAllUnresponsiveMachinesAreReplaced).
 	unacknowledgedTransferDelay = time.Minute
 )
 
-// considerTransfer transfers leadership once the reason for it has lasted.
+// considerTransfer transfers the leadership once shouldTransfer has held for transferDelay. It does
+// nothing during the first ReconcileTimeout of a leadership, or while the term is not valid.
 func (t *leadershipTransfer) considerTransfer(now time.Time) {
 	if now.Sub(t.startedAt) < t.Operator.ReconcileTimeout || !t.term.Valid() {
-		return // agents still find their way here
+		return // agents are still finding this leader, or another may have been elected
 	}
 	counts := t.countContacts(now)
 	if !counts.shouldTransfer(now.Sub(t.startedAt)) {
@@ -57,11 +61,11 @@
 	}
 }
 
-// contactCounts is how many machines reach this leader, and others.
+// contactCounts holds the numbers of machines that reach this leader and another controller.
 type contactCounts struct {
-	direct       int // have sent a heartbeat here lately, directly
-	acknowledged int // have shown a token of this leader
-	redirected   int // have lately reached one other controller
+	direct       int // machines whose last heartbeat came directly and is not overdue
+	acknowledged int // machines whose last heartbeat carries a fencing token of this leader
+	redirected   int // most machines that have recently contacted any one other controller
 }
 
 func (t *leadershipTransfer) countContacts(now time.Time) contactCounts {
@@ -80,7 +84,8 @@
 	return counts
 }
 
-// shouldTransfer reports whether another controller had better lead than one that has led for so long.
+// shouldTransfer reports whether another controller should lead in place of this one, which has led for
+// leadingFor.
 func (c contactCounts) shouldTransfer(leadingFor time.Duration) bool {
 	if c.redirected <= TransferMachineRatio*max(c.direct, 1) {
 		return false
