--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -31,7 +31,7 @@
 	}
 	var slots []futureSlot
 	for machineIndex := range p.machines {
-		if p.mayHoldLater(gang, machineIndex, zone) {
+		if p.feasibleOnceFree(gang, machineIndex, zone) {
 			slots = p.appendFutureSlots(slots, gang.Need, machineIndex)
 		}
 	}
@@ -42,8 +42,8 @@
 	return slots
 }
 
-// mayHoldLater reports whether a machine is feasible for a gang's tasks once it has room for them.
-func (p *pass) mayHoldLater(gang *Job, machineIndex, zone int) bool {
+// feasibleOnceFree reports whether a machine is feasible for a gang's tasks once it has room for them.
+func (p *pass) feasibleOnceFree(gang *Job, machineIndex, zone int) bool {
 	machine := &p.machines[machineIndex]
 	return machine.AcceptsTasks &&
 		gang.Allows(machine) &&
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -16,7 +16,7 @@
 		return
 	}
 	p.plan.Unplaced[gang.position] = gang.Waiting
-	if !p.teamOf(gang).hasRoomFor(gang.Need, gang.Waiting) {
+	if !p.teamOf(gang).limitAllows(gang.Need, gang.Waiting) {
 		return
 	}
 	// Preemption is outside the design, as it is for services: without it a gang of high priority waits
@@ -39,28 +39,28 @@
 	return zones
 }
 
-// gangTrial is what trying a gang in one zone comes to.
-type gangTrial struct {
+// zoneOutcome is what trying a gang in one zone comes to.
+type zoneOutcome struct {
 	complete  bool      // there is room for all tasks
 	slowest   imageRank // of the machine that would have the image last: the tasks begin when the last one can
 	totalCost float64   // of equal ranks the lower is better: load indices, or run time lost
 }
 
-func (t gangTrial) compare(other gangTrial) int {
-	return cmp.Or(cmp.Compare(t.slowest, other.slowest), cmp.Compare(t.totalCost, other.totalCost))
+func (o zoneOutcome) compare(other zoneOutcome) int {
+	return cmp.Or(cmp.Compare(o.slowest, other.slowest), cmp.Compare(o.totalCost, other.totalCost))
 }
 
 // inBestZone tries a gang in each zone and then places it, or makes room for it, in the zone where that is
 // best, the first of equals. It reports whether there is a zone that takes all of it; if not, the pass is
 // as it was.
-func (p *pass) inBestZone(gang *Job, zones []int, try func(gang *Job, zone int) gangTrial) bool {
-	bestZone, best := AnyZone, gangTrial{}
+func (p *pass) inBestZone(gang *Job, zones []int, try func(gang *Job, zone int) zoneOutcome) bool {
+	bestZone, best := AnyZone, zoneOutcome{}
 	for _, zone := range zones {
-		p.beginTrial(gang)
-		trial := try(gang, zone)
+		p.setSavepoint(gang)
+		outcome := try(gang, zone)
 		p.rollBack(gang)
-		if trial.complete && (!best.complete || trial.compare(best) < 0) {
-			bestZone, best = zone, trial
+		if outcome.complete && (!best.complete || outcome.compare(best) < 0) {
+			bestZone, best = zone, outcome
 		}
 	}
 	if best.complete {
@@ -70,43 +70,43 @@
 }
 
 // tryPlaceGang places as many of a gang's tasks as fit in a zone, or in any.
-func (p *pass) tryPlaceGang(gang *Job, zone int) gangTrial {
+func (p *pass) tryPlaceGang(gang *Job, zone int) zoneOutcome {
 	class, hasClass := gang.gangClass(zone)
-	if least, known := p.gangNoRoom[class]; hasClass && known && gang.Waiting >= least {
-		return gangTrial{}
+	if minSize, known := p.unplaceableGangSize[class]; hasClass && known && gang.Waiting >= minSize {
+		return zoneOutcome{}
 	}
-	var trial gangTrial
+	var outcome zoneOutcome
 	team := p.teamOf(gang)
 	placed := 0
-	for placed < gang.Waiting && team.hasRoomFor(gang.Need, 1) {
+	for placed < gang.Waiting && team.limitAllows(gang.Need, 1) {
 		machineIndex := p.bestMachine(gang, machineFilter{zone: zone})
 		if machineIndex == noMachine {
 			break
 		}
-		trial.slowest = max(trial.slowest, p.imageRankOn(gang, machineIndex))
-		trial.totalCost += p.machines[machineIndex].Load
+		outcome.slowest = max(outcome.slowest, p.imageRankOn(gang, machineIndex))
+		outcome.totalCost += p.machines[machineIndex].Load
 		p.assign(gang, machineIndex)
 		placed++
 	}
-	trial.complete = placed == gang.Waiting
-	if hasClass && !trial.complete && team.hasRoomFor(gang.Need, 1) {
-		p.gangNoRoom[class] = gang.Waiting // room only shrinks within a pass
+	outcome.complete = placed == gang.Waiting
+	if hasClass && !outcome.complete && team.limitAllows(gang.Need, 1) {
+		p.unplaceableGangSize[class] = gang.Waiting // room only shrinks within a pass
 	}
-	return trial
+	return outcome
 }
 
 // tryPreemptForGang makes room for as many of a gang's tasks as it can in a zone, or in any. The team's
 // limit has to have room for all of them. What is free counts as room that costs nothing.
-func (p *pass) tryPreemptForGang(gang *Job, zone int) gangTrial {
+func (p *pass) tryPreemptForGang(gang *Job, zone int) zoneOutcome {
 	class, hasClass := gang.gangClass(zone)
 	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayPreemptOpportunistic}
-	if least, known := p.gangNoPreemption[preemptionClass]; hasClass && known && gang.Waiting >= least {
-		return gangTrial{}
+	if minSize, known := p.unpreemptableGangSize[preemptionClass]; hasClass && known && gang.Waiting >= minSize {
+		return zoneOutcome{}
 	}
 	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
 	complete := result.tasks == gang.Waiting
 	if hasClass && !complete {
-		p.gangNoPreemption[preemptionClass] = gang.Waiting // what may be stopped only shrinks within a pass
+		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // what may be stopped only shrinks within a pass
 	}
-	return gangTrial{complete: complete, totalCost: result.lostSeconds}
+	return zoneOutcome{complete: complete, totalCost: result.lostSeconds}
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestTrialLeavesNothingBehind fails if a trial that is rolled back leaves a change of the pass or of the
+// TestRollbackRestoresState fails if a trial that is rolled back leaves a change of the pass or of the
 // gang that was tried.
-func TestTrialLeavesNothingBehind(t *testing.T) {
+func TestRollbackRestoresState(t *testing.T) {
 	machines := []Machine{
 		{AcceptsTasks: true, Free: Amounts{CPU: 2}},
 		{AcceptsTasks: true, Tasks: []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart}}},
@@ -35,7 +35,7 @@
 		return fmt.Sprintf("%+v %+v %+v %+v %v %v", p.machines, p.teams, p.plan, *gang, p.ownsTasks, p.machineChanges)
 	}
 	before := state()
-	p.beginTrial(gang)
+	p.setSavepoint(gang)
 	p.assign(gang, 0)
 	p.preempt(gang, 1, machineFilter{zone: 0})
 	p.stopVictims(gang, 1, []int{0})
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -17,12 +17,12 @@
 	savepoint      *savepoint // of the trial under way; nil outside a trial
 
 	// What one task or gang found out and others in this pass need not look for again.
-	noRoom            map[equivalenceClass]bool              // no machine has room for a task of this class
-	gangNoRoom        map[gangClass]int                      // least size of a gang for which there is no room
-	gangNoPreemption  map[gangPreemptionClass]int            // least size of a gang for which preemption makes no room
-	preemptionOptions map[preemptionClaim][]preemptionOption // by machine
-	taskEnds          [][]taskEnd                            // by machine; nil: not yet worked out
-	futureSlots       map[gangClass]futureSlotList           // for reservations
+	infeasibleClasses     map[equivalenceClass]bool              // no machine has room for a task of this class
+	unplaceableGangSize   map[gangClass]int                      // least size of a gang for which there is no room
+	unpreemptableGangSize map[gangPreemptionClass]int            // least size of a gang for which preemption makes no room
+	preemptionOptions     map[preemptionClaim][]preemptionOption // by machine
+	taskEnds              [][]taskEnd                            // by machine; nil: not yet worked out
+	futureSlots           map[gangClass]futureSlotList           // for reservations
 
 	starvedJobs []*Job // those that found no machine, preempt nothing, and come before the jobs that follow
 }
@@ -32,25 +32,25 @@
 		jobs[position].position = position
 	}
 	return &pass{
-		now:               now,
-		machines:          machines,
-		teams:             teams,
-		plan:              Plan{Unplaced: make([]int, len(jobs))},
-		ownsTasks:         make([]bool, len(machines)),
-		noRoom:            map[equivalenceClass]bool{},
-		gangNoRoom:        map[gangClass]int{},
-		gangNoPreemption:  map[gangPreemptionClass]int{},
-		preemptionOptions: map[preemptionClaim][]preemptionOption{},
-		taskEnds:          make([][]taskEnd, len(machines)),
-		futureSlots:       map[gangClass]futureSlotList{},
+		now:                   now,
+		machines:              machines,
+		teams:                 teams,
+		plan:                  Plan{Unplaced: make([]int, len(jobs))},
+		ownsTasks:             make([]bool, len(machines)),
+		infeasibleClasses:     map[equivalenceClass]bool{},
+		unplaceableGangSize:   map[gangClass]int{},
+		unpreemptableGangSize: map[gangPreemptionClass]int{},
+		preemptionOptions:     map[preemptionClaim][]preemptionOption{},
+		taskEnds:              make([][]taskEnd, len(machines)),
+		futureSlots:           map[gangClass]futureSlotList{},
 	}
 }
 
 // teamOf returns the team of a job.
 func (p *pass) teamOf(job *Job) *Team { return &p.teams[job.Team] }
 
-// forgetTasksOn drops what was remembered of the tasks on a machine. It is called whenever they change.
-func (p *pass) forgetTasksOn(machineIndex int) {
+// invalidateTasksOn drops what was remembered of the tasks on a machine. It is called whenever they change.
+func (p *pass) invalidateTasksOn(machineIndex int) {
 	p.taskEnds[machineIndex] = nil
 	for _, options := range p.preemptionOptions {
 		options[machineIndex].state = optionUnknown
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -121,7 +121,7 @@
 		victimTeam.stopping = victimTeam.stopping.Add(victim.Need, 1)
 		victim.Need = Amounts{} // spoken for: no other job of this pass counts on it
 	}
-	p.forgetTasksOn(machineIndex)
+	p.invalidateTasksOn(machineIndex)
 	// A victim still runs and counts until it is gone: nobody gets any of what it holds in this pass, not
 	// even what is more than the job needs.
 	for resource := range machine.Free {
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -18,7 +18,7 @@
 	name        string
 	job         Job
 	cpus        float64 // that a task of the job needs
-	overLimitBy float64 // CPUs
+	excessCPUs  float64 // CPUs
 	tasks       []Task
 	victims     []int
 	lostSeconds float64
@@ -30,7 +30,7 @@
 	machine := &Machine{AcceptsTasks: true, Tasks: test.tasks}
 	teams := []Team{own: {}, other: {}, opportunistic: {Opportunistic: true}}
 	p := newPass(traceStart, []Machine{*machine}, nil, teams)
-	option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.overLimitBy})
+	option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.excessCPUs})
 	if option.state != test.state || !slices.Equal(option.victims, test.victims) || option.lostSeconds != test.lostSeconds {
 		t.Errorf("got %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestWhereRoomIsMade fails if a service makes room where its image is not, or if a gang, which begins when
+// TestMachineChosenForPreemption fails if a service makes room where its image is not, or if a gang, which begins when
 // its last task can, pays for the image with run time.
-func TestWhereRoomIsMade(t *testing.T) {
+func TestMachineChosenForPreemption(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		job  Job
--- a/internal/placement/reference_test.go
+++ b/internal/placement/reference_test.go
@@ -16,7 +16,7 @@
 		if job.Urgent && job.FetchTooSlow {
 			placed = p.placeOneByOneWithImage(job)
 		}
-		for ; placed < job.Waiting && p.teamOf(job).hasRoomFor(job.Need, 1); placed++ {
+		for ; placed < job.Waiting && p.teamOf(job).limitAllows(job.Need, 1); placed++ {
 			machineIndex := p.bestMachine(job, anyMachine)
 			if machineIndex == noMachine {
 				p.plan.Unplaced[job.position] = job.Waiting - placed
@@ -39,7 +39,7 @@
 // how many.
 func (p *pass) placeOneByOneWithImage(job *Job) int {
 	placed := 0
-	for ; placed < job.Waiting && p.teamOf(job).hasRoomFor(job.Need, 1); placed++ {
+	for ; placed < job.Waiting && p.teamOf(job).limitAllows(job.Need, 1); placed++ {
 		machineIndex := p.bestMachine(job, anyMachine)
 		if machineIndex == noMachine || p.imageRankOn(job, machineIndex) != imageOnMachine {
 			break
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -16,19 +16,19 @@
 	return machine
 }
 
-// closedFor returns the positions of the machines that are reserved for a gang of tasks of one CPU.
-func closedFor(gang Job, machines []Machine) []int {
+// reservedFor returns the positions of the machines that are reserved for a gang of tasks of one CPU.
+func reservedFor(gang Job, machines []Machine) []int {
 	gang.Gang, gang.Zone, gang.Need = true, AnyZone, Amounts{CPU: 1}
 	gang.TasksInZone = make([]int, 2)
 	p := newPass(traceStart, machines, []Job{gang}, []Team{{}})
 	p.reserveMachines(&gang, gang.zonesToTry())
-	var closed []int
+	var reserved []int
 	for position := range p.machines {
 		if !p.machines[position].AcceptsTasks {
-			closed = append(closed, position)
+			reserved = append(reserved, position)
 		}
 	}
-	return closed
+	return reserved
 }
 
 // TestReservedMachines fails if a gang that waits closes other machines than those that will have room for
@@ -44,7 +44,7 @@
 		name     string
 		gang     Job
 		machines []Machine
-		closed   []int
+		reserved []int
 	}{
 		{"room that is there soonest", Job{Waiting: 2},
 			[]Machine{busy(60*time.Second, 60*time.Second), busy(10*time.Second, 20*time.Second)}, []int{1}},
@@ -58,9 +58,9 @@
 			[]Machine{inZone(0, busy(time.Second, time.Minute)), inZone(1, busy(10*time.Second)), inZone(1, busy(10*time.Second))}, []int{1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			closed := closedFor(test.gang, test.machines)
-			if !slices.Equal(closed, test.closed) {
-				t.Errorf("closed %v, want %v", closed, test.closed)
+			reserved := reservedFor(test.gang, test.machines)
+			if !slices.Equal(reserved, test.reserved) {
+				t.Errorf("reserved %v, want %v", reserved, test.reserved)
 			}
 		})
 	}
--- a/internal/placement/rollback.go
+++ b/internal/placement/rollback.go
@@ -22,8 +22,8 @@
 	image     ImageState // of the gang that is tried
 }
 
-// beginTrial begins a trial of a gang; rollBack ends it. Trials do not nest.
-func (p *pass) beginTrial(gang *Job) {
+// setSavepoint begins a trial of a gang; rollBack ends it. Trials do not nest.
+func (p *pass) setSavepoint(gang *Job) {
 	p.savepoint = &savepoint{
 		machines:       map[int]savedMachine{},
 		teams:          slices.Clone(p.teams),
@@ -55,7 +55,7 @@
 func (p *pass) rollBack(gang *Job) {
 	for machineIndex, before := range p.savepoint.machines {
 		if p.ownsTasks[machineIndex] {
-			p.forgetTasksOn(machineIndex) // the trial has changed them
+			p.invalidateTasksOn(machineIndex) // the trial has changed them
 		}
 		p.machines[machineIndex] = before.machine
 		p.ownsTasks[machineIndex] = before.ownsTasks
--- a/internal/placement/snapshot_test.go
+++ b/internal/placement/snapshot_test.go
@@ -31,7 +31,7 @@
 
 // generateMachines returns machines with tasks, which count as used by the teams.
 func generateMachines(random *rand.Rand, teams []Team) []Machine {
-	crowded := oneIn(random, 2)
+	full := oneIn(random, 2)
 	machines := make([]Machine, 100+random.IntN(300))
 	for position := range machines {
 		machine := Machine{
@@ -43,7 +43,7 @@
 			Free:         Amounts{CPU: 4, Memory: 16},
 			Load:         float64(random.IntN(12)),
 		}
-		for machine.Free[CPU] > 0 && (crowded || !oneIn(random, 3)) {
+		for machine.Free[CPU] > 0 && (full || !oneIn(random, 3)) {
 			task := Task{
 				ID:        len(machine.Tasks),
 				Need:      Amounts{CPU: 1, Memory: 3},
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -19,7 +19,7 @@
 	if remaining == 0 {
 		return
 	}
-	if p.teamOf(job).hasRoomFor(job.Need, 1) {
+	if p.teamOf(job).limitAllows(job.Need, 1) {
 		p.plan.Unplaced[job.position] = remaining
 		if !job.Urgent {
 			p.starvedJobs = append(p.starvedJobs, job)
@@ -35,7 +35,7 @@
 // for the next until it is full: the machines are looked through once for a job, not once for a task.
 func (p *pass) placeTasks(job *Job, limit int, filter machineFilter) int {
 	class, hasClass := job.equivalenceClass()
-	if hasClass && p.noRoom[class] || !p.teamOf(job).hasRoomFor(job.Need, 1) {
+	if hasClass && p.infeasibleClasses[class] || !p.teamOf(job).limitAllows(job.Need, 1) {
 		return 0
 	}
 	placed := 0
@@ -43,7 +43,7 @@
 		// Each task is checked: of a job that is spread over zones or kept in one, a task that was just
 		// placed may rule out the next.
 		for p.feasible(job, machineIndex, filter) {
-			if placed == limit || !p.teamOf(job).hasRoomFor(job.Need, 1) {
+			if placed == limit || !p.teamOf(job).limitAllows(job.Need, 1) {
 				return placed
 			}
 			p.assign(job, machineIndex)
@@ -51,7 +51,7 @@
 		}
 	}
 	if hasClass && filter == anyMachine {
-		p.noRoom[class] = placed < limit // room only shrinks within a pass
+		p.infeasibleClasses[class] = placed < limit // room only shrinks within a pass
 	}
 	return placed
 }
--- a/internal/placement/team.go
+++ b/internal/placement/team.go
@@ -11,8 +11,8 @@
 	stopping         Amounts // of its tasks that stop for others and count as used until they are gone
 }
 
-// hasRoomFor reports whether so many more tasks are within the team's limit.
-func (t *Team) hasRoomFor(need Amounts, tasks int) bool {
+// limitAllows reports whether so many more tasks are within the team's limit.
+func (t *Team) limitAllows(need Amounts, tasks int) bool {
 	factor := float64(tasks)
 	return t.CPUsUsed+factor*need[CPU] <= t.CPUsMax+tolerance &&
 		t.GPUsUsed+factor*need[GPU] <= t.GPUsMax+tolerance
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -48,7 +48,7 @@
 	option := preemptionOption{state: optionImpossible}
 	free := machine.Free
 	for _, taskIndex := range p.preemptibleTasks(machine, job, excess) {
-		if roomIsMade(free, job.Need, excess) {
+		if enoughFreed(free, job.Need, excess) {
 			break
 		}
 		victim := &machine.Tasks[taskIndex]
@@ -59,14 +59,14 @@
 		free = free.Add(victim.Need, 1)
 		excess = excess.Add(victim.Need, -1)
 	}
-	if roomIsMade(free, job.Need, excess) {
+	if enoughFreed(free, job.Need, excess) {
 		option.state = optionPossible
 	}
 	return option
 }
 
-// roomIsMade reports whether a task fits into what is free and its team is within its limit.
-func roomIsMade(free, need, excess Amounts) bool {
+// enoughFreed reports whether a task fits into what is free and its team is within its limit.
+func enoughFreed(free, need, excess Amounts) bool {
 	withinLimit := Amounts{}.Fits(excess)
 	return withinLimit && free.Fits(need)
 }
@@ -81,7 +81,7 @@
 		if task.Team < 0 || task.Need.isZero() || ownOnly && task.Team != job.Team {
 			continue
 		}
-		if p.mustYield(task, job) {
+		if p.isPreemptible(task, job) {
 			preemptible = append(preemptible, taskIndex)
 		}
 	}
@@ -89,12 +89,12 @@
 	return preemptible
 }
 
-// mustYield reports whether a task has to give way to the job: to an urgent job a task of lower priority,
+// isPreemptible reports whether a task has to give way to the job: to an urgent job a task of lower priority,
 // and to work within its team's guarantee that may displace others, the tasks of opportunistic teams.
 //
 // Exception 6 to the design (docs/placement.md): without displacement, long tasks of teams without a
 // guarantee keep what others were promised (docs/incidents/inc-bc39.md).
-func (p *pass) mustYield(task *Task, job *Job) bool {
+func (p *pass) isPreemptible(task *Task, job *Job) bool {
 	if job.Urgent && task.Priority < job.Priority {
 		return true
 	}
