--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGangTakesFirstOfEqualZones fails if equal zones are not decided by their order: two leaders would
-// decide differently on the same snapshot.
+// TestGangTakesFirstOfEqualZones guards against plans that differ between two leaders with the same
+// snapshot: of equal zones, another than the first is chosen.
 func TestGangTakesFirstOfEqualZones(t *testing.T) {
 	machines := []Machine{{AcceptsTasks: true, Zone: 1, Free: Amounts{CPU: 2}}, {AcceptsTasks: true, Zone: 0, Free: Amounts{CPU: 2}}}
 	jobs := []Job{{Gang: true, OneZone: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 2, Tasks: 2, TasksInZone: make([]int, 2)}}
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestRollbackRestoresState fails if a trial that is rolled back leaves a change of the pass or of the
-// gang that was tried.
+// TestRollbackRestoresState guards against changes of the pass or of the gang that remain after a
+// rollback.
 func TestRollbackRestoresState(t *testing.T) {
 	machines := []Machine{
 		{AcceptsTasks: true, Free: Amounts{CPU: 2}},
@@ -40,10 +40,10 @@
 	p.preempt(gang, 1, machineFilter{zone: 0})
 	p.stopVictims(gang, 1, []int{0})
 	if len(p.plan.Assignments) != 1 || len(p.plan.Preemptions) != 1 {
-		t.Errorf("the trial came to %+v", p.plan)
+		t.Errorf("plan before the rollback is %+v, want one assignment and one preemption", p.plan)
 	}
 	p.rollBack(gang)
 	if after := state(); after != before {
-		t.Errorf("is now %s,\nwas %s", after, before)
+		t.Errorf("state after the rollback:\n%s\nwant the state before:\n%s", after, before)
 	}
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -28,7 +28,7 @@
 	TasksInZone     []int  // number of live tasks by zone; the pass adds those that it places or preempts for
 
 	// Image and preemption.
-	Image                   []ImageState // by machine position, compared before the load index; nil: not compared
+	Image                   []ImageState // by machine, compared before the load index; nil: not compared
 	FetchTooSlow            bool         // a fetch of its image takes up the time in which it should start
 	Urgent                  bool         // may preempt tasks of lower priority
 	MayPreemptOpportunistic bool         // within its team's guarantee; may preempt tasks of opportunistic teams
--- a/internal/placement/load_index_test.go
+++ b/internal/placement/load_index_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestIndexIndependentOfUpdatePace fails if the weights are other than e^(-interval/smoothing) for the old
-// value (the design's paper prints e^(-smoothing)), or if an interval without an update is lost.
+// TestIndexIndependentOfUpdatePace guards against weights of the old value other than
+// e^(-interval/smoothing) (the design's paper prints e^(-smoothing)), and against intervals without an
+// update that are not counted.
 func TestIndexIndependentOfUpdatePace(t *testing.T) {
 	const seconds, smoothing = 8, 4 * time.Second
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
@@ -20,9 +21,9 @@
 	withGap.Update(oneTask, at(seconds), time.Second, smoothing)
 	want := 1 - math.Exp(-seconds/smoothing.Seconds())
 	if got := regular.Value(); math.Abs(got-want) > 1e-9 {
-		t.Errorf("updated every second %v, want %v", got, want)
+		t.Errorf("index updated every second: %v, want %v", got, want)
 	}
 	if got := withGap.Value(); math.Abs(got-want) > 1e-9 {
-		t.Errorf("updated with a gap %v, want %v", got, want)
+		t.Errorf("index updated with a gap: %v, want %v", got, want)
 	}
 }
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOrderOfJobs fails if jobs have their turn in another order than by priority, the exceptions in
-// docs/placement.md, and arrival, each deciding only between equals of the former.
+// TestOrderOfJobs guards against another order of jobs than by priority, the exceptions in
+// docs/placement.md, and arrival. Each decides only between jobs that are equal in those before it.
 func TestOrderOfJobs(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -16,25 +16,26 @@
 			Job{Priority: 2, BeyondGuarantee: true, InverseResponseRatio: 9, Arrival: 9}, Job{Priority: 1}},
 		{"within the guarantee before ratio and arrival",
 			Job{InverseResponseRatio: 9, Arrival: 9}, Job{BeyondGuarantee: true}},
-		{"least work left for the time waited before arrival",
+		{"lower inverse response ratio before arrival",
 			Job{InverseResponseRatio: 1, Arrival: 9}, Job{InverseResponseRatio: 2}},
 		{"earlier arrival",
 			Job{Arrival: 1}, Job{Arrival: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if !placedBefore(&test.first, &test.second) || placedBefore(&test.second, &test.first) {
-				t.Error("placed in the other order")
+				t.Error("placedBefore does not place the first job before the second")
 			}
 			jobs := []Job{test.second, test.first}
 			if sequence := placementOrder(jobs); sequence[0] != &jobs[1] || sequence[1] != &jobs[0] {
-				t.Error("not sorted")
+				t.Error("placementOrder does not place the first job before the second")
 			}
 		})
 	}
 }
 
-// TestOverdueJobsBeginWithOneTask fails if an overdue job waits for its turn, takes more than one task ahead
-// of it, or if overdue jobs are not taken by arrival. Overdue gangs are not begun in part.
+// TestOverdueJobsBeginWithOneTask guards against overdue jobs that are placed only in the order of all
+// jobs, with more than one task before it, or not in order of arrival among each other, and against
+// overdue gangs that are placed in part.
 func TestOverdueJobsBeginWithOneTask(t *testing.T) {
 	job := func(arrival uint64, priority int, overdue, gang bool) Job {
 		return Job{Arrival: arrival, Priority: priority, Overdue: overdue, Gang: gang, Zone: AnyZone,
@@ -46,11 +47,11 @@
 	p.startOverdueJobs(placementOrder(jobs))
 	want := []Assignment{{Job: 2}, {Job: 1}}
 	if !slices.Equal(p.plan.Assignments, want) {
-		t.Errorf("began %v, want %v", p.plan.Assignments, want)
+		t.Errorf("assignments %v, want %v", p.plan.Assignments, want)
 	}
 	for position, waiting := range []int{3, 2, 2, 3} {
 		if jobs[position].Waiting != waiting {
-			t.Errorf("job %d: %d tasks wait, want %d", position, jobs[position].Waiting, waiting)
+			t.Errorf("job %d has %d waiting tasks, want %d", position, jobs[position].Waiting, waiting)
 		}
 	}
 }
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -13,12 +13,12 @@
 	opportunistic
 )
 
-// victimsTest is a case of which tasks on one machine are stopped for a job.
+// victimsTest is a case of TestVictimsOnOneMachine.
 type victimsTest struct {
 	name        string
 	job         Job
-	cpus        float64 // that a task of the job needs
-	excessCPUs  float64 // CPUs
+	cpus        float64 // need of a task of the job
+	excessCPUs  float64 // by which a task of the job would exceed its team's limit
 	tasks       []Task
 	victims     []int
 	lostSeconds float64
@@ -32,12 +32,12 @@
 	p := newPass(traceStart, []Machine{*machine}, nil, teams)
 	option := p.chooseVictims(machine, &test.job, Amounts{CPU: test.excessCPUs})
 	if option.state != test.state || !slices.Equal(option.victims, test.victims) || option.lostSeconds != test.lostSeconds {
-		t.Errorf("got %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
+		t.Errorf("option %+v, want state %d, victims %v, %v s lost", option, test.state, test.victims, test.lostSeconds)
 	}
 }
 
-// TestVictimsOnOneMachine fails if tasks are stopped that need not give way, more are stopped than needed,
-// or others than the cheapest ones.
+// TestVictimsOnOneMachine guards against victims that are not preemptible, against more victims than
+// needed, and against another order of victims than that of compareVictims.
 func TestVictimsOnOneMachine(t *testing.T) {
 	task := func(id, priority, team int, age time.Duration) Task {
 		return Task{ID: id, Need: Amounts{CPU: 1}, Priority: priority, Team: team, StartedAt: traceStart.Add(-age)}
@@ -48,42 +48,43 @@
 	gangMember.MembersElsewhere = 9
 	urgent := Job{Team: own, Priority: 2, Urgent: true}
 	for _, test := range []victimsTest{
-		{"equal priority does not give way", urgent, 1, 0,
+		{"equal priority is not preemptible", urgent, 1, 0,
 			[]Task{task(0, 2, other, time.Second)}, nil, 0, optionImpossible},
-		{"too little gives way", urgent, 2, 0,
+		{"preemptible tasks free too little", urgent, 2, 0,
 			[]Task{task(0, 1, other, time.Second), task(1, 2, other, time.Second)}, []int{0}, 1, optionImpossible},
 		{"no more than needed, the youngest first", urgent, 1, 0,
 			[]Task{task(0, 1, other, time.Minute), task(1, 1, other, time.Second)}, []int{1}, 1, optionPossible},
 		{"lowest priority before youngest", urgent, 1, 0,
 			[]Task{task(0, 0, other, time.Minute), task(1, 1, other, time.Second)}, []int{0}, 60, optionPossible},
-		{"those that stop already first, at no cost", urgent, 1, 0,
+		{"stopping tasks first, without lost run time", urgent, 1, 0,
 			[]Task{task(1, 0, other, time.Second), stopping}, []int{1}, 0, optionPossible},
 		{"lowest ID of equals", urgent, 1, 0,
 			[]Task{task(1, 1, other, time.Second), task(0, 1, other, time.Second)}, []int{1}, 1, optionPossible},
 		{"a gang's other members lose as much", urgent, 1, 0,
 			[]Task{gangMember}, []int{0}, 10, optionPossible},
-		{"tasks of unknown teams stay", urgent, 1, 0,
+		{"tasks of unknown teams are not preemptible", urgent, 1, 0,
 			[]Task{task(0, 1, -1, time.Second)}, nil, 0, optionImpossible},
-		{"only its own where the team's limit is in the way", urgent, 1, 1,
+		{"only the team's own tasks at the team's limit", urgent, 1, 1,
 			[]Task{task(0, 1, other, time.Second), task(1, 1, own, time.Minute)}, []int{1}, 60, optionPossible},
-		{"work within a guarantee displaces opportunistic work alone", Job{Team: own, MayPreemptOpportunistic: true}, 1, 0,
+		{"work within a guarantee preempts opportunistic teams only", Job{Team: own, MayPreemptOpportunistic: true}, 1, 0,
 			[]Task{task(0, 0, other, time.Second), task(1, 3, opportunistic, time.Minute)}, []int{1}, 60, optionPossible},
 	} {
 		t.Run(test.name, test.run)
 	}
 }
 
-// TestMachineChosenForPreemption fails if a service makes room where its image is not, or if a gang, which begins when
-// its last task can, pays for the image with run time.
+// TestMachineChosenForPreemption guards against services that preempt on machines without their image,
+// and against gangs that preempt for the image at the cost of more lost run time, though a gang starts
+// only when its last task can.
 func TestMachineChosenForPreemption(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		job  Job
 		want int
 	}{
-		{"service: where the image is", Job{}, 1},
-		{"gang: where the least run time is lost", Job{Gang: true}, 0},
-		{"gang that a fetch makes late: where the image is", Job{Gang: true, FetchTooSlow: true}, 1},
+		{"service: machine that has the image", Job{}, 1},
+		{"gang: machine where the least run time is lost", Job{Gang: true}, 0},
+		{"gang for which a fetch is too slow: machine that has the image", Job{Gang: true, FetchTooSlow: true}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			victim := func(age time.Duration) []Task {
@@ -97,37 +98,38 @@
 			p.preempt(&job, 1, anyMachine)
 			want := []Preemption{{Machine: test.want}}
 			if !slices.Equal(p.plan.Preemptions, want) {
-				t.Errorf("preempted %v, want %v", p.plan.Preemptions, want)
+				t.Errorf("preemptions %v, want %v", p.plan.Preemptions, want)
 			}
 		})
 	}
 }
 
-// TestPreemptionLeavesSnapshotOfTasks fails if a pass writes to the tasks that its machines refer to: the
-// controller keeps those for the next pass.
+// TestPreemptionLeavesSnapshotOfTasks guards against a pass that writes to the tasks to which its
+// machines refer: the controller reuses them in the next pass.
 func TestPreemptionLeavesSnapshotOfTasks(t *testing.T) {
 	tasks := []Task{{Need: Amounts{CPU: 1}, StartedAt: traceStart}}
 	before := slices.Clone(tasks)
 	jobs := []Job{{Priority: 1, Urgent: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 1, Tasks: 1, TasksInZone: make([]int, 1)}}
 	plan := Place(traceStart, []Machine{{AcceptsTasks: true, Tasks: tasks}}, jobs, []Team{{CPUsMax: 9}})
 	if len(plan.Preemptions) != 1 {
-		t.Errorf("preempted %v, want one task", plan.Preemptions)
+		t.Errorf("preemptions %v, want one", plan.Preemptions)
 	}
 	if !slices.Equal(tasks, before) {
-		t.Errorf("tasks are now %v, were %v", tasks, before)
+		t.Errorf("tasks after the pass %v, want %v as before", tasks, before)
 	}
 }
 
-// TestStoppingTasksCountUntilGone fails if what a victim holds is given away in the pass that stops it.
+// TestStoppingTasksCountUntilGone guards against resources of a victim that are given to other tasks in
+// the pass that stops it.
 func TestStoppingTasksCountUntilGone(t *testing.T) {
 	machines := []Machine{{AcceptsTasks: true, Tasks: []Task{{Need: Amounts{CPU: 3}, StartedAt: traceStart}}}}
 	jobs := []Job{{Priority: 1, Urgent: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 1, Tasks: 1, TasksInZone: make([]int, 1)}}
 	p := newPass(traceStart, machines, jobs, []Team{{CPUsMax: 9, CPUsUsed: 3}})
 	p.preempt(&jobs[0], 1, anyMachine)
 	if free := machines[0].Free; free != (Amounts{}) {
-		t.Errorf("free %v while the victim runs", free)
+		t.Errorf("machine has %v free while the victim runs, want nothing", free)
 	}
 	if team := p.teams[0]; team.CPUsUsed != 4 || team.stopping[CPU] != 3 {
-		t.Errorf("team uses %v, of which %v stop; want 4 and 3", team.CPUsUsed, team.stopping)
+		t.Errorf("team uses %v CPUs, of which %v are stopping; want 4 and 3", team.CPUsUsed, team.stopping)
 	}
 }
--- a/internal/placement/ranking_test.go
+++ b/internal/placement/ranking_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRankingOfMachines fails if a task goes to a machine that is worse than another: by when it would have
-// the image, then by load index, then by its place in the list.
+// TestRankingOfMachines guards against tasks on machines that are worse than another feasible one: by
+// the time until the image is there, then by load index, then by position in the list.
 func TestRankingOfMachines(t *testing.T) {
 	const fetching = true
 	for _, test := range []struct {
@@ -14,10 +14,10 @@
 	}{
 		{"lowest load index", []Machine{{Load: 3}, {Load: 1}, {Load: 2}}, nil, 1},
 		{"first of equals", []Machine{{Load: 2}, {Load: 1}, {Load: 1}}, nil, 1},
-		{"image there before it is fetched", []Machine{{Load: 1}, {Load: 9}}, []ImageState{ImageFetching, ImageReady}, 1},
+		{"image on the machine before image being fetched", []Machine{{Load: 1}, {Load: 9}}, []ImageState{ImageFetching, ImageReady}, 1},
 		{"image being fetched before a new fetch", []Machine{{Load: 1}, {Load: 9, FetchesImage: fetching}}, []ImageState{ImageMissing, ImageFetching}, 1},
-		{"fetch alone before fetch beside another", []Machine{{Load: 1, FetchesImage: fetching}, {Load: 9}}, []ImageState{ImageMissing, ImageMissing}, 1},
-		{"load index among equal images", []Machine{{Load: 2}, {Load: 1}}, []ImageState{ImageReady, ImageReady}, 1},
+		{"single fetch before parallel fetch", []Machine{{Load: 1, FetchesImage: fetching}, {Load: 9}}, []ImageState{ImageMissing, ImageMissing}, 1},
+		{"lowest load index of equal image states", []Machine{{Load: 2}, {Load: 1}}, []ImageState{ImageReady, ImageReady}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for position := range test.machines {
@@ -26,15 +26,15 @@
 			jobs := []Job{{Zone: AnyZone, Image: test.images, TasksInZone: make([]int, 1)}}
 			p := newPass(traceStart, test.machines, jobs, []Team{{}})
 			if got := p.bestMachine(&jobs[0], anyMachine); got != test.want {
-				t.Errorf("machine %d, want %d", got, test.want)
+				t.Errorf("bestMachine returns %d, want %d", got, test.want)
 			}
 			if ranked := p.rankedMachines(&jobs[0], anyMachine); ranked[0] != test.want {
-				t.Errorf("ranked %v, want %d first", ranked, test.want)
+				t.Errorf("rankedMachines returns %v, want %d first", ranked, test.want)
 			}
 		})
 	}
 	closed := newPass(traceStart, []Machine{{}}, nil, nil)
 	if got := closed.bestMachine(&Job{Zone: AnyZone, TasksInZone: make([]int, 1)}, anyMachine); got != noMachine {
-		t.Errorf("machine %d where none is feasible", got)
+		t.Errorf("bestMachine returns %d though no machine is feasible", got)
 	}
 }
--- a/internal/placement/reference_test.go
+++ b/internal/placement/reference_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// placeOneByOne is Place as the design states it, for jobs that are no gangs: one task after the other with
-// a look at every machine for each, and nothing remembered from task to task.
+// placeOneByOne is a reference implementation of Place for jobs other than gangs, as the design states
+// it: it examines every machine for each task and caches nothing.
 func placeOneByOne(now time.Time, machines []Machine, jobs []Job, teams []Team) Plan {
 	p := newPass(now, machines, jobs, teams)
 	for _, job := range placementOrder(jobs) {
@@ -35,8 +35,8 @@
 	return p.plan
 }
 
-// placeOneByOneWithImage places tasks where the image is, and makes room there for others; it returns for
-// how many.
+// placeOneByOneWithImage places tasks on machines that have the image, and preempts there for others. It
+// returns the number of tasks placed or preempted for.
 func (p *pass) placeOneByOneWithImage(job *Job) int {
 	placed := 0
 	for ; placed < job.Waiting && p.teamOf(job).limitAllows(job.Need, 1); placed++ {
@@ -53,8 +53,9 @@
 	return placed
 }
 
-// TestRememberedResultsChangeNoDecision fails if what a pass remembers from task to task, or looking through
-// the machines once for a job in place of once for a task, leads to another plan.
+// TestRememberedResultsChangeNoDecision compares Place with the reference implementation on random
+// snapshots. It guards against plans that differ because a pass reuses results for later tasks, or ranks
+// the machines once per job instead of once per task.
 func TestRememberedResultsChangeNoDecision(t *testing.T) {
 	const enoughAssignments, enoughPreemptions = 1000, 100
 	assignments, preemptions := 0, 0
@@ -70,12 +71,13 @@
 		preemptions += len(got.Preemptions)
 	}
 	if assignments < enoughAssignments || preemptions < enoughPreemptions {
-		t.Errorf("%d assignments and %d preemptions: the inputs try too little", assignments, preemptions)
+		t.Errorf("snapshots lead to %d assignments and %d preemptions, want at least %d and %d",
+			assignments, preemptions, enoughAssignments, enoughPreemptions)
 	}
 }
 
-// TestGangWithoutRoomChangesNothing fails if a gang that would preempt in every zone and finds room in none
-// leaves anything of its trials behind.
+// TestGangWithoutRoomChangesNothing guards against an incomplete rollback: a gang that is too large for
+// every zone, also with preemption, changes the placement of the jobs in the same pass.
 func TestGangWithoutRoomChangesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		machines, jobs, teams := generateSnapshot(seed)
@@ -85,7 +87,7 @@
 			Zone: AnyZone, OneZone: true, Gang: true, Urgent: true, TasksInZone: make([]int, generatedZones)}
 		got := Place(traceStart, machines, append(jobs, gang), append(teams, Team{CPUsMax: 1e6}))
 		if unplaced := got.Unplaced[len(jobs)]; unplaced != gang.Waiting {
-			t.Fatalf("seed %d: %d of %d tasks of the gang unplaced", seed, unplaced, gang.Waiting)
+			t.Fatalf("seed %d: %d tasks of the gang are unplaced, want all %d", seed, unplaced, gang.Waiting)
 		}
 		got.Unplaced = got.Unplaced[:len(jobs)]
 		if !slices.Equal(got.Unplaced, want.Unplaced) ||
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// busy returns a machine with a task of one CPU for each time in which one ends.
+// busy returns a machine with one task of one CPU for each given time until its end.
 func busy(ends ...time.Duration) Machine {
 	machine := Machine{AcceptsTasks: true}
 	for _, end := range ends {
@@ -31,8 +31,9 @@
 	return reserved
 }
 
-// TestReservedMachines fails if a gang that waits closes other machines than those that will have room for
-// it soonest, more of them than hold it, or any where it will find no room in time.
+// TestReservedMachines guards against reservations of machines that will not have room for a gang
+// soonest, of more machines than the gang needs, and of any machines if the gang will not have room
+// within the maximum wait.
 func TestReservedMachines(t *testing.T) {
 	inZone := func(zone int, machine Machine) Machine {
 		machine.Zone = zone
@@ -46,28 +47,28 @@
 		machines []Machine
 		reserved []int
 	}{
-		{"room that is there soonest", Job{Waiting: 2},
+		{"machine that has room soonest", Job{Waiting: 2},
 			[]Machine{busy(60*time.Second, 60*time.Second), busy(10*time.Second, 20*time.Second)}, []int{1}},
-		{"as few machines as hold it", Job{Waiting: 2},
+		{"fewest machines", Job{Waiting: 2},
 			[]Machine{busy(10 * time.Second), busy(10*time.Second, 10*time.Second)}, []int{1}},
 		{"tasks that do not end", Job{Waiting: 1}, []Machine{service}, nil},
 		{"tasks that end late", Job{Waiting: 1}, []Machine{busy(tooLate)}, nil},
-		{"tasks that end late, of an overdue gang", Job{Waiting: 1, Overdue: true}, []Machine{busy(tooLate)}, []int{0}},
-		{"room for a part of it only", Job{Waiting: 3}, []Machine{busy(time.Second, time.Second)}, nil},
-		{"the zone that has room for all of it first", Job{Waiting: 2, OneZone: true},
+		{"tasks that end late, overdue gang", Job{Waiting: 1, Overdue: true}, []Machine{busy(tooLate)}, []int{0}},
+		{"room for a part of the gang only", Job{Waiting: 3}, []Machine{busy(time.Second, time.Second)}, nil},
+		{"zone that has room for the whole gang first", Job{Waiting: 2, OneZone: true},
 			[]Machine{inZone(0, busy(time.Second, time.Minute)), inZone(1, busy(10*time.Second)), inZone(1, busy(10*time.Second))}, []int{1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			reserved := reservedFor(test.gang, test.machines)
 			if !slices.Equal(reserved, test.reserved) {
-				t.Errorf("reserved %v, want %v", reserved, test.reserved)
+				t.Errorf("reserved machines %v, want %v", reserved, test.reserved)
 			}
 		})
 	}
 }
 
-// TestTimeLeft fails if a task that overruns is expected to end at once: a gang would have machines reserved
-// that do not become free.
+// TestTimeLeft guards against tasks that have overrun their expected end and are expected to end at
+// once: machines would be reserved for gangs that do not become free.
 func TestTimeLeft(t *testing.T) {
 	now := traceStart
 	for _, test := range []struct {
@@ -75,13 +76,13 @@
 		task Task
 		want time.Duration
 	}{
-		{"as expected", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(time.Minute)}, time.Minute},
-		{"overruns: a quarter of its run time", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(-time.Second)}, 15 * time.Second},
-		{"stops already", Task{StartedAt: now, EndsAt: now.Add(time.Minute), Stopping: true}, 0},
-		{"does not end", Task{StartedAt: now}, neverEnds},
+		{"before its expected end", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(time.Minute)}, time.Minute},
+		{"after its expected end: a quarter of its run time", Task{StartedAt: now.Add(-time.Minute), EndsAt: now.Add(-time.Second)}, 15 * time.Second},
+		{"told to stop", Task{StartedAt: now, EndsAt: now.Add(time.Minute), Stopping: true}, 0},
+		{"does not end by itself", Task{StartedAt: now}, neverEnds},
 	} {
 		if got := test.task.timeLeft(now); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: time left %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/placement/snapshot_test.go
+++ b/internal/placement/snapshot_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// generatedZones is one more than generated machines are in: some jobs ask for a zone that has none.
+// generatedZones is the number of zones, one of them without machines: some jobs require that zone.
 const generatedZones = 4
 
-// generateSnapshot returns a snapshot of a few hundred machines that is the same for the same seed. Its
-// jobs are services and arrays.
+// generateSnapshot returns a random snapshot of 100 to 399 machines, reproducible by its seed. Its jobs
+// are services and arrays.
 func generateSnapshot(seed uint64) ([]Machine, []Job, []Team) {
 	random := rand.New(rand.NewPCG(7, seed))
 	teams := generateTeams(random)
@@ -17,7 +17,7 @@
 	return machines, generateJobs(random, machines, teams), teams
 }
 
-// oneIn is true once in so many times.
+// oneIn returns true with a probability of 1/times.
 func oneIn(random *rand.Rand, times int) bool { return random.IntN(times) == 0 }
 
 func generateTeams(random *rand.Rand) []Team {
@@ -29,7 +29,7 @@
 	return teams
 }
 
-// generateMachines returns machines with tasks, which count as used by the teams.
+// generateMachines returns machines with tasks, and adds the tasks to the teams' usage.
 func generateMachines(random *rand.Rand, teams []Team) []Machine {
 	full := oneIn(random, 2)
 	machines := make([]Machine, 100+random.IntN(300))
