--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -41,7 +41,7 @@
 //
 // Exception 8 to the design (docs/placement.md). Guards against gangs that wait behind arrays for as
 // long as arrays arrive: small tasks take free resources at once, and a gang needs all of its resources
-// at the same time, which the design names as its weak spot (trace gang-held).
+// at the same time, which the design names as its weak spot (trace gang-reservation).
 func (p *pass) reserveMachines(gang *Job, zones []int) {
 	var best reservation
 	for _, zone := range zones {
--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -13,10 +13,12 @@
 // TestTraces replays the scenarios under testdata. Each line of a trace's input is a word followed by
 // fields such as cpu=4:
 //
-//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same] [lasting=CPU]...
-//	A task is expected to run for a minute, a lasting one for five more.
-//	team max= [used=] [guest]
-//	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [onezone] [apart] [gang] [urgent] [displace] [costly] [beyond] [ratio=] [tocome] [warm=M [coming=M]]
+//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same] [long-task=CPU] [fetches-image]
+//	A task is expected to run for a minute, a long task for five more.
+//	team max= [used=] [opportunistic]
+//	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [one-zone] [spread-over-zones] [gang] [anticipated]
+//	    [urgent] [preempts-opportunistic] [beyond-guarantee] [ratio=] [overdue]
+//	    [image-ready=M [image-fetching=M]] [fetch-too-slow]
 //	load SECONDS TASKS   the index of one machine with so many tasks for so long
 //	place
 func TestTraces(t *testing.T) { golden.Run(t, replay) }
@@ -24,7 +26,7 @@
 const (
 	traceZones  = 3
 	taskRun     = 60 * time.Second // expected of a task
-	lastingTask = 5 * time.Minute  // expected of a lasting one, from now on
+	longTaskRun = 5 * time.Minute  // expected of a long task, from now on
 )
 
 // scenario is what a trace has described so far.
@@ -104,7 +106,7 @@
 		AcceptsTasks: true,
 		Zone:         fields.integer("zone", 0),
 		Spot:         fields.flag("spot"),
-		FetchesImage: fields.flag("fetch"),
+		FetchesImage: fields.flag("fetches-image"),
 		Load:         fields.number("load", 0),
 		Free:         Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
 	}
@@ -116,8 +118,8 @@
 			machine.addTask(task)
 		}
 	}
-	if cpus := fields.number("lasting", 0); cpus > 0 {
-		machine.addTask(Task{Need: Amounts{CPU: cpus}, Priority: 1, StartedAt: s.now, EndsAt: s.now.Add(lastingTask)})
+	if cpus := fields.number("long-task", 0); cpus > 0 {
+		machine.addTask(Task{Need: Amounts{CPU: cpus}, Priority: 1, StartedAt: s.now, EndsAt: s.now.Add(longTaskRun)})
 	}
 	s.machines = append(s.machines, machine)
 }
@@ -144,7 +146,7 @@
 	s.teams = append(s.teams, Team{
 		CPUsMax:       fields.number("max", 100),
 		CPUsUsed:      fields.number("used", 0),
-		Opportunistic: fields.flag("guest"),
+		Opportunistic: fields.flag("opportunistic"),
 	})
 }
 
@@ -154,27 +156,27 @@
 		Priority:                fields.integer("prio", 1),
 		Arrival:                 uint64(fields.number("at", 0)),
 		InverseResponseRatio:    fields.number("ratio", 0),
-		BeyondGuarantee:         fields.flag("beyond"),
+		BeyondGuarantee:         fields.flag("beyond-guarantee"),
 		Overdue:                 fields.flag("overdue"),
 		Need:                    Amounts{CPU: fields.number("cpu", 1), Memory: fields.number("ram", 1)},
 		Waiting:                 fields.integer("tasks", 1),
 		Tasks:                   fields.integer("tasks", 1),
 		Zone:                    fields.integer("zone", AnyZone),
 		Spot:                    fields.flag("spot"),
-		OneZone:                 fields.flag("onezone"),
-		SpreadOverZones:         fields.flag("apart"),
+		OneZone:                 fields.flag("one-zone"),
+		SpreadOverZones:         fields.flag("spread-over-zones"),
 		TasksInZone:             make([]int, traceZones),
 		Gang:                    fields.flag("gang"),
-		Anticipated:             fields.flag("tocome"),
+		Anticipated:             fields.flag("anticipated"),
 		Urgent:                  fields.flag("urgent"),
-		MayPreemptOpportunistic: fields.flag("displace"),
-		FetchTooSlow:            fields.flag("costly"),
+		MayPreemptOpportunistic: fields.flag("preempts-opportunistic"),
+		FetchTooSlow:            fields.flag("fetch-too-slow"),
 	}
-	if warm := fields.integer("warm", noMachine); warm >= 0 {
+	if ready := fields.integer("image-ready", noMachine); ready >= 0 {
 		job.Image = make([]ImageState, len(s.machines))
-		job.Image[warm] = ImageReady
-		if coming := fields.integer("coming", noMachine); coming >= 0 {
-			job.Image[coming] = ImageFetching
+		job.Image[ready] = ImageReady
+		if fetching := fields.integer("image-fetching", noMachine); fetching >= 0 {
+			job.Image[fetching] = ImageFetching
 		}
 	}
 	s.jobs = append(s.jobs, job)
