--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -18,7 +18,7 @@
 	name        string
 	job         Job
 	cpus        float64 // need of a task of the job
-	excessCPUs  float64 // by which a task of the job would exceed its team's limit
+	excessCPUs  float64 // CPUs by which a task of the job would exceed its team's limit
 	tasks       []Task
 	victims     []int
 	lostSeconds float64
--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -10,26 +10,27 @@
 	"tulipshelf/internal/golden"
 )
 
-// TestTraces replays the scenarios under testdata. Each line of a trace's input is a word followed by
-// fields such as cpu=4:
+// TestTraces replays the scenarios under testdata. Each input line of a trace is a command followed by fields
+// such as cpu=4:
 //
-//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same] [long-task=CPU] [fetches-image]
-//	A task is expected to run for a minute, a long task for five more.
+//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same]...
+//	    [long-task=CPU] [fetches-image]
+//	    a task is expected to end one minute after its start, a long task in five minutes; AGE is in seconds
 //	team max= [used=] [opportunistic]
 //	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [one-zone] [spread-over-zones] [gang] [anticipated]
 //	    [urgent] [preempts-opportunistic] [beyond-guarantee] [ratio=] [overdue]
 //	    [image-ready=M [image-fetching=M]] [fetch-too-slow]
-//	load SECONDS TASKS   the index of one machine with so many tasks for so long
-//	place
+//	load SECONDS TASKS   updates a load index once a second with that number of tasks, and prints it
+//	place                runs a pass over all machines, teams and jobs so far, and prints its plan
 func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
 const (
 	traceZones  = 3
-	taskRun     = 60 * time.Second // expected of a task
-	longTaskRun = 5 * time.Minute  // expected of a long task, from now on
+	taskRun     = 60 * time.Second // expected run time of a task
+	longTaskRun = 5 * time.Minute  // expected time until the end of a long task
 )
 
-// scenario is what a trace has described so far.
+// scenario is the state that the commands of a trace have set up so far.
 type scenario struct {
 	t        *testing.T
 	now      time.Time
@@ -37,11 +38,11 @@
 	teams    []Team
 	jobs     []Job
 
-	index LoadIndex // of the machine of load lines
-	clock time.Time
+	index LoadIndex // updated by load commands
+	clock time.Time // time of the last update of index
 }
 
-// traceStart is the time at which the passes of these tests are made.
+// traceStart is the current time of the passes in the tests of this package.
 var traceStart = time.Unix(1000, 0)
 
 func replay(t *testing.T, trace []byte) []byte {
@@ -60,7 +61,7 @@
 		case "place":
 			s.place(out)
 		default:
-			t.Fatalf("%q", line)
+			t.Fatalf("line %q: unknown command %q", line, words[0])
 		}
 	})
 }
@@ -72,13 +73,13 @@
 	words []string
 }
 
-// number returns the value of a field name=VALUE, or what stands for a missing one.
+// number returns the value of a field name=VALUE, or the value for a missing field.
 func (f traceFields) number(name string, missing float64) float64 {
 	for _, word := range f.words {
 		if key, value, ok := strings.Cut(word, "="); ok && key == name {
 			var number float64
 			if _, err := fmt.Sscan(value, &number); err != nil {
-				f.t.Fatalf("%q: %v", f.line, err)
+				f.t.Fatalf("line %q: value of %s: %v", f.line, name, err)
 			}
 			return number
 		}
@@ -91,7 +92,7 @@
 	return int(f.number(name, float64(missing)))
 }
 
-// flag reports whether a word stands alone on the line.
+// flag reports whether a word without a value is on the line.
 func (f traceFields) flag(name string) bool {
 	for _, word := range f.words {
 		if word == name {
@@ -124,19 +125,19 @@
 	s.machines = append(s.machines, machine)
 }
 
-// addTask books a task on the machine and names it by its position.
+// addTask books a task on the machine. The task's position is its ID.
 func (m *Machine) addTask(task Task) {
 	task.ID = len(m.Tasks)
 	m.Tasks = append(m.Tasks, task)
 	m.Free[CPU] -= task.Need[CPU]
 }
 
-// parseTask reads CPU:PRIORITY:AGE[:TEAM].
+// parseTask parses CPU:PRIORITY:AGE[:TEAM].
 func (s *scenario) parseTask(line, value string) Task {
 	var cpus, age float64
 	var priority, team int
 	if fieldCount, err := fmt.Sscanf(value, "%f:%d:%f:%d", &cpus, &priority, &age, &team); fieldCount < 3 {
-		s.t.Fatalf("%q: %v", line, err)
+		s.t.Fatalf("line %q: task %q is not CPU:PRIORITY:AGE[:TEAM]: %v", line, value, err)
 	}
 	started := s.now.Add(-time.Duration(age) * time.Second)
 	return Task{Need: Amounts{CPU: cpus}, Priority: priority, Team: team, StartedAt: started, EndsAt: started.Add(taskRun)}
@@ -185,7 +186,7 @@
 func (s *scenario) load(out *bytes.Buffer, fields traceFields) {
 	var seconds, tasks int
 	if _, err := fmt.Sscan(strings.Join(fields.words, " "), &seconds, &tasks); err != nil {
-		s.t.Fatalf("%q: %v", fields.line, err)
+		s.t.Fatalf("line %q: fields are not SECONDS TASKS: %v", fields.line, err)
 	}
 	for range seconds {
 		s.clock = s.clock.Add(time.Second)
