--- a/internal/placement/equivalence.go
+++ b/internal/placement/equivalence.go
@@ -20,8 +20,8 @@
 	triedZone int // AnyZone: not restricted to one zone
 }
 
-// gangPreemptionClass holds the properties that determine the number of tasks of a gang that preemption
-// makes room for in one zone.
+// gangPreemptionClass holds the properties that determine for how many tasks of a gang preemption can
+// free resources in one zone.
 type gangPreemptionClass struct {
 	gangClass
 	priority                int
--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -99,7 +99,7 @@
 
 // overrunDivisor divides the run time of a task so far to give the least time left that is expected of
 // it: a quarter of its run time. Guards against reservations of machines that do not become free:
-// without it, a task that has overrun its expected end would be expected to end at once.
+// otherwise, a task that has overrun its expected end would be expected to end at once.
 const overrunDivisor = 4
 
 // timeLeft returns the time for which a task is expected to stay on its machine: 0 if it was told to
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -110,7 +110,7 @@
 	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
 	complete := result.tasks == gang.Waiting
 	if hasClass && !complete {
-		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // preemptible resources only decrease within a pass
+		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // what is preemptible only decreases
 	}
 	return zoneOutcome{complete: complete, totalCost: result.lostSeconds}
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -31,7 +31,7 @@
 	Image                   []ImageState // by machine, compared before the load index; nil: not compared
 	FetchTooSlow            bool         // a fetch of its image takes up the time in which it should start
 	Urgent                  bool         // may preempt tasks of lower priority
-	MayPreemptOpportunistic bool         // within its team's guarantee; may preempt tasks of opportunistic teams
+	MayPreemptOpportunistic bool         // may preempt opportunistic teams: is within its team's guarantee
 
 	// Gangs.
 	Gang        bool // all of its waiting tasks are placed in one pass, or none
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -18,8 +18,7 @@
 	savepoint      *savepoint // state that rollBack restores; nil: none
 
 	// Results for one task or gang that are reused for later ones in this pass. The two gang sizes are
-	// the smallest numbers of waiting tasks for which there was no room, and for which preemption could
-	// not make room.
+	// the smallest numbers of waiting tasks that did not fit, without and with preemption.
 	infeasibleClasses     map[equivalenceClass]bool // true: no machine has room for a task of the class
 	unplaceableGangSize   map[gangClass]int
 	unpreemptableGangSize map[gangPreemptionClass]int
@@ -27,7 +26,7 @@
 	taskEnds              [][]taskEnd                            // by position of the machine; nil: not computed
 	futureSlots           map[gangClass]futureSlotList           // slots for reservations
 
-	starvedJobs []*Job // jobs so far that are not urgent and have tasks without a feasible machine
+	starvedJobs []*Job // jobs so far, not urgent and within their team's limit, with tasks that found no machine
 }
 
 func newPass(now time.Time, machines []Machine, jobs []Job, teams []Team) *pass {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -15,8 +15,8 @@
 }
 
 // preempt stops victims for up to limit tasks of a job, for each task on the machine that is best for
-// it. If the team is at its limit, the victims are its own tasks. Resources become free only once the
-// victims have stopped, so the job's tasks are placed in a later pass.
+// it. If a task would exceed the team's limit, the victims are tasks of the team itself. Resources
+// become free only once the victims have stopped, so the job's tasks are placed in a later pass.
 func (p *pass) preempt(job *Job, limit int, filter machineFilter) preemptionResult {
 	var result preemptionResult
 	candidates := p.preemptionCandidates(job, filter)
