--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -10,24 +10,27 @@
 	"tulipshelf/internal/golden"
 )
 
-// TestTraces replays the scenarios under testdata. Each line of a trace's input is a word followed by
-// fields such as cpu=4:
+// TestTraces replays the scenarios under testdata. Each input line of a trace is a command followed by fields
+// such as cpu=4:
 //
-//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same] [lasting=CPU]...
-//	A task is expected to run for a minute, a lasting one for five more.
-//	team max= [used=] [guest]
-//	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [onezone] [apart] [gang] [urgent] [displace] [costly] [beyond] [ratio=] [tocome] [warm=M [coming=M]]
-//	load SECONDS TASKS   the index of one machine with so many tasks for so long
-//	place
+//	machine zone= cpu= ram= load= [spot] [task=CPU:PRIORITY:AGE[:TEAM]] [stopping=the same]...
+//	    [long-task=CPU] [fetches-image]
+//	    a task is expected to end one minute after its start, a long task in five minutes; AGE is in seconds
+//	team max= [used=] [opportunistic]
+//	job team= prio= at= cpu= ram= tasks= [zone=] [spot] [one-zone] [spread-over-zones] [gang] [anticipated]
+//	    [urgent] [preempts-opportunistic] [beyond-guarantee] [ratio=] [overdue]
+//	    [image-ready=M [image-fetching=M]] [fetch-too-slow]
+//	load SECONDS TASKS   updates a load index once a second with that number of tasks, and prints it
+//	place                runs a pass over all machines, teams and jobs so far, and prints its plan
 func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
 const (
 	traceZones  = 3
-	taskRun     = 60 * time.Second // expected of a task
-	lastingTask = 5 * time.Minute  // expected of a lasting one, from now on
+	taskRun     = 60 * time.Second // expected run time of a task
+	longTaskRun = 5 * time.Minute  // expected time until the end of a long task
 )
 
-// scenario is what a trace has described so far.
+// scenario is the state that the commands of a trace have set up so far.
 type scenario struct {
 	t        *testing.T
 	now      time.Time
@@ -35,11 +38,11 @@
 	teams    []Team
 	jobs     []Job
 
-	index LoadIndex // of the machine of load lines
-	clock time.Time
+	index LoadIndex // updated by load commands
+	clock time.Time // time of the last update of index
 }
 
-// traceStart is the time at which the passes of these tests are made.
+// traceStart is the current time of the passes in the tests of this package.
 var traceStart = time.Unix(1000, 0)
 
 func replay(t *testing.T, trace []byte) []byte {
@@ -58,7 +61,7 @@
 		case "place":
 			s.place(out)
 		default:
-			t.Fatalf("%q", line)
+			t.Fatalf("line %q: unknown command %q", line, words[0])
 		}
 	})
 }
@@ -70,13 +73,13 @@
 	words []string
 }
 
-// number returns the value of a field name=VALUE, or what stands for a missing one.
+// number returns the value of a field name=VALUE, or the value for a missing field.
 func (f traceFields) number(name string, missing float64) float64 {
 	for _, word := range f.words {
 		if key, value, ok := strings.Cut(word, "="); ok && key == name {
 			var number float64
 			if _, err := fmt.Sscan(value, &number); err != nil {
-				f.t.Fatalf("%q: %v", f.line, err)
+				f.t.Fatalf("line %q: value of %s: %v", f.line, name, err)
 			}
 			return number
 		}
@@ -89,7 +92,7 @@
 	return int(f.number(name, float64(missing)))
 }
 
-// flag reports whether a word stands alone on the line.
+// flag reports whether a word without a value is on the line.
 func (f traceFields) flag(name string) bool {
 	for _, word := range f.words {
 		if word == name {
@@ -104,7 +107,7 @@
 		AcceptsTasks: true,
 		Zone:         fields.integer("zone", 0),
 		Spot:         fields.flag("spot"),
-		FetchesImage: fields.flag("fetch"),
+		FetchesImage: fields.flag("fetches-image"),
 		Load:         fields.number("load", 0),
 		Free:         Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
 	}
@@ -116,25 +119,25 @@
 			machine.addTask(task)
 		}
 	}
-	if cpus := fields.number("lasting", 0); cpus > 0 {
-		machine.addTask(Task{Need: Amounts{CPU: cpus}, Priority: 1, StartedAt: s.now, EndsAt: s.now.Add(lastingTask)})
+	if cpus := fields.number("long-task", 0); cpus > 0 {
+		machine.addTask(Task{Need: Amounts{CPU: cpus}, Priority: 1, StartedAt: s.now, EndsAt: s.now.Add(longTaskRun)})
 	}
 	s.machines = append(s.machines, machine)
 }
 
-// addTask books a task on the machine and names it by its position.
+// addTask books a task on the machine. The task's position is its ID.
 func (m *Machine) addTask(task Task) {
 	task.ID = len(m.Tasks)
 	m.Tasks = append(m.Tasks, task)
 	m.Free[CPU] -= task.Need[CPU]
 }
 
-// parseTask reads CPU:PRIORITY:AGE[:TEAM].
+// parseTask parses CPU:PRIORITY:AGE[:TEAM].
 func (s *scenario) parseTask(line, value string) Task {
 	var cpus, age float64
 	var priority, team int
 	if fieldCount, err := fmt.Sscanf(value, "%f:%d:%f:%d", &cpus, &priority, &age, &team); fieldCount < 3 {
-		s.t.Fatalf("%q: %v", line, err)
+		s.t.Fatalf("line %q: task %q is not CPU:PRIORITY:AGE[:TEAM]: %v", line, value, err)
 	}
 	started := s.now.Add(-time.Duration(age) * time.Second)
 	return Task{Need: Amounts{CPU: cpus}, Priority: priority, Team: team, StartedAt: started, EndsAt: started.Add(taskRun)}
@@ -144,7 +147,7 @@
 	s.teams = append(s.teams, Team{
 		CPUsMax:       fields.number("max", 100),
 		CPUsUsed:      fields.number("used", 0),
-		Opportunistic: fields.flag("guest"),
+		Opportunistic: fields.flag("opportunistic"),
 	})
 }
 
@@ -154,27 +157,27 @@
 		Priority:                fields.integer("prio", 1),
 		Arrival:                 uint64(fields.number("at", 0)),
 		InverseResponseRatio:    fields.number("ratio", 0),
-		BeyondGuarantee:         fields.flag("beyond"),
+		BeyondGuarantee:         fields.flag("beyond-guarantee"),
 		Overdue:                 fields.flag("overdue"),
 		Need:                    Amounts{CPU: fields.number("cpu", 1), Memory: fields.number("ram", 1)},
 		Waiting:                 fields.integer("tasks", 1),
 		Tasks:                   fields.integer("tasks", 1),
 		Zone:                    fields.integer("zone", AnyZone),
 		Spot:                    fields.flag("spot"),
-		OneZone:                 fields.flag("onezone"),
-		SpreadOverZones:         fields.flag("apart"),
+		OneZone:                 fields.flag("one-zone"),
+		SpreadOverZones:         fields.flag("spread-over-zones"),
 		TasksInZone:             make([]int, traceZones),
 		Gang:                    fields.flag("gang"),
-		Anticipated:             fields.flag("tocome"),
+		Anticipated:             fields.flag("anticipated"),
 		Urgent:                  fields.flag("urgent"),
-		MayPreemptOpportunistic: fields.flag("displace"),
-		FetchTooSlow:            fields.flag("costly"),
+		MayPreemptOpportunistic: fields.flag("preempts-opportunistic"),
+		FetchTooSlow:            fields.flag("fetch-too-slow"),
 	}
-	if warm := fields.integer("warm", noMachine); warm >= 0 {
+	if ready := fields.integer("image-ready", noMachine); ready >= 0 {
 		job.Image = make([]ImageState, len(s.machines))
-		job.Image[warm] = ImageReady
-		if coming := fields.integer("coming", noMachine); coming >= 0 {
-			job.Image[coming] = ImageFetching
+		job.Image[ready] = ImageReady
+		if fetching := fields.integer("image-fetching", noMachine); fetching >= 0 {
+			job.Image[fetching] = ImageFetching
 		}
 	}
 	s.jobs = append(s.jobs, job)
@@ -183,7 +186,7 @@
 func (s *scenario) load(out *bytes.Buffer, fields traceFields) {
 	var seconds, tasks int
 	if _, err := fmt.Sscan(strings.Join(fields.words, " "), &seconds, &tasks); err != nil {
-		s.t.Fatalf("%q: %v", fields.line, err)
+		s.t.Fatalf("line %q: fields are not SECONDS TASKS: %v", fields.line, err)
 	}
 	for range seconds {
 		s.clock = s.clock.Add(time.Second)
