--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -16,8 +16,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// newTestLeader returns a leader that has read nothing, of a cluster with two zones and one type of
-// machine.
+// newTestLeader returns a leader that has read no records, of a cluster with two zones and one machine
+// type.
 func newTestLeader(settings config.Settings) *Leader {
 	settings.Zones = []string{"a", "b"}
 	settings.Teams = []config.Team{{Name: "crew", GuaranteedCPUs: 1e6, MaxCPUs: math.Inf(1), MaxGPUs: math.Inf(1)}}
@@ -29,7 +29,7 @@
 	return l
 }
 
-// admit takes a job's record into the leader's tables.
+// admit applies a job's record to the leader's store and admits the job.
 func (l *Leader) admit(t testing.TB, record jobstore.Record) *jobstore.Job {
 	t.Helper()
 	j, _, err := l.jobs.store.ApplyRecord(wire.Marshal(record), 1)
@@ -40,8 +40,9 @@
 	return j
 }
 
-// A machine known only from the records has no zone yet, so nothing may be concluded from the tasks
-// on it: jobs whose tasks belong into one zone, or apart, would be placed wrongly.
+// Guards against jobs that are placed in the wrong zone: a machine that is known only from the records has
+// no zone yet, so the count of a job's tasks by zone is incomplete. Jobs whose tasks belong into one zone,
+// or apart, may not be placed by it.
 func TestTasksInUnknownZoneAreNotCounted(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := newTestLeader(config.Settings{})
@@ -52,20 +53,20 @@
 	store := l.jobs.store
 	store.StartAttempt(j, 0, store.NextAttemptNumber(1), "vm-1", 1, now)
 	if zones := l.scheduler.tasksInZones(j); !zones.allKnown || !reflect.DeepEqual(zones.tasks, []int{0, 1}) {
-		t.Errorf("%+v", zones)
+		t.Errorf("one task in the second zone: counted %+v, want [0 1], all known", zones)
 	}
 	store.StartAttempt(j, 1, store.NextAttemptNumber(1), "vm-2", 1, now)
 	if zones := l.scheduler.tasksInZones(j); zones.allKnown || zones.tasks[1] != 1 {
-		t.Errorf("%+v", zones)
+		t.Errorf("another task on a machine without a zone: counted %+v, want 1 in the second zone, not all known", zones)
 	}
 	unknown.Zone = 0
 	if zones := l.scheduler.tasksInZones(j); !zones.allKnown || !reflect.DeepEqual(zones.tasks, []int{1, 1}) {
-		t.Errorf("%+v", zones)
+		t.Errorf("one task in each zone: counted %+v, want [1 1], all known", zones)
 	}
 }
 
-// Room that is reserved for gangs to come is not kept from one that waits, also if that is beyond
-// its team's guarantee.
+// Guards against machines that are kept from a waiting gang because they are reserved for anticipated ones,
+// also if the waiting gang is beyond its team's guarantee.
 func TestWaitingGangGoesBeforeReservations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newTestLeader(config.Settings{Objectives: []config.Objective{{Kind: config.KindWait, Class: "class", Within: 10 * time.Second}}})
@@ -80,7 +81,8 @@
 		reserved := l.reservations.asJobs(now, waiting)
 		plan := placement.Place(now, machines, append(waiting, reserved...), []placement.Team{{CPUsMax: 100}})
 		if len(reserved) == 0 || len(plan.Assignments) != 4 {
-			t.Errorf("beyond %v: room reserved for %d gangs, %d tasks placed", beyond, len(reserved), len(plan.Assignments))
+			t.Errorf("beyond guarantee %v: %d anticipated gangs, want at least 1; %d tasks of the waiting gang placed, want 4",
+				beyond, len(reserved), len(plan.Assignments))
 		}
 	}
 }
