--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -168,7 +168,7 @@
 	}
 	var stored storedEstimates
 	if err := wire.Unmarshal(item.Value, &stored); err != nil {
-		slog.Error("estimates unreadable", "err", err)
+		slog.Error("stored estimates unreadable; continuing without them", "err", err)
 		return
 	}
 	stored.Estimates.Restore(&f.arrays, &f.runtimes)
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -264,7 +264,7 @@
 	waiting := 0
 	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	backlog := s.jobs.store.Backlog()
-	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
+	slog.Debug("records to write", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
 	slog.Debug("cluster", "machines", usage.machines, "spot", usage.spot, "up", usage.registered, "empty", usage.empty, "cpus", usage.cpus,
 		"free", usage.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
 }
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -51,7 +51,7 @@
 	c.lastList = requestedAt
 	machines, err := c.Cloud.List(ctx)
 	if err != nil {
-		slog.Debug("machines not listed", "err", err)
+		slog.Debug("request for the list of machines failed", "err", err)
 		return false
 	}
 	c.listLength = len(machines)
@@ -72,7 +72,7 @@
 		return true
 	}
 	if err := c.Cloud.Return(ctx, names); err != nil {
-		slog.Debug("machines not returned", "machines", names, "err", err)
+		slog.Debug("return of machines failed; retrying", "machines", names, "err", err)
 		return false
 	}
 	c.loop.submit(machinesReturned{names})
@@ -91,7 +91,7 @@
 	for _, rental := range c.pending {
 		names, err := c.Cloud.Rent(ctx, rental)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-			slog.Debug("rental not answered", "request", rental.Name, "err", err)
+			slog.Debug("rental without a definite response; retrying", "request", rental.Name, "err", err)
 			unanswered = append(unanswered, rental)
 			continue
 		}
@@ -109,7 +109,7 @@
 		return
 	}
 	if c.interval == scalingInterval {
-		slog.Info("cloud does not serve", "pending", len(c.pending))
+		slog.Info("request to the cloud failed; retrying at longer intervals", "pending", len(c.pending))
 	}
 	c.interval = min(2*c.interval, maxScalingInterval)
 }
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -50,7 +50,7 @@
 		list.demand = append(list.demand, reservation)
 	}
 	missing := s.missingArrayCPUs(list.cpus(), list.teams, now)
-	reason := fmt.Sprintf("%d tasks without room, %.0f CPUs more for arrays, room for %d of services to come",
+	reason := fmt.Sprintf("%d tasks unplaced, %.0f more CPUs needed for arrays, %d tasks reserved for anticipated services and gangs",
 		s.scheduler.unplaced, math.Max(0, missing.needed), reserved)
 	missing = s.addArrays(list, waiting.arrays, missing)
 	// The reserve for anticipated arrays, in tasks like those of the last array. CPUs that are still
