--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -13,8 +13,9 @@
 	"tulipshelf/internal/placement"
 )
 
-// reservations is the room that is kept for gangs to come: those of a class that should start
-// sooner than a machine boots find their room only if it is there before them.
+// reservations decides for which anticipated gangs machines are kept free: those of classes that should
+// start sooner than a machine boots. Such a gang starts in time only if its machines are up before it
+// arrives. Only the event loop uses it.
 type reservations struct {
 	*environment
 	topology *topology
@@ -22,9 +23,10 @@
 	forecast *forecast
 }
 
-// gangs returns the gangs to come for which room is kept, the largest of its class each: one of
-// each class that should start sooner than a machine boots, and in turn as many more as gangs
-// usually use room beyond what they do now.
+// gangs returns the anticipated gangs for which machines are kept free, each the size of the largest of
+// its class. There is one for each class that should start sooner than a machine boots. More are added,
+// one class after the other, until they and the unfinished gangs cover the load of gangs that usually
+// arrives. There are none while that load is below 1 CPU.
 func (r *reservations) gangs(now time.Time) (reserved []gangTemplate) {
 	if r.forecast.gangs.Empty() {
 		return nil
@@ -33,11 +35,11 @@
 	if spareCPUs < 1 {
 		return nil
 	}
-	spareCPUs -= r.cpusOfGangs()
-	classes := r.urgentClasses()
-	for more := len(classes) > 0; more; more = spareCPUs > 0 {
-		for _, gang := range classes {
-			if spareCPUs <= 0 && len(reserved) >= len(classes) {
+	spareCPUs -= r.gangCPUs()
+	urgent := r.urgentGangs()
+	for more := len(urgent) > 0; more; more = spareCPUs > 0 {
+		for _, gang := range urgent {
+			if spareCPUs <= 0 && len(reserved) >= len(urgent) {
 				break
 			}
 			reserved = append(reserved, gang)
@@ -47,8 +49,8 @@
 	return reserved
 }
 
-// cpusOfGangs returns what the unfinished gangs use or wait for.
-func (r *reservations) cpusOfGangs() float64 {
+// gangCPUs returns the CPUs that the unfinished gangs use or wait for.
+func (r *reservations) gangCPUs() float64 {
 	cpus := 0.0
 	r.jobs.store.Each(func(j *jobstore.Job) {
 		if j.IsGang() && r.jobs.hasTeam(j) && !j.Cancelled {
@@ -58,9 +60,9 @@
 	return cpus
 }
 
-// urgentClasses returns the largest gang of each class that should start sooner than a machine
-// boots, by the name of the class.
-func (r *reservations) urgentClasses() (gangs []gangTemplate) {
+// urgentGangs returns the largest gang of each class that should start sooner than a machine boots, in
+// the order of the classes' names.
+func (r *reservations) urgentGangs() (gangs []gangTemplate) {
 	for _, class := range slices.Sorted(maps.Keys(r.forecast.largestGangs)) {
 		if r.startsBeforeBoot(class) {
 			gangs = append(gangs, r.forecast.largestGangs[class])
@@ -69,7 +71,8 @@
 	return gangs
 }
 
-// startsBeforeBoot reports whether tasks of a class should start sooner than a machine boots.
+// startsBeforeBoot reports whether jobs of a class should start sooner than a machine of the type that
+// takes longest boots.
 func (r *reservations) startsBeforeBoot(class string) bool {
 	boot := r.topology.slowestBoot()
 	for i := range r.Settings.Objectives {
@@ -82,7 +85,7 @@
 	return false
 }
 
-// asDemand returns the reserved gangs as demand for machines.
+// asDemand returns the anticipated gangs as demand for machines.
 func (r *reservations) asDemand(now time.Time) (demand []autoscaler.Demand) {
 	for _, gang := range r.gangs(now) {
 		demand = append(demand, autoscaler.Demand{Need: gang.state.need, Types: gang.state.types, Zone: gang.state.zone,
@@ -91,20 +94,20 @@
 	return demand
 }
 
-// asJobs returns the reserved gangs for a scheduling pass, which keeps their room free: what is
-// rented for them arrays would take. They come behind all gangs that wait, also those beyond their
-// teams' guarantees, and before arrays.
+// asJobs returns the anticipated gangs as jobs of a scheduling pass, which keeps machines free for them.
+// Guards against reservations without effect: arrays would take the machines that were rented for them.
 //
-// It guards against room that is kept from a gang that is there: one stopped 52 tasks in a second,
-// and each time the machines were kept for others before all of it was free
-// (docs/incidents/inc-f015.md).
+// At equal priority the anticipated gangs come after all waiting gangs, also those beyond their teams'
+// guarantees, and before arrays of the same standing. Guards against machines that are kept from a
+// waiting gang: one such gang preempted 52 tasks in a second, and each time the machines were reserved
+// for anticipated gangs before all of them were free (docs/incidents/inc-f015.md).
 func (r *reservations) asJobs(now time.Time, waiting []placement.Job) (reserved []placement.Job) {
-	behindGuarantees := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
+	anyBeyondGuarantee := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
 	for _, gang := range r.gangs(now) {
 		spec, state := gang.spec, gang.state
 		reserved = append(reserved, placement.Job{
 			Anticipated: true, Gang: true, Team: state.team,
-			Priority: min(spec.Rank(), job.RankStandard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
+			Priority: min(spec.Rank(), job.RankStandard), Arrival: math.MaxUint64, BeyondGuarantee: anyBeyondGuarantee,
 			Need: state.need, Waiting: spec.Tasks, Tasks: spec.Tasks,
 			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			TasksInZone: make([]int, len(r.topology.zones)),
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -12,8 +12,8 @@
 	"tulipshelf/internal/placement"
 )
 
-// scaler decides which machines to return and which rentals to ask for, and takes what the cloud
-// says. Its conversation with the cloud runs beside the event loop (scaler_cloud.go).
+// scaler decides which machines to return and to rent, and applies the cloud's responses. Its state
+// belongs to the event loop; the requests to the cloud run on a goroutine beside it (scaler_cloud.go).
 type scaler struct {
 	*environment
 	topology *topology
@@ -24,39 +24,41 @@
 	sizer    *sizer
 	health   *machineHealth
 
-	refusedUntil map[pool]time.Time // pools that had no capacity lately
-	requested    map[string]string  // why machines were asked for, by rental not yet answered
-	sequence     int                // of rentals of this term
+	refusedUntil      map[pool]time.Time // end of the back-off of pools that had no capacity
+	unansweredRentals map[string]string  // reason of each rental without a response yet, by its name
+	sequence          int                // number of the last rental of this leader
 }
 
-// pool is a kind of machine that is rented as one.
+// pool identifies a kind of machine that the cloud rents out.
 type pool struct {
-	machineType, zone int
+	machineType, zone int // dense indices
 	spot              bool
 }
 
 const (
-	// refusalPause is for how long a pool that had no capacity is left alone.
-	refusalPause = 20 * time.Second
+	// refusalBackoff is the time without requests to a pool after it had no capacity.
+	refusalBackoff = 20 * time.Second
 
-	// minPaidTime is a little less than the 60 s that every machine costs at least.
-	minPaidTime = 55 * time.Second
+	// minIdleReturnAge is the least age at which an idle machine is returned. It is a little below the
+	// 60 s for which every machine is billed at least.
+	minIdleReturnAge = 55 * time.Second
 )
 
 func newScaler(env *environment, topology *topology, jobs *jobTable, machines *machineTable, recovery *recovery,
 	commands *commandSource, sizer *sizer, health *machineHealth) *scaler {
 	return &scaler{environment: env, topology: topology, jobs: jobs, machines: machines, recovery: recovery, commands: commands,
-		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, requested: map[string]string{}}
+		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, unansweredRentals: map[string]string{}}
 }
 
-// scalingPlan is the machines to return and the rentals to ask for.
+// scalingPlan holds the names of the machines to return, and the rentals to request.
 type scalingPlan struct {
 	returns []string
 	rentals []cloud.Rental
 }
 
-// plan decides. Machines with a cancelled task that cannot be stopped are returned also while it is
-// not sure that this controller leads.
+// plan decides which machines to return and to rent. As long as the records are not loaded, the lease is
+// not valid, or machines without a heartbeat may not be replaced yet, it plans only the return of machines
+// with a cancelled task that cannot be stopped.
 func (s *scaler) plan(now time.Time) scalingPlan {
 	if !s.recovery.loaded.Load() || !s.term.Valid() || !s.recovery.mayReplaceMissing(now) {
 		stuck := func(reason agent.RetireReason) bool { return reason == agent.RetireStuckCancelled }
@@ -72,13 +74,14 @@
 		retire(candidates[position], agent.RetireIdle)
 	}
 	plan := scalingPlan{returns: s.health.retired(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
-	if len(s.requested) == 0 { // what was asked for is not in the list of machines yet
+	if len(s.unansweredRentals) == 0 { // machines of unanswered rentals are not in the snapshot yet
 		plan.rentals = s.rentals(decision, pools, demand.reason)
 	}
 	return plan
 }
 
-// snapshotMachines returns the machines that may be kept, and how the autoscaler sees them.
+// snapshotMachines returns the machines of known type and zone that are not retired, and their
+// snapshots for the autoscaler in the same order.
 func (s *scaler) snapshotMachines(now time.Time) ([]*agent.Machine, []autoscaler.Machine) {
 	var candidates []*agent.Machine
 	var snapshots []autoscaler.Machine
@@ -88,7 +91,7 @@
 		}
 		snapshot, _ := s.machines.snapshot(machine, now)
 		expected := !machine.Registered && !machine.Failed && !s.health.bootOverdue(machine, now)
-		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minPaidTime+s.Operator.IdleReturn)
+		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minIdleReturnAge+s.Operator.IdleReturn)
 		candidates = append(candidates, machine)
 		snapshots = append(snapshots, autoscaler.Machine{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Free: snapshot.Free,
 			Usable: snapshot.AcceptsTasks || expected, Empty: s.isEmpty(machine), Idle: idle})
@@ -96,12 +99,13 @@
 	return candidates, snapshots
 }
 
-// isEmpty reports whether nothing is lost when a machine is returned.
+// isEmpty reports whether a machine can be returned without loss: it is registered, holds no task, and
+// the results of all tasks that exited on it are recorded or not needed.
 func (s *scaler) isEmpty(machine *agent.Machine) bool {
 	return machine.Registered && len(machine.Assignments) == 0 && s.commands.allSettled(machine)
 }
 
-// pools returns all that can be rented, with current prices.
+// pools returns all pools of the catalog, with current prices. Pools in their back-off are blocked.
 func (s *scaler) pools(now time.Time) (pools []autoscaler.Pool) {
 	for typeIndex := range s.topology.types {
 		machineType := &s.topology.types[typeIndex]
@@ -123,26 +127,27 @@
 	return pools
 }
 
-// rentals returns the requests to make now: no more than the cloud's rate allows at once. What
-// would wait is decided anew, for what has come by then.
+// rentals returns the rentals to request now, at most as many as the cloud's request rate allows at
+// once. The rest of the decision is dropped: a later plan decides again, for the demand of that time.
 func (s *scaler) rentals(decision autoscaler.Decision, pools []autoscaler.Pool, reason string) (rentals []cloud.Rental) {
 	for _, scaleOut := range decision.ScaleOut[:min(len(decision.ScaleOut), s.Cloud.Ready())] {
 		chosen := pools[scaleOut.Pool]
 		rental := cloud.Rental{Name: s.nextRentalName(), Type: s.topology.types[chosen.Type].Name,
 			Zone: s.topology.zones[chosen.Zone], Spot: chosen.Spot, Count: min(scaleOut.Count, cloud.MaxRent)}
-		s.requested[rental.Name] = reason
+		s.unansweredRentals[rental.Name] = reason
 		rentals = append(rentals, rental)
 	}
 	return rentals
 }
 
-// nextRentalName returns a name of a request that is never used again, by any leader.
+// nextRentalName returns a rental name that no other rental has, whichever leader requests it.
 func (s *scaler) nextRentalName() string {
 	s.sequence++
 	return "r-" + strconv.FormatUint(s.term.Number(), 10) + "-" + strconv.Itoa(s.sequence)
 }
 
-// machinesReturned is the cloud's word that machines are gone, with all that was on them.
+// machinesReturned is the event that the cloud has confirmed a return: the machines are gone, with all
+// tasks on them.
 type machinesReturned struct{ names []string }
 
 func (e machinesReturned) apply(l *Leader) {
@@ -159,7 +164,8 @@
 	slog.Info("machines returned", "machines", e.names)
 }
 
-// machinesRented is the answer to a rental. Fewer names than were asked for are a refusal.
+// machinesRented is the event that the cloud has answered a rental. Fewer names than the rental's Count
+// mean that the pool has no more capacity.
 type machinesRented struct {
 	rental cloud.Rental
 	names  []string
@@ -168,11 +174,11 @@
 func (e machinesRented) apply(l *Leader) { l.scaler.rented(e.rental, e.names, time.Now()) }
 
 func (s *scaler) rented(rental cloud.Rental, names []string, now time.Time) {
-	reason := s.requested[rental.Name]
-	delete(s.requested, rental.Name)
+	reason := s.unansweredRentals[rental.Name]
+	delete(s.unansweredRentals, rental.Name)
 	rentedPool := pool{s.topology.typeIndex[rental.Type], s.topology.zoneIndex[rental.Zone], rental.Spot}
 	if len(names) < rental.Count {
-		s.refusedUntil[rentedPool] = now.Add(refusalPause)
+		s.refusedUntil[rentedPool] = now.Add(refusalBackoff)
 	}
 	slog.Info("machines rented", "request", rental.Name, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
 		"asked", rental.Count, "machines", names, "why", reason)
@@ -181,8 +187,9 @@
 			continue
 		}
 		machine := s.machines.findOrAdd(name, now)
-		// Until the list tells of it, it boots. Taken for one that should send heartbeats, it would
-		// keep a new leader from renting more until reconciliation has timed out.
+		// The machine counts as booting until the list or a heartbeat shows otherwise. Guards against a
+		// scale-out that stalls: a machine from which a heartbeat is expected keeps a new leader from
+		// renting more until reconciliation times out.
 		machine.Listed, machine.Booting = true, !machine.Registered
 		if machine.Type == unknownIndex {
 			machine.Type, machine.Zone, machine.Spot = rentedPool.machineType, rentedPool.zone, rentedPool.spot
@@ -190,10 +197,10 @@
 	}
 }
 
-// machinesListed is the cloud's list of machines, as it was asked for at some time.
+// machinesListed is the event that the cloud has sent its list of machines.
 type machinesListed struct {
-	machines []cloud.Machine
-	askedAt  time.Time
+	machines    []cloud.Machine
+	requestedAt time.Time // when the request was sent
 }
 
 func (e machinesListed) apply(l *Leader) {
@@ -204,7 +211,7 @@
 		listed[e.machines[i].Name] = true
 		l.scaler.applyListed(&e.machines[i], now)
 	}
-	l.scaler.retireUnlisted(listed, e.askedAt)
+	l.scaler.retireUnlisted(listed, e.requestedAt)
 }
 
 func (s *scaler) applyListed(entry *cloud.Machine, now time.Time) {
@@ -222,64 +229,65 @@
 	machine.Booting = entry.Status == cloud.MachineStarting && !machine.Registered
 }
 
-// listLagLeeway is added to twice the time by which lists lag, as the settings give it.
-const listLagLeeway = 2 * time.Second
+// listLagMargin is the margin added to twice the list lag of the settings.
+const listLagMargin = 2 * time.Second
 
-// retireUnlisted gives up machines that the list no longer names. That proves nothing by itself,
-// but the answer to their return does.
-func (s *scaler) retireUnlisted(listed map[string]bool, askedAt time.Time) {
-	lag := 2*s.Settings.Cloud.ListLag + listLagLeeway
+// retireUnlisted retires machines that are missing from the list, if at the time of the request their
+// creation, and their last heartbeat if any, were longer ago than the list may lag. A missing entry does
+// not prove that a machine is gone; the cloud's response to its return does.
+func (s *scaler) retireUnlisted(listed map[string]bool, requestedAt time.Time) {
+	lag := 2*s.Settings.Cloud.ListLag + listLagMargin
 	s.machines.registry.Each(func(machine *agent.Machine) {
-		heardAt := machine.Created
+		lastSeen := machine.Created
 		if machine.Registered {
-			heardAt = machine.LastHeartbeat
+			lastSeen = machine.LastHeartbeat
 		}
-		silentSince := askedAt.Sub(heardAt) > lag && askedAt.Sub(machine.Created) > lag
-		if !listed[machine.Name] && silentSince && machine.RetireReason == agent.NotRetired {
+		unseen := requestedAt.Sub(lastSeen) > lag && requestedAt.Sub(machine.Created) > lag
+		if !listed[machine.Name] && unseen && machine.RetireReason == agent.NotRetired {
 			retire(machine, agent.RetireUnlisted)
 		}
 	})
 }
 
-// clusterUse is what the machines are used for.
-type clusterUse struct {
-	machines, spot, up, empty int
-	cpus, freeCPUs            float64
+// clusterUsage counts machines of known type, and of the registered ones the empty ones and the CPUs.
+type clusterUsage struct {
+	machines, spot, registered, empty int
+	cpus, freeCPUs                    float64
 }
 
-// logCluster logs what the machines are used for, and what waits to be written.
+// logCluster logs the usage of the machines and the backlog of records, if debug messages are enabled.
 func (s *scaler) logCluster(now time.Time, decision autoscaler.Decision) {
 	if !slog.Default().Enabled(s.loop.ctx, slog.LevelDebug) {
 		return
 	}
-	use := s.clusterUse(now)
+	usage := s.clusterUsage(now)
 	waiting := 0
 	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	backlog := s.jobs.store.Backlog()
-	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
-	slog.Debug("cluster", "machines", use.machines, "spot", use.spot, "up", use.up, "empty", use.empty, "cpus", use.cpus,
-		"free", use.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
+	slog.Debug("records to write", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
+	slog.Debug("cluster", "machines", usage.machines, "spot", usage.spot, "up", usage.registered, "empty", usage.empty, "cpus", usage.cpus,
+		"free", usage.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
 }
 
-func (s *scaler) clusterUse(now time.Time) (use clusterUse) {
+func (s *scaler) clusterUsage(now time.Time) (usage clusterUsage) {
 	s.machines.registry.Each(func(machine *agent.Machine) {
 		if machine.Type == unknownIndex {
 			return
 		}
-		use.machines++
+		usage.machines++
 		if machine.Spot {
-			use.spot++
+			usage.spot++
 		}
 		if !machine.Registered {
 			return
 		}
 		snapshot, assignments := s.machines.snapshot(machine, now)
-		use.up++
-		use.cpus += s.topology.types[machine.Type].CPUs
-		use.freeCPUs += snapshot.Free[placement.CPU]
+		usage.registered++
+		usage.cpus += s.topology.types[machine.Type].CPUs
+		usage.freeCPUs += snapshot.Free[placement.CPU]
 		if len(assignments) == 0 {
-			use.empty++
+			usage.empty++
 		}
 	})
-	return use
+	return usage
 }
