--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -15,9 +15,9 @@
 // machine; what counts is by how much they grow from one size to the next.
 var benchSizes = []int{1000, 2000, 4000, 8000}
 
-// records returns the records of services and arrays that fill so many
+// benchRecords returns the records of services and arrays that fill so many
 // machines with three tasks each, and as many waiting tasks as one machine in ten has.
-func records(machines int) (items []benchRecord) {
+func benchRecords(machines int) (items []benchRecord) {
 	// A machine has room for one task of one CPU more, so what waits for two finds none.
 	add := func(i int, shape job.Shape, tasks int, live bool, first int) {
 		id := fmt.Sprintf("wk-%06d", i)
@@ -27,9 +27,9 @@
 			spec.CPUs = 2
 			spec.OneZone = shape == job.Gang
 		}
-		items = append(items, benchRecord{value: jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: 145}})
+		items = append(items, benchRecord{record: jobstore.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli(), ChunkSize: 145}})
 		if live {
-			items[len(items)-1].first, items[len(items)-1].tasks = first, tasks
+			items[len(items)-1].firstTask, items[len(items)-1].liveTasks = first, tasks
 		}
 	}
 	for i := range machines / 40 {
@@ -49,8 +49,8 @@
 
 // benchRecord is a job's record, and which of the live tasks of all jobs are its.
 type benchRecord struct {
-	value        jobstore.Record
-	first, tasks int
+	record               jobstore.Record
+	firstTask, liveTasks int
 }
 
 // newBenchLeader returns a leader with so many machines, all of which have sent a heartbeat.
@@ -61,19 +61,19 @@
 		Store:     config.StoreLimits{RPS: 800, WriteRPS: 300, ValueBytes: 8 << 10, TxnOps: 8},
 		Cloud:     config.CloudLimits{RPS: 10, ListLag: 4 * time.Second},
 		Resources: config.Resources{CPUShare: 1, MemBytes: 1 << 29, MaxSockets: 12_000}})
-	l.takeOver(b, machines)
+	l.loadState(b, machines)
 	l.recovery.loaded.Store(true)
 	return l
 }
 
-// takeOver takes the records and a heartbeat of each machine.
-func (l *Leader) takeOver(b *testing.B, machines int) {
+// loadState takes the records and a heartbeat of each machine.
+func (l *Leader) loadState(b *testing.B, machines int) {
 	now := time.Now()
 	tasks := make([][]agent.ReportedTask, machines)
-	for _, record := range records(machines) {
-		j := l.admit(b, record.value)
-		for task := range record.tasks {
-			index := record.first + task
+	for _, record := range benchRecords(machines) {
+		j := l.admit(b, record.record)
+		for task := range record.liveTasks {
+			index := record.firstTask + task
 			machine := index % machines
 			number := uint64(1)<<24 + uint64(index)
 			attempt := l.jobs.store.StartAttempt(j, task, number, machineName(machine), 1, now)
@@ -97,18 +97,18 @@
 		Incarnation: 1, Sequence: sequence, FencingToken: 2, Tasks: tasks}
 }
 
-func forSizes(b *testing.B, f func(b *testing.B, machines int)) {
+func forEachSize(b *testing.B, f func(b *testing.B, machines int)) {
 	for _, machines := range benchSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { f(b, machines) })
 	}
 }
 
-// BenchmarkPass places what waits on a full cluster.
-func BenchmarkPass(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+// BenchmarkSchedulingPass places what waits on a full cluster.
+func BenchmarkSchedulingPass(b *testing.B) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
 		now := time.Now()
-		l.everySecond(now)
+		l.runPeriodic(now)
 		for b.Loop() {
 			l.machines.registry.At(0).Version++
 			l.scheduler.pass(now)
@@ -116,21 +116,21 @@
 	})
 }
 
-// BenchmarkSecond is what time alone brings about, once a second.
-func BenchmarkSecond(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+// BenchmarkPeriodicChecks is what time alone brings about, once a second.
+func BenchmarkPeriodicChecks(b *testing.B) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
 		now := time.Now()
 		for b.Loop() {
 			now = now.Add(time.Millisecond)
-			l.everySecond(now)
+			l.runPeriodic(now)
 		}
 	})
 }
 
-// BenchmarkReport applies one heartbeat.
-func BenchmarkReport(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+// BenchmarkApplyHeartbeat applies one heartbeat.
+func BenchmarkApplyHeartbeat(b *testing.B) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
 		sequence := uint64(1)
 		for b.Loop() {
@@ -142,9 +142,9 @@
 	})
 }
 
-// BenchmarkLook is what the loop looks at after heartbeats, at most every minRoundInterval.
-func BenchmarkLook(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+// BenchmarkRoundChecks is what the loop looks at after heartbeats, at most every minRoundInterval.
+func BenchmarkRoundChecks(b *testing.B) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
 		now := time.Now()
 		for b.Loop() {
@@ -157,16 +157,16 @@
 
 // BenchmarkTakeover reads all records and applies a heartbeat of each machine.
 func BenchmarkTakeover(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		for b.Loop() {
 			newBenchLeader(b, machines)
 		}
 	})
 }
 
-// BenchmarkSizing works out for which tasks machines are needed.
-func BenchmarkSizing(b *testing.B) {
-	forSizes(b, func(b *testing.B, machines int) {
+// BenchmarkSizerDemand works out for which tasks machines are needed.
+func BenchmarkSizerDemand(b *testing.B) {
+	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
 		now := time.Now()
 		for b.Loop() {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -36,7 +36,7 @@
 // A job whose attempts have failed so often, with none done in between, was probably submitted with
 // a mistake: one task at a time is tried, with an exponential back-off.
 const (
-	failingAfter      = 4
+	minFailedAttempts = 4
 	minFailingBackoff = 2 * time.Second
 	maxFailingBackoff = time.Minute
 )
@@ -66,7 +66,7 @@
 		}
 	}
 	if t.failing[spec.ID] {
-		state.failedAttempts, state.backoff = failingAfter, minFailingBackoff
+		state.failedAttempts, state.backoff = minFailedAttempts, minFailingBackoff
 	}
 	for i := range t.topology.types {
 		state.types[i] = api.Allows(spec, &t.topology.types[i])
@@ -76,7 +76,7 @@
 }
 
 // isFailing reports whether the job seems to fail on every machine.
-func (s *jobState) isFailing() bool { return s.failedAttempts >= failingAfter }
+func (s *jobState) isFailing() bool { return s.failedAttempts >= minFailedAttempts }
 
 // attemptDone resets what earlier failures have brought about.
 func (s *jobState) attemptDone() { s.failedAttempts, s.backoff = 0, 0 }
--- a/internal/leader/jobs_test.go
+++ b/internal/leader/jobs_test.go
@@ -22,7 +22,7 @@
 	j := l.admit(t, arrayRecord("wk-000001", 50))
 	state := l.jobs.states[j]
 	now := time.Now()
-	for attempt := range failingAfter {
+	for attempt := range minFailedAttempts {
 		if state.isFailing() || l.jobs.tasksToStart(j) != 50 {
 			t.Fatalf("after %d failures: failing %v, %d tasks wanted", attempt, state.isFailing(), l.jobs.tasksToStart(j))
 		}
@@ -48,11 +48,11 @@
 func TestEstimatesNameFailingJobs(t *testing.T) {
 	settings := config.Settings{Store: config.StoreLimits{ValueBytes: 8 << 10}}
 	l := newTestLeader(settings)
-	failing, sound := l.admit(t, arrayRecord("wk-000001", 2)), l.admit(t, arrayRecord("wk-000002", 2))
-	for range failingAfter {
+	failing, notFailing := l.admit(t, arrayRecord("wk-000001", 2)), l.admit(t, arrayRecord("wk-000002", 2))
+	for range minFailedAttempts {
 		l.jobs.states[failing].attemptFailed("vm-1", time.Now())
 	}
-	l.jobs.states[sound].attemptFailed("vm-1", time.Now())
+	l.jobs.states[notFailing].attemptFailed("vm-1", time.Now())
 	stored := l.forecast.estimates()
 	if len(stored.Failing) != 1 || stored.Failing[0] != "wk-000001" {
 		t.Errorf("failing jobs: %v", stored.Failing)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -118,8 +118,8 @@
 	return l
 }
 
-// errTermSucceeded ends Run where a write was refused because another term has begun.
-var errTermSucceeded = fmt.Errorf("%w: the compare on the term's key failed", leadership.ErrDeposed)
+// errTermSuperseded ends Run where a write was refused because another term has begun.
+var errTermSuperseded = fmt.Errorf("%w: the compare on the term's key failed", leadership.ErrDeposed)
 
 // Intervals of the loop: how often it looks at what time alone brings about, and the least time
 // between two rounds. Heartbeats come by the hundred a second and a round visits all machines: one
@@ -151,7 +151,7 @@
 func (l *Leader) runRounds(ctx context.Context) error {
 	nextRound := time.NewTimer(maxRoundInterval)
 	defer nextRound.Stop()
-	lastSecond, lastRound := time.Now(), time.Now()
+	lastPeriodic, lastRound := time.Now(), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -159,8 +159,8 @@
 		case event := <-l.loop.events:
 			event.apply(l)
 			l.applyQueued(ctx)
-			if rest := minRoundInterval - time.Since(lastRound); rest > 0 {
-				nextRound.Reset(rest)
+			if remaining := minRoundInterval - time.Since(lastRound); remaining > 0 {
+				nextRound.Reset(remaining)
 				continue
 			}
 		case <-nextRound.C:
@@ -168,11 +168,11 @@
 		now := time.Now()
 		lastRound = now
 		nextRound.Reset(maxRoundInterval)
-		if now.Sub(lastSecond) >= time.Second {
-			lastSecond = now
-			l.everySecond(now)
+		if now.Sub(lastPeriodic) >= time.Second {
+			lastPeriodic = now
+			l.runPeriodic(now)
 		}
-		l.everyRound(now)
+		l.runRound(now)
 	}
 }
 
@@ -183,8 +183,8 @@
 	}
 }
 
-// everyRound is what follows from events at once.
-func (l *Leader) everyRound(now time.Time) {
+// runRound is what follows from events at once.
+func (l *Leader) runRound(now time.Time) {
 	l.scheduler.passIfDue(now)
 	l.writer.writeNext(now)
 	l.dispatcher.sendUrgent(now)
@@ -192,8 +192,8 @@
 	l.forecast.saveIfDue(now)
 }
 
-// everySecond is what time alone brings about.
-func (l *Leader) everySecond(now time.Time) {
+// runPeriodic is what time alone brings about.
+func (l *Leader) runPeriodic(now time.Time) {
 	l.machines.registry.Each(func(machine *agent.Machine) {
 		l.machines.updateLoadIndex(machine, now)
 		l.attempts.drain(machine, now)
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -9,10 +9,10 @@
 	"tulipshelf/internal/config"
 )
 
-// counted is an event that counts how often it was applied.
-type counted struct{ times *int }
+// countingEvent is an event that counts how often it was applied.
+type countingEvent struct{ times *int }
 
-func (e counted) apply(*Leader) { *e.times++ }
+func (e countingEvent) apply(*Leader) { *e.times++ }
 
 // A sender whose event finds no room is refused at once: it must not block the server that it runs
 // in, and comes back.
@@ -20,11 +20,11 @@
 	loop := newEventLoop(context.Background(), 0)
 	applied := 0
 	for range minQueuedEvents {
-		if !loop.trySubmit(counted{&applied}) {
+		if !loop.trySubmit(countingEvent{&applied}) {
 			t.Fatalf("refused after fewer than %d events", minQueuedEvents)
 		}
 	}
-	if loop.trySubmit(counted{&applied}) || loop.call(context.Background(), counted{&applied}) {
+	if loop.trySubmit(countingEvent{&applied}) || loop.call(context.Background(), countingEvent{&applied}) {
 		t.Error("taken beyond the bound")
 	}
 }
@@ -38,11 +38,11 @@
 		defer cancel()
 		applied := 0
 		begin := time.Now()
-		if loop.call(sender, counted{&applied}) || time.Since(begin) != time.Second {
+		if loop.call(sender, countingEvent{&applied}) || time.Since(begin) != time.Second {
 			t.Errorf("not released by its own deadline, after %v", time.Since(begin))
 		}
 		time.AfterFunc(time.Minute, endTerm)
-		if loop.call(context.Background(), counted{&applied}) || time.Since(begin) != time.Minute+time.Second {
+		if loop.call(context.Background(), countingEvent{&applied}) || time.Since(begin) != time.Minute+time.Second {
 			t.Errorf("not released by the term's end, after %v", time.Since(begin))
 		}
 	})
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -90,7 +90,7 @@
 	}
 	state := t.states[machine]
 	if !state.cached || state.version != machine.Version || state.machineType != machine.Type {
-		t.refresh(state, machine)
+		t.refreshCache(state, machine)
 	}
 	for _, assignment := range state.assignments {
 		view.FetchesImage = view.FetchesImage || assignment.RunningSince.IsZero()
@@ -100,8 +100,8 @@
 	return view, state.assignments
 }
 
-// refresh works out anew what is on a machine.
-func (t *machineTable) refresh(state *machineState, machine *agent.Machine) {
+// refreshCache works out anew what is on a machine.
+func (t *machineTable) refreshCache(state *machineState, machine *agent.Machine) {
 	state.cached, state.version, state.machineType = true, machine.Version, machine.Type
 	state.free = t.topology.capacity(machine.Type)
 	state.assignments = machine.SortedAssignments()
@@ -130,8 +130,8 @@
 	if assignment.Job.Spec.Shape == job.Service {
 		return time.Time{}
 	}
-	run := time.Duration(t.forecast.runSeconds(assignment.Job.Spec) * float64(time.Second))
-	return assignment.AssignedAt.Add(run)
+	runTime := time.Duration(t.forecast.runSeconds(assignment.Job.Spec) * float64(time.Second))
+	return assignment.AssignedAt.Add(runTime)
 }
 
 // acceptsTasks reports whether new tasks may be placed on a machine.
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -26,8 +26,8 @@
 	cloudListed bool // the cloud's list of machines has been read
 }
 
-// reconciledShare is the part of the machines whose heartbeats are enough to place tasks.
-const reconciledShare = 0.9
+// minReportedShare is the part of the machines whose heartbeats are enough to place tasks.
+const minReportedShare = 0.9
 
 // ready reports whether reconciliation is over, so that tasks may be placed.
 //
@@ -39,7 +39,7 @@
 	if r.reconciled {
 		return true
 	}
-	if r.timedOut(now) || r.cloudListed && r.reportedShare() >= reconciledShare {
+	if r.timedOut(now) || r.cloudListed && r.reportedShare() >= minReportedShare {
 		r.reconciled = true
 		slog.Info("reconciliation finished", "term", r.term.Number(), "after", now.Sub(r.startedAt).Round(time.Millisecond))
 	}
@@ -80,7 +80,7 @@
 const (
 	catalogPollInterval = 50 * time.Millisecond
 	loadRetryInterval   = 200 * time.Millisecond
-	recordsPage         = 1000
+	recordsPageSize     = 1000
 )
 
 // load reads every unfinished job and returns the revision from which changes are to be watched.
@@ -137,7 +137,7 @@
 // readPage reads the records behind a key, again and again until it succeeds or ctx ends.
 func (l *Leader) readPage(ctx context.Context, lastKey string) (kvstore.Page, error) {
 	for {
-		page, err := l.Store.List(ctx, jobstore.JobPrefix, lastKey, recordsPage, kvstore.PriorityLease)
+		page, err := l.Store.List(ctx, jobstore.JobPrefix, lastKey, recordsPageSize, kvstore.PriorityLease)
 		if err == nil {
 			return page, nil
 		}
--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -26,12 +26,12 @@
 
 // relayState is what the leader holds of one controller that relays.
 type relayState struct {
-	written      [][]byte // by part, the last commands written for its machines
+	lastWritten  [][]byte // by part, the last commands written for its machines
 	firstPart    int      // part to begin with, so that each has its turn
 	writing      bool
 	nextWrite    time.Time
 	lastReceived time.Time       // its last batch of heartbeats
-	resend       map[string]bool // machines whose full heartbeats are needed
+	resendFull   map[string]bool // machines whose full heartbeats are needed
 }
 
 // Times of the relay.
@@ -46,8 +46,8 @@
 	relayWriteInterval = 500 * time.Millisecond
 )
 
-// batchOverhead is what a batch of commands takes beside the commands.
-const batchOverhead = 200
+// batchOverheadBytes is what a batch of commands takes beside the commands.
+const batchOverheadBytes = 200
 
 func newRelayGateway(env *environment, topology *topology, machines *machineTable, heartbeats *heartbeatHandler) *relayGateway {
 	return &relayGateway{environment: env, topology: topology, machines: machines, heartbeats: heartbeats, relays: map[string]*relayState{}}
@@ -94,21 +94,21 @@
 }
 
 func (g *relayGateway) applyBatch(batch *relay.HeartbeatBatch, now time.Time) {
-	state := g.state(batch.Node)
+	state := g.findOrAdd(batch.Node)
 	state.lastReceived = now
 	for i := range batch.Full {
 		heartbeat := batch.Full[i].Heartbeat()
 		g.applyHeartbeat(batch.Node, &heartbeat, now)
-		delete(state.resend, heartbeat.Machine)
+		delete(state.resendFull, heartbeat.Machine)
 	}
 	for i := range batch.Deltas {
 		delta := &batch.Deltas[i]
 		if g.machines.registry.WasReturned(delta.Machine) {
 			continue
 		}
-		base, known := g.base(delta)
+		base, known := g.deltaBase(delta)
 		if !known {
-			state.resend[delta.Machine] = true
+			state.resendFull[delta.Machine] = true
 			continue
 		}
 		heartbeat := delta.Apply(base)
@@ -116,19 +116,19 @@
 	}
 }
 
-func (g *relayGateway) state(node string) *relayState {
+func (g *relayGateway) findOrAdd(node string) *relayState {
 	state := g.relays[node]
 	if state == nil {
 		// As many parts as one write can carry.
 		parts := min(g.Settings.Store.TxnOps, max(1, relay.MaxWrite/g.Settings.Store.ValueBytes))
-		state = &relayState{written: make([][]byte, parts), resend: map[string]bool{}}
+		state = &relayState{lastWritten: make([][]byte, parts), resendFull: map[string]bool{}}
 		g.relays[node] = state
 	}
 	return state
 }
 
-// base returns the heartbeat that a delta is relative to, if this leader has it.
-func (g *relayGateway) base(delta *relay.HeartbeatDelta) (base agent.Heartbeat, known bool) {
+// deltaBase returns the heartbeat that a delta is relative to, if this leader has it.
+func (g *relayGateway) deltaBase(delta *relay.HeartbeatDelta) (base agent.Heartbeat, known bool) {
 	machine := g.machines.registry.Machine(delta.Machine)
 	if machine == nil || machine.Type == unknownIndex || machine.Zone == unknownIndex {
 		return agent.Heartbeat{}, false
@@ -174,30 +174,30 @@
 // commandParts returns the commands for the machines heard through a controller, in as many parts as
 // are written; nil: there are no such machines.
 func (g *relayGateway) commandParts(node string, state *relayState, now time.Time) []relay.CommandBatch {
-	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverhead
-	parts := newCommandParts(len(state.written), g.term.Number(), limit)
-	relaysAny := false
+	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverheadBytes
+	parts := newCommandParts(len(state.lastWritten), g.term.Number(), limit)
+	anyRelayed := false
 	g.machines.registry.Each(func(machine *agent.Machine) {
 		if machine.RelayedBy != node || now.Sub(machine.LastHeartbeat) > g.Operator.UnhealthyAfter {
 			return
 		}
-		relaysAny = true
+		anyRelayed = true
 		commands := relay.MachineCommands{
 			Incarnation: machine.Incarnation,
 			Commands:    relay.CompactCommands(g.heartbeats.commands.forRelayedMachine(machine, now)),
-			ResendFull:  state.resend[machine.Name],
+			ResendFull:  state.resendFull[machine.Name],
 		}
 		if len(commands.Commands) > 0 || commands.ResendFull {
 			parts.add(machine.Index%len(parts.batches), machine.Name, commands)
 		}
 	})
-	for name := range state.resend {
+	for name := range state.resendFull {
 		if machine := g.machines.registry.Machine(name); machine == nil || machine.RelayedBy != node {
-			relaysAny = true
+			anyRelayed = true
 			parts.add(0, name, relay.MachineCommands{ResendFull: true})
 		}
 	}
-	if !relaysAny {
+	if !anyRelayed {
 		return nil
 	}
 	return parts.batches
@@ -209,11 +209,11 @@
 	bytesLeft []int
 }
 
-func newCommandParts(count int, term uint64, limit int) commandParts {
+func newCommandParts(count int, term uint64, limitBytes int) commandParts {
 	parts := commandParts{make([]relay.CommandBatch, count), make([]int, count)}
 	for i := range parts.batches {
 		parts.batches[i] = relay.CommandBatch{Term: term, Machines: map[string]relay.MachineCommands{}}
-		parts.bytesLeft[i] = limit
+		parts.bytesLeft[i] = limitBytes
 	}
 	return parts
 }
@@ -221,8 +221,8 @@
 // add puts a machine's commands into a part, if it has room; otherwise their turn comes once other
 // machines were served.
 func (p commandParts) add(part int, machineName string, commands relay.MachineCommands) {
-	const keyOverhead = 2
-	size := len(machineName) + len(wire.Marshal(commands)) + keyOverhead
+	const keyOverheadBytes = 2
+	size := len(machineName) + len(wire.Marshal(commands)) + keyOverheadBytes
 	if size <= p.bytesLeft[part] {
 		p.bytesLeft[part] -= size
 		p.batches[part].Machines[machineName] = commands
@@ -237,8 +237,8 @@
 	for i := range parts {
 		part := (state.firstPart + i) % len(parts)
 		value := wire.Marshal(parts[part])
-		stillEmpty := len(parts[part].Machines) == 0 && state.written[part] == nil
-		if bytes.Equal(value, state.written[part]) || stillEmpty {
+		emptyAndUnwritten := len(parts[part].Machines) == 0 && state.lastWritten[part] == nil
+		if bytes.Equal(value, state.lastWritten[part]) || emptyAndUnwritten {
 			continue
 		}
 		size += len(value)
@@ -275,6 +275,6 @@
 		return
 	}
 	for part, value := range e.values {
-		e.state.written[part] = value
+		e.state.lastWritten[part] = value
 	}
 }
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -86,7 +86,7 @@
 	slog.Debug("batch met a conflict", "keys", conflict.Keys)
 	for _, key := range conflict.Keys {
 		if key == e.fence.Key && l.term.Fence() == e.fence {
-			l.stop(errTermSucceeded)
+			l.stop(errTermSuperseded)
 			return
 		}
 	}
@@ -201,8 +201,8 @@
 	// advanced so that it may forget them.
 	maxExitedTasks = 40
 
-	// unansweredAfter is how many heartbeats in a row do not show a start before it counts as lost.
-	unansweredAfter = 2
+	// lostStartHeartbeats is how many heartbeats in a row do not show a start before it counts as lost.
+	lostStartHeartbeats = 2
 )
 
 // needsNewTerm reports whether the term is to be advanced: as proof that starts which were never
@@ -215,19 +215,19 @@
 	w.advanceCheckedAt = now
 	needed := false
 	w.machines.registry.Each(func(machine *agent.Machine) {
-		needed = needed || w.waitsForNewTerm(machine)
+		needed = needed || w.machineNeedsNewTerm(machine)
 	})
 	return needed
 }
 
-func (w *recordWriter) waitsForNewTerm(machine *agent.Machine) bool {
+func (w *recordWriter) machineNeedsNewTerm(machine *agent.Machine) bool {
 	// A machine whose heartbeats are relayed forgets nothing, whatever its token.
 	if machine.RelayedBy == "" && machine.ExitedTasks() > maxExitedTasks {
 		return true
 	}
 	for _, assignment := range machine.Assignments {
-		unanswered := assignment.Stopping && assignment.MissedHeartbeats >= unansweredAfter
-		if unanswered && assignment.ID().Term() == w.term.Number() {
+		startLost := assignment.Stopping && assignment.MissedHeartbeats >= lostStartHeartbeats
+		if startLost && assignment.ID().Term() == w.term.Number() {
 			return true
 		}
 	}
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -83,14 +83,14 @@
 	number := job.AttemptNumber(l.term.Number(), 1)
 	assignment := machine.Assign(l.jobs.store.StartAttempt(j, 0, number, machine.Name, 1, now), now)
 	assignment.Stopping = true
-	for missed := range unansweredAfter + 1 {
+	for missed := range lostStartHeartbeats + 1 {
 		assignment.MissedHeartbeats = missed
-		if got := l.writer.waitsForNewTerm(machine); got != (missed == unansweredAfter) {
+		if got := l.writer.machineNeedsNewTerm(machine); got != (missed == lostStartHeartbeats) {
 			t.Errorf("not shown by %d heartbeats: %v", missed, got)
 		}
 	}
 	assignment.Stopping = false
-	if l.writer.waitsForNewTerm(machine) {
+	if l.writer.machineNeedsNewTerm(machine) {
 		t.Error("advanced for a start that is not to be stopped")
 	}
 	later := l.startedAt.Add(advanceInterval)
