--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -11,14 +11,15 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// Sizes at which the work of the leader is measured. Times are not stable from machine to
-// machine; what counts is by how much they grow from one size to the next.
+// benchSizes are the numbers of machines for which each benchmark runs. Absolute times differ between
+// hosts; the relevant result is their growth from one size to the next.
 var benchSizes = []int{1000, 2000, 4000, 8000}
 
-// benchRecords returns the records of services and arrays that fill so many
-// machines with three tasks each, and as many waiting tasks as one machine in ten has.
+// benchRecords returns the records of jobs for the given number of machines. Services and arrays have
+// three live tasks per machine. Further arrays and gangs have 0.4 and 0.04 waiting tasks per machine,
+// which find no room.
 func benchRecords(machines int) (items []benchRecord) {
-	// A machine has room for one task of one CPU more, so what waits for two finds none.
+	// Each machine has one CPU left, so waiting tasks, which need two, find no room.
 	add := func(i int, shape job.Shape, tasks int, live bool, first int) {
 		id := fmt.Sprintf("wk-%06d", i)
 		spec := &job.Spec{ID: id, Class: "class", Team: "crew", Shape: shape, Priority: "standard", Tasks: tasks, CPUs: 1, RAM: 2,
@@ -47,13 +48,13 @@
 	return items
 }
 
-// benchRecord is a job's record, and which of the live tasks of all jobs are its.
+// benchRecord is a job's record, with the range of the job's live tasks among those of all jobs.
 type benchRecord struct {
 	record               jobstore.Record
 	firstTask, liveTasks int
 }
 
-// newBenchLeader returns a leader with so many machines, all of which have sent a heartbeat.
+// newBenchLeader returns a leader with the given number of machines, all of which have sent a heartbeat.
 func newBenchLeader(b *testing.B, machines int) *Leader {
 	b.Helper()
 	l := newTestLeader(config.Settings{
@@ -66,7 +67,7 @@
 	return l
 }
 
-// loadState takes the records and a heartbeat of each machine.
+// loadState applies the records and one heartbeat of each machine.
 func (l *Leader) loadState(b *testing.B, machines int) {
 	now := time.Now()
 	tasks := make([][]agent.ReportedTask, machines)
@@ -79,7 +80,7 @@
 			attempt := l.jobs.store.StartAttempt(j, task, number, machineName(machine), 1, now)
 			attempt.Recorded = true
 			assignment := l.machines.findOrAdd(attempt.Machine, now).Assign(attempt, now)
-			// They end one after the other.
+			// Different times of assignment spread the expected ends over a minute.
 			assignment.FirstSent, assignment.AssignedAt = now, now.Add(-time.Duration(index*7919%60_000)*time.Millisecond)
 			tasks[machine] = append(tasks[machine], agent.ReportedTask{Task: attempt.TaskName(), Attempt: number, Status: agent.StatusRunning})
 		}
@@ -97,13 +98,15 @@
 		Incarnation: 1, Sequence: sequence, FencingToken: 2, Tasks: tasks}
 }
 
+// forEachSize runs a benchmark for each of benchSizes.
 func forEachSize(b *testing.B, f func(b *testing.B, machines int)) {
 	for _, machines := range benchSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { f(b, machines) })
 	}
 }
 
-// BenchmarkSchedulingPass places what waits on a full cluster.
+// BenchmarkSchedulingPass measures a scheduling pass over waiting jobs that find no room on the
+// machines.
 func BenchmarkSchedulingPass(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
@@ -116,7 +119,7 @@
 	})
 }
 
-// BenchmarkPeriodicChecks is what time alone brings about, once a second.
+// BenchmarkPeriodicChecks measures runPeriodic, which the loop runs once per second.
 func BenchmarkPeriodicChecks(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
@@ -128,7 +131,7 @@
 	})
 }
 
-// BenchmarkApplyHeartbeat applies one heartbeat.
+// BenchmarkApplyHeartbeat measures applying one heartbeat.
 func BenchmarkApplyHeartbeat(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
@@ -142,7 +145,8 @@
 	})
 }
 
-// BenchmarkRoundChecks is what the loop looks at after heartbeats, at most every minRoundInterval.
+// BenchmarkRoundChecks measures the steps of a round other than the scheduling pass and the writing of
+// records. The loop runs a round after heartbeats, at most once per minRoundInterval.
 func BenchmarkRoundChecks(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
@@ -155,7 +159,8 @@
 	})
 }
 
-// BenchmarkTakeover reads all records and applies a heartbeat of each machine.
+// BenchmarkTakeover measures building a new leader's state from all records and one heartbeat of each
+// machine.
 func BenchmarkTakeover(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		for b.Loop() {
@@ -164,7 +169,7 @@
 	})
 }
 
-// BenchmarkSizerDemand works out for which tasks machines are needed.
+// BenchmarkSizerDemand measures computing the demand by which the cluster is sized.
 func BenchmarkSizerDemand(b *testing.B) {
 	forEachSize(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, machines)
--- a/internal/leader/fake_node_test.go
+++ b/internal/leader/fake_node_test.go
@@ -8,7 +8,7 @@
 	"tulipshelf/internal/job"
 )
 
-// fakeNode is a controller that knows of no cancellation and no other controller.
+// fakeNode implements Node for a controller without cancellations or peers.
 type fakeNode struct{ types []cloud.Type }
 
 func (n fakeNode) MachineTypes() []cloud.Type            { return n.types }
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -9,32 +9,34 @@
 	"tulipshelf/internal/placement"
 )
 
-// jobTable is the unfinished jobs and what this leader has worked out of each.
+// jobTable holds the unfinished jobs and the state that this leader derives from each.
 type jobTable struct {
 	*environment
 	topology *topology
 	store    *jobstore.Store
 	states   map[*jobstore.Job]*jobState
 
-	// failing holds the IDs of jobs that an earlier leader found to fail on every machine.
+	// failing is the set of IDs of the jobs that the previous leader's estimates name as failing on
+	// every machine.
 	failing map[string]bool
 }
 
-// jobState is what the leader knows of a job beyond its record.
+// jobState is the leader's state of a job beyond the job's record.
 type jobState struct {
-	team  int    // index, or unknownIndex
-	zone  int    // the only one in which its tasks may run, or unknownIndex for any
-	types []bool // allowed machine types, by index
-	need  placement.Amounts
-
-	failedOn       map[string]struct{} // machines on which its tasks failed lately
-	failedAttempts int                 // since the last that was done
-	notBefore      time.Time           // no task starts earlier
-	backoff        time.Duration
+	team  int               // index of the job's team; unknownIndex: not in the settings
+	zone  int               // index of the only zone in which its tasks may run; unknownIndex: any zone
+	types []bool            // allowed machine types, by index
+	need  placement.Amounts // resources of one task
+
+	failedOn       map[string]struct{} // machines on which its tasks have failed
+	failedAttempts int                 // failed attempts since the last that was done
+	notBefore      time.Time           // earliest start of a task; zero: any time
+	backoff        time.Duration       // delay after the next start; zero: not failing
 }
 
-// A job whose attempts have failed so often, with none done in between, was probably submitted with
-// a mistake: one task at a time is tried, with an exponential back-off.
+// Limits for failing jobs. A job with minFailedAttempts failures and no attempt done in between was
+// probably submitted with an error, so one task at a time is tried, with an exponential backoff between
+// the limits.
 const (
 	minFailedAttempts = 4
 	minFailingBackoff = 2 * time.Second
@@ -46,7 +48,8 @@
 		states: map[*jobstore.Job]*jobState{}, failing: map[string]bool{}}
 }
 
-// admit maps a job's names to dense indices. It returns false if the job has been admitted before.
+// admit adds a job with its names mapped to dense indices, and returns its state. It returns false if
+// the job has been admitted before.
 func (t *jobTable) admit(newJob *jobstore.Job) (*jobState, bool) {
 	if state := t.states[newJob]; state != nil {
 		return state, false
@@ -75,13 +78,14 @@
 	return state, true
 }
 
-// isFailing reports whether the job seems to fail on every machine.
+// isFailing reports whether the job counts as failing on every machine.
 func (s *jobState) isFailing() bool { return s.failedAttempts >= minFailedAttempts }
 
-// attemptDone resets what earlier failures have brought about.
+// attemptDone resets the count of failed attempts and the backoff after an attempt was done.
 func (s *jobState) attemptDone() { s.failedAttempts, s.backoff = 0, 0 }
 
-// attemptFailed counts a failure on a machine and reports whether the job now counts as failing.
+// attemptFailed records a failed attempt on a machine and reports whether the job counts as failing. If
+// it does, the machines on which it has failed are cleared.
 func (s *jobState) attemptFailed(machine string, now time.Time) (failing bool) {
 	s.failedOn[machine] = struct{}{}
 	s.failedAttempts++
@@ -92,11 +96,12 @@
 		s.backoff = minFailingBackoff
 		s.notBefore = now.Add(s.backoff)
 	}
-	clear(s.failedOn) // it may be tried anywhere again
+	clear(s.failedOn) // no machine is avoided, as the job is probably at fault
 	return true
 }
 
-// attemptStarted delays the next attempt of a failing job.
+// attemptStarted delays the next attempt of a failing job by its backoff, and doubles the backoff up to
+// maxFailingBackoff.
 func (s *jobState) attemptStarted(now time.Time) {
 	if s.isFailing() {
 		s.notBefore = now.Add(s.backoff)
@@ -104,19 +109,20 @@
 	}
 }
 
-// hasTeam reports whether the job's team is one of the settings'. Others' jobs are never placed.
+// hasTeam reports whether the job's team is in the settings. Jobs of other teams are never placed.
 func (t *jobTable) hasTeam(j *jobstore.Job) bool { return t.states[j].team != unknownIndex }
 
-// opportunistic reports whether a job's team has no guarantee.
+// opportunistic reports whether a job's team has no guarantee. The team must be in the settings
+// (hasTeam).
 func (t *jobTable) opportunistic(j *jobstore.Job) bool {
 	return t.topology.teams[t.states[j].team].Opportunistic()
 }
 
-// tasksToStart returns how many of a job's waiting tasks should start.
+// tasksToStart returns the number of a job's waiting tasks that should start now.
 //
-// It guards against jobs that fail on every machine: all of their tasks were tried again each
-// minute, with as many writes, machines were rented for them, and they counted in their team's
-// guarantee before jobs in order.
+// Exception 7 to the design (docs/placement.md): jobs that fail on every machine try one task at a time.
+// Without the limit all of their tasks were tried again each minute, with as many writes. Machines were
+// rented for them. They also counted against their team's guarantee before jobs that do not fail.
 func (t *jobTable) tasksToStart(j *jobstore.Job) int {
 	startable := j.StartableTasks(t.Node.ValueBytes())
 	if t.states[j].isFailing() && !j.IsGang() {
@@ -125,7 +131,8 @@
 	return startable
 }
 
-// resultSettled reports whether the result of a task is recorded, or needed by nobody.
+// resultSettled reports whether the result of a task is recorded, or not needed: the task's job has
+// ended, or the name is not that of a task.
 func (t *jobTable) resultSettled(taskName string) bool {
 	jobID, task, ok := job.ParseTaskName(taskName)
 	if !ok {
@@ -135,8 +142,8 @@
 	return j == nil || j.ResultDurable(task)
 }
 
-// teamUsage returns the teams' limits and what they use; every attempt counts that is not proven
-// gone.
+// teamUsage returns the limits and the resource usage of the teams, by index. Every attempt that is not
+// proven gone counts as used.
 func (t *jobTable) teamUsage() []placement.Team {
 	usage := make([]placement.Team, len(t.topology.teams))
 	for i := range t.topology.teams {
--- a/internal/leader/jobs_test.go
+++ b/internal/leader/jobs_test.go
@@ -9,14 +9,14 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// arrayRecord returns the record of an array as users submit it.
+// arrayRecord returns the record of an array that has just been submitted.
 func arrayRecord(id string, tasks int) jobstore.Record {
 	spec := &job.Spec{ID: id, Class: "class", Team: "crew", Shape: job.Array, Priority: "standard", Tasks: tasks, CPUs: 1, RAM: 2, ExpectS: 60}
 	return jobstore.Record{Spec: spec, ChunkSize: 100, SubmittedMS: time.Now().UnixMilli()}
 }
 
-// A job that fails on every machine is tried one task at a time, ever later up to a minute, and
-// like any other once a task of it is done.
+// A job that fails on every machine is tried one task at a time, after delays that double up to a
+// minute. Once one of its tasks is done, it is treated like any other job again.
 func TestFailingJobBacksOff(t *testing.T) {
 	l := newTestLeader(config.Settings{})
 	j := l.admit(t, arrayRecord("wk-000001", 50))
@@ -24,27 +24,27 @@
 	now := time.Now()
 	for attempt := range minFailedAttempts {
 		if state.isFailing() || l.jobs.tasksToStart(j) != 50 {
-			t.Fatalf("after %d failures: failing %v, %d tasks wanted", attempt, state.isFailing(), l.jobs.tasksToStart(j))
+			t.Fatalf("after %d failures: isFailing = %v, tasksToStart = %d, want false, 50", attempt, state.isFailing(), l.jobs.tasksToStart(j))
 		}
 		state.attemptFailed("vm-1", now)
 	}
 	if !state.isFailing() || l.jobs.tasksToStart(j) != 1 || len(state.failedOn) != 0 {
-		t.Errorf("failing %v, %d tasks wanted, avoids %d machines", state.isFailing(), l.jobs.tasksToStart(j), len(state.failedOn))
+		t.Errorf("after the last failure: isFailing = %v, tasksToStart = %d, %d machines avoided, want true, 1, 0", state.isFailing(), l.jobs.tasksToStart(j), len(state.failedOn))
 	}
 	for _, want := range []time.Duration{2, 4, 8, 16, 32, 60, 60} {
 		state.attemptStarted(now)
 		if pause := state.notBefore.Sub(now); pause != want*time.Second {
-			t.Errorf("paused for %v, want %v s", pause, int(want))
+			t.Errorf("next start delayed by %v, want %v s", pause, int(want))
 		}
 	}
 	state.attemptDone()
 	if state.isFailing() || l.jobs.tasksToStart(j) != 50 {
-		t.Errorf("after a task was done: failing %v, %d tasks wanted", state.isFailing(), l.jobs.tasksToStart(j))
+		t.Errorf("after a task was done: isFailing = %v, tasksToStart = %d, want false, 50", state.isFailing(), l.jobs.tasksToStart(j))
 	}
 }
 
-// The estimates that a leader keeps tell the next one which jobs fail everywhere: it would start
-// all of their tasks at once.
+// Guards against a new leader that starts all tasks of a job that fails on every machine: the estimates
+// that a leader stores for the next one name these jobs.
 func TestEstimatesNameFailingJobs(t *testing.T) {
 	settings := config.Settings{Store: config.StoreLimits{ValueBytes: 8 << 10}}
 	l := newTestLeader(settings)
@@ -55,11 +55,11 @@
 	l.jobs.states[notFailing].attemptFailed("vm-1", time.Now())
 	stored := l.forecast.estimates()
 	if len(stored.Failing) != 1 || stored.Failing[0] != "wk-000001" {
-		t.Errorf("failing jobs: %v", stored.Failing)
+		t.Errorf("stored failing jobs = %v, want only wk-000001", stored.Failing)
 	}
 	next := newTestLeader(settings)
 	next.jobs.failing[stored.Failing[0]] = true
 	if j := next.admit(t, arrayRecord("wk-000001", 2)); next.jobs.tasksToStart(j) != 1 {
-		t.Errorf("the next leader wants %d tasks", next.jobs.tasksToStart(j))
+		t.Errorf("tasksToStart in the next leader = %d, want 1", next.jobs.tasksToStart(j))
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,10 +1,10 @@
-// Package leader is what a controller does while it leads: it owns the state of jobs and machines,
-// places tasks, sizes the cluster and records every decision before it is acted on.
+// Package leader implements the work of a controller while it is the leader: it owns the state of jobs
+// and machines, places tasks, sizes the cluster, and records every decision before acting on it.
 //
-// All state belongs to one event loop (loop.go). Everything that happens elsewhere (heartbeats,
-// answers of the key-value store, the cloud and worker agents, news from other controllers) reaches
-// it as a typed event. Each concern is a type of its own in a file of its own; this file wires them
-// and says what runs when.
+// All state belongs to one event loop (loop.go). Input from outside the loop (heartbeats, responses of
+// the key-value store, the cloud and worker agents, notifications from other controllers) reaches it as
+// typed events. Each concern is a type of its own in a file of its own; this file wires them together
+// and defines when the loop runs each of them.
 package leader
 
 import (
@@ -21,52 +21,57 @@
 	"tulipshelf/internal/wire"
 )
 
-// Node is what a leader needs of the controller that it runs in. It is safe for concurrent use.
+// Node provides a leader with the services of the controller that it runs in. It is safe for concurrent
+// use.
 type Node interface {
-	// MachineTypes returns the cloud's catalog, or nil as long as it is not known.
+	// MachineTypes returns the cloud's catalog of machine types, or nil until it has been read.
 	MachineTypes() []cloud.Type
-	// ValueBytes returns how large a value the key-value store takes, as far as it has shown.
+	// ValueBytes returns the largest value, in bytes, that the key-value store is assumed to accept. It
+	// drops once the store has refused a value as too large.
 	ValueBytes() int
-	// IsCancelled reports whether the node knows that a job is cancelled, durably.
+	// IsCancelled reports whether this controller has learned that a job's cancellation is durable.
 	IsCancelled(jobID string) bool
-	// ConfirmedGone reports whether a recorded attempt of a cancelled job was shown to be gone.
+	// ConfirmedGone reports whether a heartbeat, received by this or another controller, has proven
+	// that a recorded attempt of a cancelled job is gone.
 	ConfirmedGone(attempt job.AttemptID) bool
-	// MayExtendLeases reports whether the node knows of cancellations recently enough to prolong
-	// the leases of worker agents.
+	// MayExtendLeases reports whether this controller's list of cancellations is recent enough for it
+	// to extend the leases of worker agents.
 	MayExtendLeases() bool
-	// ObserveToken takes a fencing token above the leader's own, seen by a worker agent.
+	// ObserveToken reports to the election a fencing token above the leader's own that a worker agent
+	// has sent. It makes a request to the key-value store, which ctx bounds.
 	ObserveToken(ctx context.Context, token uint64)
 	// TransferLeadership ends the term so that another controller can be elected at once.
 	TransferLeadership()
-	// RedirectedElsewhere returns the largest number of machines that another controller, which
-	// does not lead, has recently been contacted by.
+	// RedirectedElsewhere returns the largest number of machines that recently contacted any single
+	// other controller although it does not lead. It considers only controllers that have responded to
+	// this one within the given time.
 	RedirectedElsewhere(within time.Duration) int
 }
 
-// Config is what a leader works with. All of it outlives the leader.
+// Config holds the settings and dependencies of a leader. All of them outlive the leader.
 type Config struct {
 	Settings *config.Settings
 	Operator config.Operator
 	Store    *kvstore.Client
 	Cloud    *cloud.Client
-	Dial     wire.DialFunc // to worker agents; nil: TCP
+	Dial     wire.DialFunc // for connections to worker agents; nil: TCP
 	Node     Node
 }
 
-// environment is what all concerns of a leader share and none of them changes.
+// environment holds what all concerns of a leader share. Its fields are not reassigned after New.
 type environment struct {
 	Config
 	term      *leadership.Term
-	firstTerm uint64 // the term's number when it began; it grows with each advance
+	firstTerm uint64 // number of the term at the election; each advance raises term.Number above it
 	startedAt time.Time
 	loop      *eventLoop
 }
 
-// Leader is one term's state. Its concerns are touched by the event loop alone, unless a comment
-// on them says otherwise.
+// Leader holds the state of one leadership. Its concerns may be used only on the event loop, unless
+// their comment says otherwise.
 type Leader struct {
 	*environment
-	stop context.CancelCauseFunc // ends the term's context
+	stop context.CancelCauseFunc // cancels the event loop's context with the reason that Run returns
 
 	topology     *topology
 	jobs         *jobTable
@@ -87,8 +92,8 @@
 	transfer     *leadershipTransfer
 }
 
-// New returns a leader for a term that has begun. Heartbeats may be handed to it from then on; they
-// wait until Run has read the records. It ends with ctx.
+// New returns a leader for a term that has begun. HandleHeartbeat may be called at once: heartbeats
+// queue until Run has read the records. The leader ends with ctx.
 func New(ctx context.Context, cfg Config, term *leadership.Term) *Leader {
 	ctx, stop := context.WithCancelCause(ctx)
 	env := &environment{Config: cfg, term: term, firstTerm: term.Number(), startedAt: time.Now(),
@@ -118,19 +123,25 @@
 	return l
 }
 
-// errTermSuperseded ends Run where a write was refused because another term has begun.
+// errTermSuperseded is returned by Run after a batch of records was refused because another term has
+// begun.
 var errTermSuperseded = fmt.Errorf("%w: the compare on the term's key failed", leadership.ErrDeposed)
 
-// Intervals of the loop: how often it looks at what time alone brings about, and the least time
-// between two rounds. Heartbeats come by the hundred a second and a round visits all machines: one
-// round a heartbeat would cost the square of their number.
+// Limits on the time between two rounds of the event loop.
 const (
+	// maxRoundInterval is the longest time without a round while no events arrive.
 	maxRoundInterval = 100 * time.Millisecond
+
+	// minRoundInterval is the shortest time between two rounds. Hundreds of heartbeats arrive per
+	// second and each round visits all machines. With one round per heartbeat the cost would grow
+	// with the square of the number of machines.
 	minRoundInterval = 10 * time.Millisecond
 )
 
-// Run reads the records and then runs the event loop until the leader's context ends or it finds
-// that it is deposed. It returns the reason, which wraps leadership.ErrDeposed in the latter case.
+// Run reads the records and then runs the event loop until the leader's context ends, a batch of records
+// is refused because another term has begun, or the watch on the records cannot continue because its
+// revision was compacted. It returns the reason, which wraps leadership.ErrDeposed if another term has
+// begun.
 func (l *Leader) Run() error {
 	ctx := l.loop.ctx
 	defer l.loop.wait()
@@ -146,8 +157,9 @@
 	return l.runRounds(ctx)
 }
 
-// runRounds applies events as they come, and after them, or after maxRoundInterval without any,
-// does what has become due.
+// runRounds applies events as they arrive. It runs a round after them, but at most once per
+// minRoundInterval, and also after maxRoundInterval without events. Once per second a round begins with
+// runPeriodic.
 func (l *Leader) runRounds(ctx context.Context) error {
 	nextRound := time.NewTimer(maxRoundInterval)
 	defer nextRound.Stop()
@@ -176,6 +188,7 @@
 	}
 }
 
+// applyQueued applies the events that wait in the queue, until it is empty or ctx ends.
 func (l *Leader) applyQueued(ctx context.Context) {
 	for len(l.loop.events) > 0 && ctx.Err() == nil {
 		event := <-l.loop.events
@@ -183,7 +196,8 @@
 	}
 }
 
-// runRound is what follows from events at once.
+// runRound runs the steps that follow from events, as far as they are due: placing tasks, writing
+// records, sending commands and saving estimates.
 func (l *Leader) runRound(now time.Time) {
 	l.scheduler.passIfDue(now)
 	l.writer.writeNext(now)
@@ -192,7 +206,8 @@
 	l.forecast.saveIfDue(now)
 }
 
-// runPeriodic is what time alone brings about.
+// runPeriodic runs, once per second, the checks that depend on the passage of time rather than on an
+// event.
 func (l *Leader) runPeriodic(now time.Time) {
 	l.machines.registry.Each(func(machine *agent.Machine) {
 		l.machines.updateLoadIndex(machine, now)
@@ -205,17 +220,18 @@
 	l.dispatcher.trimConnections()
 }
 
-// Term returns the present number of the leader's term. It is safe for concurrent use.
+// Term returns the current number of the leader's term. It is safe for concurrent use.
 func (l *Leader) Term() uint64 { return l.term.Number() }
 
 // Loaded reports whether the records have been read. It is safe for concurrent use.
 func (l *Leader) Loaded() bool { return l.recovery.loaded.Load() }
 
-// QueuedEvents returns how many events wait for the loop. It is safe for concurrent use.
+// QueuedEvents returns the number of events that wait for the event loop. It is safe for concurrent use.
 func (l *Leader) QueuedEvents() int { return len(l.loop.events) }
 
-// Inspect runs f on the event loop and waits for it; f must not keep the registry. It returns false
-// if the leader ends before. It serves diagnosis and tests.
+// Inspect runs f on the event loop and waits until it has returned; f must not retain the registry.
+// Inspect returns false if the leader ends first. It is meant for diagnosis and tests, and is safe for
+// concurrent use.
 func (l *Leader) Inspect(f func(*agent.Registry)) bool {
 	inspected := inspection{f, make(chan struct{})}
 	l.loop.submit(inspected)
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -5,27 +5,28 @@
 	"sync"
 )
 
-// event is something that has happened. It is applied on the event loop.
+// event is an input of the leader, such as a heartbeat or a response. Its apply method runs on the event
+// loop.
 type event interface{ apply(*Leader) }
 
-// eventLoop is the queue of a leader's events and the lifetime of the goroutines beside the loop.
-// Its methods are safe for concurrent use.
+// eventLoop queues a leader's events and tracks the goroutines that run beside the loop. Its methods are
+// safe for concurrent use.
 type eventLoop struct {
-	ctx        context.Context // ends with the term
+	ctx        context.Context // ends with the leader
 	events     chan event
 	goroutines sync.WaitGroup
 }
 
-// minQueuedEvents is the least number of events that may wait. Otherwise they are bounded by the
-// connections: each has one request in flight.
+// minQueuedEvents is the smallest capacity of the queue. Above it the capacity is the maximum number of
+// sockets, as each connection has at most one request in flight.
 const minQueuedEvents = 512
 
 func newEventLoop(ctx context.Context, maxSockets int) *eventLoop {
 	return &eventLoop{ctx: ctx, events: make(chan event, max(minQueuedEvents, maxSockets))}
 }
 
-// trySubmit queues an event if there is room. It serves events whose news comes again in another
-// way.
+// trySubmit queues an event unless the queue is full, and reports whether it did. It is for events whose
+// content also arrives in another way, so that one may be dropped.
 func (q *eventLoop) trySubmit(e event) bool {
 	select {
 	case q.events <- e:
@@ -35,7 +36,8 @@
 	}
 }
 
-// submit queues an event and waits for room to do so.
+// submit queues an event, and waits while the queue is full. It drops the event if the leader ends
+// first.
 func (q *eventLoop) submit(e event) {
 	select {
 	case q.events <- e:
@@ -43,8 +45,9 @@
 	}
 }
 
-// call queues an event and waits until it was applied. It returns false if there is no room, as
-// the queue is bounded and senders come back, or if ctx or the term ends before.
+// call queues an event and waits until it has been applied. It returns false at once if the queue is
+// full, since senders retry, and also if ctx or the leader ends first. After the end of ctx the event
+// may still be applied.
 func (q *eventLoop) call(ctx context.Context, e event) bool {
 	awaited := awaitedEvent{e, make(chan struct{})}
 	if !q.trySubmit(awaited) {
@@ -59,7 +62,7 @@
 	return false
 }
 
-// awaitedEvent is an event whose sender waits until it was applied.
+// awaitedEvent is an event whose sender waits until it has been applied.
 type awaitedEvent struct {
 	event
 	done chan struct{}
@@ -70,7 +73,7 @@
 	close(e.done)
 }
 
-// start runs f beside the loop; the leader does not end before it has returned.
+// start runs f in a goroutine beside the loop. Leader.Run does not return before f has.
 func (q *eventLoop) start(f func()) {
 	q.goroutines.Add(1)
 	go func() {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -8,12 +8,12 @@
 	"tulipshelf/internal/placement"
 )
 
-// passTrigger says whether something has changed since the last scheduling pass began.
+// passTrigger records whether a change since the start of the last scheduling pass requires another one.
 type passTrigger struct{ requested bool }
 
 func (t *passTrigger) request() { t.requested = true }
 
-// machineTable is the machines and what this leader has worked out of each.
+// machineTable holds the machines and the state that this leader derives from each.
 type machineTable struct {
 	*environment
 	topology *topology
@@ -24,16 +24,17 @@
 	states   map[*agent.Machine]*machineState
 }
 
-// machineState is a machine's load index, and what is on it as placement sees it. The latter is a
-// cache: a pass looks at every machine, and most have changed nothing since the last.
+// machineState holds a machine's load index, and a cache of the part of its snapshot that derives from
+// its type and assignments. A pass takes a snapshot of every machine, and most have not changed since
+// the last pass.
 type machineState struct {
 	loadIndex placement.LoadIndex
 
-	cached      bool
-	version     uint64 // of the machine, when it was cached
-	machineType int
-	free        placement.Amounts
-	tasks       []placement.Task
+	cached      bool                // the fields below are filled in
+	version     uint64              // agent.Machine.Version at that time
+	machineType int                 // index of the machine type at that time
+	free        placement.Amounts   // resources not taken by assignments
+	tasks       []placement.Task    // one per assignment
 	assignments []*agent.Assignment // in the order of tasks
 }
 
@@ -42,8 +43,8 @@
 		registry: agent.NewRegistry(), states: map[*agent.Machine]*machineState{}}
 }
 
-// findOrAdd returns the machine of that name, and makes it if it is new. For one that was returned
-// to the cloud an empty machine stands, as it holds nothing.
+// findOrAdd returns the machine with the given name, and adds it if it is new. For a machine that was
+// returned to the cloud it returns an empty one that is marked as gone and not in the registry.
 func (t *machineTable) findOrAdd(name string, now time.Time) *agent.Machine {
 	machine := t.registry.Add(name, now)
 	if machine == nil {
@@ -57,8 +58,8 @@
 	return machine
 }
 
-// updateLoadIndex feeds a machine's load index with what is on it now, and notes the use of images
-// and since when it is idle.
+// updateLoadIndex updates a machine's load index from its current assignments. It also records the use
+// of their images, and sets IdleSince to now if there are assignments.
 func (t *machineTable) updateLoadIndex(machine *agent.Machine, now time.Time) {
 	var counts placement.Amounts
 	for _, assignment := range machine.Assignments {
@@ -81,8 +82,9 @@
 	}
 }
 
-// snapshot returns a machine as placement sees it, and its assignments in the order of the
-// snapshot's tasks.
+// snapshot returns the snapshot of a machine for package placement, and the machine's assignments in
+// the order of the snapshot's tasks. For a machine that is gone, or whose type or zone is unknown, the
+// snapshot accepts no tasks and there are no assignments.
 func (t *machineTable) snapshot(machine *agent.Machine, now time.Time) (placement.Machine, []*agent.Assignment) {
 	view := placement.Machine{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 	if machine.Gone || machine.Type == unknownIndex || machine.Zone == unknownIndex {
@@ -100,7 +102,7 @@
 	return view, state.assignments
 }
 
-// refreshCache works out anew what is on a machine.
+// refreshCache recomputes the cached part of a machine's snapshot.
 func (t *machineTable) refreshCache(state *machineState, machine *agent.Machine) {
 	state.cached, state.version, state.machineType = true, machine.Version, machine.Type
 	state.free = t.topology.capacity(machine.Type)
@@ -117,7 +119,8 @@
 	}
 }
 
-// gangMembersElsewhere returns how many tasks on other machines lose as much when one task stops.
+// gangMembersElsewhere returns the number of other members of an assigned task's gang, which lose the
+// same progress if the task is stopped. It is 0 for a task that is not in a gang.
 func gangMembersElsewhere(assignment *agent.Assignment) int {
 	if assignment.Job.IsGang() {
 		return assignment.Job.Spec.Tasks - 1
@@ -125,7 +128,8 @@
 	return 0
 }
 
-// expectedEnd returns about when an attempt ends by itself; zero: it does not.
+// expectedEnd returns the estimated time at which an attempt ends by itself, or the zero time for an
+// attempt of a service, which does not.
 func (t *machineTable) expectedEnd(assignment *agent.Assignment) time.Time {
 	if assignment.Job.Spec.Shape == job.Service {
 		return time.Time{}
@@ -141,9 +145,10 @@
 	return t.confirmedPresent(machine) && healthy && staying && now.Sub(machine.LastHeartbeat) < t.Operator.UnhealthyAfter
 }
 
-// confirmedPresent reports whether a machine is known to be there: by its fencing token, which it
-// can only have from an answer of this leader, or by the cloud's list. A heartbeat alone may be a
-// late copy of a machine that was returned before this leader began.
+// confirmedPresent reports whether a registered machine has been proven to exist during this leadership:
+// by a fencing token of this leader, which it can only have from a response of this leader, or by the
+// cloud's list. A heartbeat alone is no proof: it may be a delayed copy from a machine that was returned
+// before this leader was elected.
 func (t *machineTable) confirmedPresent(machine *agent.Machine) bool {
 	return machine.Registered && (machine.FencingToken >= t.firstTerm || machine.Listed)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -15,20 +15,22 @@
 
 // Times of the watch on the records of jobs.
 const (
-	recordsWatchTimeout = 10 * time.Second
-	recordsWatchRetry   = 300 * time.Millisecond
+	recordsWatchTimeout = 10 * time.Second       // wait of one watch request for a change
+	recordsWatchRetry   = 300 * time.Millisecond // delay after a failed watch request
 
-	// recordsWatchPause is between two watches. Changes come in company, this leader's own among
-	// them, and each new watch is a request.
+	// recordsWatchPause is the delay between two watch requests. Changes arrive in bursts, those of this
+	// leader included, and without the delay each change could cost a request.
 	recordsWatchPause = 50 * time.Millisecond
 )
 
-// watchRecords follows the jobs that users submit and cancel on any controller.
+// watchRecords watches the records of jobs, which users submit and cancel through any controller, from a
+// revision until ctx ends. If the revision was compacted, it ends the leader: the next one reads all
+// records again.
 func (l *Leader) watchRecords(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		changes, reached, err := l.Store.Watch(ctx, jobstore.JobPrefix, revision, recordsWatchTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			l.stop(fmt.Errorf("leader: watch of records: %w", err)) // the next term reads everything again
+			l.stop(fmt.Errorf("leader: watch of records: %w", err))
 			return
 		}
 		if err != nil {
@@ -42,7 +44,7 @@
 	}
 }
 
-// recordsChanged is what the watch has seen.
+// recordsChanged carries the changes that the watch has returned.
 type recordsChanged struct{ changes []kvstore.Event }
 
 func (e recordsChanged) apply(l *Leader) {
@@ -51,6 +53,8 @@
 	}
 }
 
+// applyChange applies a change of a job's record. It ignores changes of chunks and of keys that are not
+// a job's.
 func (l *Leader) applyChange(change *kvstore.Event) {
 	if change.Delete != "" {
 		jobID, chunk, ok := jobstore.SplitKey(change.Delete)
@@ -73,7 +77,8 @@
 	}
 }
 
-// applyRecord takes a job's record as it was read or watched.
+// applyRecord applies a job's record that was read or watched: it admits a new job and stops the
+// attempts of a cancelled one. It logs a record that cannot be decoded, and ignores it.
 func (l *Leader) applyRecord(value []byte, revision uint64) {
 	changed, isNews, err := l.jobs.store.ApplyRecord(value, revision)
 	if err != nil {
@@ -89,16 +94,20 @@
 	}
 }
 
-// JobsChanged reads jobs that another controller says have changed. The watch sees them too, but
-// its connection may hang without an error. It is safe for concurrent use.
+// JobsChanged starts a read of the records of jobs that another controller reports as changed. The
+// watch returns the same changes, but its connection may hang without an error. JobsChanged drops the
+// report if the event queue is full. It is safe for concurrent use.
 func (l *Leader) JobsChanged(jobIDs []string) { l.loop.trySubmit(jobsChanged{jobIDs}) }
 
+// jobsChanged carries another controller's report of changed jobs.
 type jobsChanged struct{ jobIDs []string }
 
 func (e jobsChanged) apply(l *Leader) {
 	l.loop.start(func() { l.readRecords(e.jobIDs) })
 }
 
+// readRecords reads the records of jobs and submits a recordRead for each. It ends at the first read
+// that fails.
 func (l *Leader) readRecords(jobIDs []string) {
 	for _, id := range jobIDs {
 		if !job.ValidID(id) {
@@ -112,7 +121,7 @@
 	}
 }
 
-// recordRead is a job's record that was read outside the watch.
+// recordRead carries a job's record that was read outside the watch.
 type recordRead struct{ item kvstore.Item }
 
 func (e recordRead) apply(l *Leader) { l.applyRecord(e.item.Value, e.item.Revision) }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -15,26 +15,28 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// recovery is how far a new leader has got: it reads the records, then waits until heartbeats have
-// shown what is on the machines (reconciliation), and places tasks from then on.
+// recovery tracks the progress of a new leader: it reads the records, then waits for heartbeats to show
+// what is on the machines (reconciliation), and places tasks from then on.
 type recovery struct {
 	*environment
 	registry *agent.Registry
 
 	loaded      atomic.Bool // the records have been read; safe for concurrent use
-	reconciled  bool
-	cloudListed bool // the cloud's list of machines has been read
+	reconciled  bool        // reconciliation is over; it never starts again
+	cloudListed bool        // the cloud's list of machines has been read
 }
 
-// minReportedShare is the part of the machines whose heartbeats are enough to place tasks.
+// minReportedShare is the share of expected machines that must have sent a heartbeat for reconciliation
+// to end early.
 const minReportedShare = 0.9
 
 // ready reports whether reconciliation is over, so that tasks may be placed.
 //
-// Exception to the design (10 s for every new leader): it ends as soon as nearly every machine that
-// the records or the cloud's list name has sent a heartbeat. Otherwise each election cost services
-// all of that time; and of hundreds of machines some are always dying, hanging or cut off, and get
-// no tasks anyway.
+// Exception 1 to the design (docs/placement.md): reconciliation ends early. The design has every new
+// leader wait 10 s. Here the wait ends as soon as nearly every machine named by the records or the
+// cloud's list has sent a heartbeat. Otherwise each election would cost services the full 10 s. Not
+// every machine is required: of hundreds some are always failing, hanging or cut off, and these get no
+// tasks anyway.
 func (r *recovery) ready(now time.Time) bool {
 	if r.reconciled {
 		return true
@@ -46,19 +48,20 @@
 	return r.reconciled
 }
 
-// mayReplaceMissing reports whether machines without a heartbeat may be taken for lost, and others
-// rented in their place.
+// mayReplaceMissing reports whether machines without heartbeats may be treated as lost, and replacements
+// rented: reconciliation is over, and it has timed out or every expected machine has sent a heartbeat.
 func (r *recovery) mayReplaceMissing(now time.Time) bool {
 	return r.ready(now) && (r.timedOut(now) || r.reportedShare() == 1)
 }
 
-// timedOut reports whether the time is over for which a new leader waits for heartbeats.
+// timedOut reports whether the new leader has waited for heartbeats for the operator's ReconcileTimeout.
 func (r *recovery) timedOut(now time.Time) bool {
 	return now.Sub(r.startedAt) >= r.Operator.ReconcileTimeout
 }
 
-// reportedShare returns the part of the machines that should have sent a heartbeat to this leader
-// and have.
+// reportedShare returns the share, from 0 to 1, of expected machines that have sent this leader a
+// heartbeat. Machines without one are expected unless the cloud lists them as starting or failed.
+// Without expected machines the share is 1.
 func (r *recovery) reportedShare() float64 {
 	expected, reported := 0, 0
 	r.registry.Each(func(machine *agent.Machine) {
@@ -76,16 +79,15 @@
 	return float64(reported) / float64(expected)
 }
 
-// Pauses between attempts to read what a new leader needs, and the size of a page of records.
 const (
-	catalogPollInterval = 50 * time.Millisecond
-	loadRetryInterval   = 200 * time.Millisecond
-	recordsPageSize     = 1000
+	catalogPollInterval = 50 * time.Millisecond  // time between checks for the cloud's catalog
+	loadRetryInterval   = 200 * time.Millisecond // delay after a failed read of a page
+	recordsPageSize     = 1000                   // maximum number of keys read per request
 )
 
-// load reads every unfinished job and returns the revision from which changes are to be watched.
-// Writes of earlier leaders that are applied later fail on their compares, so what is read stays
-// true.
+// load waits for the cloud's catalog, reads all unfinished jobs, and returns the revision after which
+// changes are to be watched. What it reads is not invalidated by delayed writes of earlier leaders:
+// these fail on their compares. The error is that of ctx.
 func (l *Leader) load(ctx context.Context) (revision uint64, err error) {
 	for l.Node.MachineTypes() == nil {
 		if !clock.Sleep(ctx, catalogPollInterval) {
@@ -110,8 +112,8 @@
 	return revision, nil
 }
 
-// loadRecords reads all records by pages. It returns the revision of the first page: changes behind
-// it are seen by the watch.
+// loadRecords reads all records and chunks page by page. It returns the revision of the first page: the
+// watch returns the changes after it. A record or chunk that cannot be loaded is logged and skipped.
 func (l *Leader) loadRecords(ctx context.Context) (revision uint64, err error) {
 	lastKey := ""
 	for {
@@ -134,7 +136,8 @@
 	}
 }
 
-// readPage reads the records behind a key, again and again until it succeeds or ctx ends.
+// readPage reads the page of records that follows lastKey, or the first if it is "". It retries until it
+// succeeds or ctx ends; the error is that of ctx.
 func (l *Leader) readPage(ctx context.Context, lastKey string) (kvstore.Page, error) {
 	for {
 		page, err := l.Store.List(ctx, jobstore.JobPrefix, lastKey, recordsPageSize, kvstore.PriorityLease)
@@ -148,8 +151,10 @@
 	}
 }
 
+// errUnexpectedKey is returned for a key below jobstore.JobPrefix that jobstore.SplitKey cannot parse.
 var errUnexpectedKey = errors.New("leader: unexpected key")
 
+// loadRecord loads one record or chunk. A chunk without a record of its job is queued for deletion.
 func (l *Leader) loadRecord(item kvstore.Item) error {
 	jobID, chunk, ok := jobstore.SplitKey(item.Key)
 	if !ok {
@@ -170,7 +175,8 @@
 	return l.jobs.store.LoadChunk(jobID, chunk, item.Value, item.Revision)
 }
 
-// admitJob takes a job into the leader's tables, unless it is there.
+// admitJob adds a job to the leader's tables and to the forecast, and requests a scheduling pass. It
+// does nothing for a job that has been added before.
 func (l *Leader) admitJob(j *jobstore.Job) {
 	state, isNew := l.jobs.admit(j)
 	if !isNew {
--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -14,46 +14,50 @@
 	"tulipshelf/internal/wire"
 )
 
-// relayGateway is the leader's side of the relay: it takes heartbeats that other controllers
-// forward through the key-value store, and writes the commands for the machines behind them.
+// relayGateway is the leader's side of the relay: it applies heartbeats that other controllers forward
+// through the key-value store, and writes the commands for the machines that sent them.
 type relayGateway struct {
 	*environment
 	topology   *topology
 	machines   *machineTable
 	heartbeats *heartbeatHandler
-	relays     map[string]*relayState // by controller
+	relays     map[string]*relayState // by name of the controller that relays
 }
 
-// relayState is what the leader holds of one controller that relays.
+// relayState is the leader's state of one controller that relays. The commands for its machines are
+// divided into parts, each written under a key of its own.
 type relayState struct {
-	lastWritten  [][]byte // by part, the last commands written for its machines
-	firstPart    int      // part to begin with, so that each has its turn
-	writing      bool
-	nextWrite    time.Time
-	lastReceived time.Time       // its last batch of heartbeats
-	resendFull   map[string]bool // machines whose full heartbeats are needed
+	lastWritten  [][]byte        // by part, the encoded commands last written; nil: none
+	firstPart    int             // part with which the next write begins, so that each has its turn
+	writing      bool            // a write of commands is in flight
+	nextWrite    time.Time       // earliest time of the next check for changed commands
+	lastReceived time.Time       // when its last batch of heartbeats was applied
+	resendFull   map[string]bool // names of machines whose next heartbeat must be forwarded in full
 }
 
 // Times of the relay.
 const (
-	relayWatchTimeout = 20 * time.Second
-	relayWatchRetry   = time.Second
-	relayWatchPause   = 200 * time.Millisecond
+	relayWatchTimeout = 20 * time.Second       // wait of one watch request for heartbeats
+	relayWatchRetry   = time.Second            // delay after a failed request
+	relayWatchPause   = 200 * time.Millisecond // delay between two watch requests
 
-	// relayCheckInterval is how often it is checked whether commands have changed, and
-	// relayWriteInterval the least time between two writes of them.
+	// relayCheckInterval is the minimum time between two checks of whether a controller's commands have
+	// changed, and relayWriteInterval the minimum time between two writes of them.
 	relayCheckInterval = 250 * time.Millisecond
 	relayWriteInterval = 500 * time.Millisecond
 )
 
-// batchOverheadBytes is what a batch of commands takes beside the commands.
+// batchOverheadBytes is the size reserved in each batch of commands for its fields other than the
+// commands.
 const batchOverheadBytes = 200
 
 func newRelayGateway(env *environment, topology *topology, machines *machineTable, heartbeats *heartbeatHandler) *relayGateway {
 	return &relayGateway{environment: env, topology: topology, machines: machines, heartbeats: heartbeats, relays: map[string]*relayState{}}
 }
 
-// watchHeartbeats follows the batches of heartbeats that other controllers write.
+// watchHeartbeats watches the batches of heartbeats that other controllers write, until ctx ends. It
+// skips batches written before it starts and, if the revision that it has reached is compacted, those
+// up to the current revision.
 func (g *relayGateway) watchHeartbeats(ctx context.Context) {
 	var revision uint64
 	for ctx.Err() == nil {
@@ -79,7 +83,8 @@
 	}
 }
 
-// heartbeatsRelayed is batches of heartbeats as they were written to the key-value store.
+// heartbeatsRelayed carries changes of the keys under which other controllers write batches of
+// heartbeats.
 type heartbeatsRelayed struct{ changes []kvstore.Event }
 
 func (e heartbeatsRelayed) apply(l *Leader) {
@@ -93,6 +98,8 @@
 	}
 }
 
+// applyBatch applies one controller's batch of heartbeats. A delta whose base this leader does not have
+// is dropped, and the machine's heartbeat requested in full.
 func (g *relayGateway) applyBatch(batch *relay.HeartbeatBatch, now time.Time) {
 	state := g.findOrAdd(batch.Node)
 	state.lastReceived = now
@@ -116,10 +123,11 @@
 	}
 }
 
+// findOrAdd returns the state of the named controller, and adds it if there is none.
 func (g *relayGateway) findOrAdd(node string) *relayState {
 	state := g.relays[node]
 	if state == nil {
-		// As many parts as one write can carry.
+		// As many parts of the maximum size as one transaction can carry, and at least one.
 		parts := min(g.Settings.Store.TxnOps, max(1, relay.MaxWrite/g.Settings.Store.ValueBytes))
 		state = &relayState{lastWritten: make([][]byte, parts), resendFull: map[string]bool{}}
 		g.relays[node] = state
@@ -127,7 +135,8 @@
 	return state
 }
 
-// deltaBase returns the heartbeat that a delta is relative to, if this leader has it.
+// deltaBase returns the heartbeat that a delta is relative to. It returns false if that is not the last
+// one applied for the machine, or the machine's type or zone is unknown.
 func (g *relayGateway) deltaBase(delta *relay.HeartbeatDelta) (base agent.Heartbeat, known bool) {
 	machine := g.machines.registry.Machine(delta.Machine)
 	if machine == nil || machine.Type == unknownIndex || machine.Zone == unknownIndex {
@@ -141,6 +150,8 @@
 	return base, true
 }
 
+// applyHeartbeat applies a heartbeat that a controller has forwarded. It ignores one with a token above
+// the leader's own.
 func (g *relayGateway) applyHeartbeat(node string, heartbeat *agent.Heartbeat, now time.Time) {
 	if heartbeat.FencingToken > g.term.Number() {
 		return
@@ -148,12 +159,12 @@
 	machine := g.heartbeats.apply(heartbeat, now)
 	if machine != nil && isNewest(machine, heartbeat) {
 		machine.RelayedBy = node
-		machine.MarkResponsive() // what goes through the controller reaches it
+		machine.MarkResponsive() // commands reach it through the controller
 	}
 }
 
-// writeCommands writes the commands for machines that are heard through others, where they have
-// changed.
+// writeCommands writes the commands for machines whose heartbeats are relayed, where they have changed.
+// It forgets controllers that have relayed nothing for the operator's UnhealthyAfter.
 func (g *relayGateway) writeCommands(now time.Time) {
 	if len(g.relays) == 0 || !g.term.Valid() {
 		return
@@ -163,7 +174,7 @@
 			continue
 		}
 		if now.Sub(state.lastReceived) > g.Operator.UnhealthyAfter {
-			delete(g.relays, node) // the partition is over
+			delete(g.relays, node) // the network partition has ended
 			continue
 		}
 		state.nextWrite = now.Add(relayCheckInterval)
@@ -171,8 +182,9 @@
 	}
 }
 
-// commandParts returns the commands for the machines heard through a controller, in as many parts as
-// are written; nil: there are no such machines.
+// commandParts returns the commands for the machines whose heartbeats a controller relays, divided into
+// the parts of the controller's state. It returns nil if there are neither such machines nor requests
+// for full heartbeats.
 func (g *relayGateway) commandParts(node string, state *relayState, now time.Time) []relay.CommandBatch {
 	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverheadBytes
 	parts := newCommandParts(len(state.lastWritten), g.term.Number(), limit)
@@ -203,10 +215,10 @@
 	return parts.batches
 }
 
-// commandParts is batches of commands of a bounded size each.
+// commandParts is the commands for one controller's machines, divided into batches of bounded size.
 type commandParts struct {
-	batches   []relay.CommandBatch
-	bytesLeft []int
+	batches   []relay.CommandBatch // by part
+	bytesLeft []int                // by part, the size that commands may still take
 }
 
 func newCommandParts(count int, term uint64, limitBytes int) commandParts {
@@ -218,8 +230,8 @@
 	return parts
 }
 
-// add puts a machine's commands into a part, if it has room; otherwise their turn comes once other
-// machines were served.
+// add adds a machine's commands to a part if they fit. Otherwise they are left out until the commands of
+// other machines have been carried out.
 func (p commandParts) add(part int, machineName string, commands relay.MachineCommands) {
 	const keyOverheadBytes = 2
 	size := len(machineName) + len(wire.Marshal(commands)) + keyOverheadBytes
@@ -229,7 +241,8 @@
 	}
 }
 
-// writeParts writes the parts that have changed, as many as one write can carry.
+// writeParts starts a write of the parts that have changed, as many as fit into one transaction and at
+// least one. The next call begins with the first part that did not fit.
 func (g *relayGateway) writeParts(node string, state *relayState, parts []relay.CommandBatch) {
 	var mutations []kvstore.Mutation
 	values := map[int][]byte{}
@@ -260,11 +273,11 @@
 	})
 }
 
-// commandsRelayed is the answer to a write of commands, or the lack of one.
+// commandsRelayed reports the outcome of a write of commands.
 type commandsRelayed struct {
 	node   string
 	state  *relayState
-	values map[int][]byte // by part
+	values map[int][]byte // by part, the encoded commands written
 	err    error
 }
 
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -11,31 +11,32 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// recordWriter makes the leader's decisions durable: one transaction at a time, conditioned on the
-// leader's term. It also advances the term and deletes what ended jobs have left.
+// recordWriter makes the leader's decisions durable, one transaction at a time, each conditional on the
+// leader's term. It also advances the term and deletes the remaining chunks of ended jobs.
 type recordWriter struct {
 	*environment
 	jobs     *jobTable
 	machines *machineTable
 
-	busy    bool // a transaction or an advance of the term is in flight, or a retry waits
-	garbage []kvstore.Mutation
+	busy    bool               // a request of the writer is in flight, or a retry is pending
+	garbage []kvstore.Mutation // deletions of the remaining chunks of ended jobs
 
-	advancedAt       time.Time
-	advanceCheckedAt time.Time // when it was last checked whether the term is to be advanced
+	advancedAt       time.Time // start of the last advance of the term; zero: none
+	advanceCheckedAt time.Time // last check of whether the term needs to be advanced
 }
 
 func newRecordWriter(env *environment, jobs *jobTable, machines *machineTable) *recordWriter {
 	return &recordWriter{environment: env, jobs: jobs, machines: machines}
 }
 
-// addGarbage takes deletions of what ended jobs have left. They are carried out when nothing else
-// is to be written.
+// addGarbage queues deletions of the remaining chunks of ended jobs. They are executed when there is
+// nothing else to write.
 func (w *recordWriter) addGarbage(deletions ...kvstore.Mutation) {
 	w.garbage = append(w.garbage, deletions...)
 }
 
-// writeNext puts the next transaction in flight.
+// writeNext starts the next transaction, or an advance of the term if one is needed. It does nothing
+// while the writer is busy or the term is not valid.
 func (w *recordWriter) writeNext(now time.Time) {
 	if w.busy || !w.term.Valid() {
 		return
@@ -62,7 +63,8 @@
 	})
 }
 
-// batchWritten is the answer to a batch, or the lack of one.
+// batchWritten reports the outcome of a batch. After kvstore.ErrUnknown the batch may have been executed
+// all the same.
 type batchWritten struct {
 	batch    *jobstore.Batch
 	fence    kvstore.Compare
@@ -93,13 +95,14 @@
 	l.writer.readConflicts(conflict.Keys, e.fence.Key)
 }
 
-// batchCommitted makes recorded starts ready to be sent and drops jobs whose end is recorded.
+// batchCommitted marks the machines of recorded starts for a direct request, and removes jobs whose end
+// is recorded.
 func (l *Leader) batchCommitted(batch *jobstore.Batch, revision uint64) {
 	now := time.Now()
 	starts, ended := l.jobs.store.BatchCommitted(batch, revision)
 	for _, attempt := range starts {
 		if attempt.Job.Cancelled {
-			continue // it was never sent, and stopAttempts takes it back
+			continue // the start was never sent; stopAttempts withdraws it
 		}
 		l.machines.findOrAdd(attempt.Machine, now).MarkUrgent()
 	}
@@ -108,9 +111,11 @@
 	}
 }
 
-// writeRetryInterval is the pause after a transaction that failed or had no answer.
+// writeRetryInterval is the delay before the next write after a batch failed for a reason other than a
+// failed compare, or its outcome is unknown.
 const writeRetryInterval = 100 * time.Millisecond
 
+// retryLater keeps the writer busy for writeRetryInterval.
 func (w *recordWriter) retryLater() {
 	w.busy = true
 	w.loop.start(func() {
@@ -119,12 +124,13 @@
 	})
 }
 
-// writerIdle ends the time in which the writer puts nothing in flight.
+// writerIdle ends the writer's busy state after a delay or after the reads of conflicts.
 type writerIdle struct{}
 
 func (writerIdle) apply(l *Leader) { l.writer.busy = false }
 
-// readConflicts reads what stands under the keys whose compares failed.
+// readConflicts reads the keys whose compares failed, except the fence, and submits a conflictRead for
+// each. The writer is busy until the reads have ended.
 func (w *recordWriter) readConflicts(keys []string, fenceKey string) {
 	w.busy = true
 	w.loop.start(func() {
@@ -135,7 +141,7 @@
 			item, err := w.Store.Get(w.loop.ctx, key, kvstore.PriorityUser)
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				slog.Debug("conflict not read", "key", key, "err", err)
-				continue // the next transaction meets it again
+				continue // the next transaction fails on the same compare and reads the key again
 			}
 			w.loop.submit(conflictRead{key: key, item: item, exists: err == nil})
 		}
@@ -143,11 +149,11 @@
 	})
 }
 
-// conflictRead is what stands under a key whose compare failed.
+// conflictRead is the current state of a key whose compare failed.
 type conflictRead struct {
 	key    string
 	item   kvstore.Item
-	exists bool
+	exists bool // false: the key does not exist, and item is the zero value
 }
 
 func (e conflictRead) apply(l *Leader) {
@@ -165,7 +171,8 @@
 	}
 }
 
-// deleteGarbage deletes some of what ended jobs have left.
+// deleteGarbage starts a transaction with as many of the queued deletions as the limits of the key-value
+// store allow.
 func (w *recordWriter) deleteGarbage(fence kvstore.Compare) {
 	count := min(len(w.garbage), w.Settings.Store.TxnOps, w.Store.WriteBudget(kvstore.PriorityBackground))
 	if count == 0 {
@@ -180,6 +187,8 @@
 	})
 }
 
+// garbageDeleted reports the outcome of a transaction of deletions. After an error they are queued
+// again.
 type garbageDeleted struct {
 	deletions []kvstore.Mutation
 	err       error
@@ -192,21 +201,27 @@
 	}
 }
 
-// Limits of advancing the term.
+// Limits on advancing the term.
 const (
-	advanceInterval      = 10 * time.Second
+	// advanceInterval is the minimum time between two advances, and between the election and the first.
+	advanceInterval = 10 * time.Second
+
+	// advanceCheckInterval is the minimum time between two checks of whether an advance is needed.
 	advanceCheckInterval = time.Second
 
-	// maxExitedTasks is how many exited tasks an agent may keep reporting before the term is
-	// advanced so that it may forget them.
+	// maxExitedTasks is the largest number of exited tasks that an agent may report without the term
+	// being advanced. It is told to forget a task only once its token is above the term of the task's
+	// attempt.
 	maxExitedTasks = 40
 
-	// lostStartHeartbeats is how many heartbeats in a row do not show a start before it counts as lost.
+	// lostStartHeartbeats is the number of consecutive heartbeats that must miss an attempt being
+	// stopped before its start counts as lost.
 	lostStartHeartbeats = 2
 )
 
-// needsNewTerm reports whether the term is to be advanced: as proof that starts which were never
-// answered cannot take effect any more, or to let exited tasks be forgotten.
+// needsNewTerm reports whether the term needs to be advanced: either to prove that lost starts can no
+// longer take effect, or to let agents forget exited tasks. It returns false if the last check was less
+// than advanceCheckInterval ago.
 func (w *recordWriter) needsNewTerm(now time.Time) bool {
 	tooSoon := now.Sub(w.advancedAt) < advanceInterval || now.Sub(w.startedAt) < advanceInterval
 	if tooSoon || now.Sub(w.advanceCheckedAt) < advanceCheckInterval {
@@ -220,8 +235,10 @@
 	return needed
 }
 
+// machineNeedsNewTerm reports whether a machine reports too many exited tasks, or has a lost start of
+// the current term.
 func (w *recordWriter) machineNeedsNewTerm(machine *agent.Machine) bool {
-	// A machine whose heartbeats are relayed forgets nothing, whatever its token.
+	// A machine whose heartbeats are relayed is sent no command to forget a task, whatever its token.
 	if machine.RelayedBy == "" && machine.ExitedTasks() > maxExitedTasks {
 		return true
 	}
@@ -234,6 +251,7 @@
 	return false
 }
 
+// advanceTerm starts an advance of the term. The writer is busy until it has ended.
 func (w *recordWriter) advanceTerm(now time.Time) {
 	w.advancedAt = now
 	w.busy = true
@@ -247,7 +265,7 @@
 	})
 }
 
-// termAdvanced ends an advance of the term, whether it succeeded or not.
+// termAdvanced ends an advance of the term, successful or not.
 type termAdvanced struct{}
 
 func (termAdvanced) apply(l *Leader) {
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -19,14 +19,14 @@
 
 const storeAddr = "10.2.0.1:2379"
 
-// A leader whose term was succeeded learns it from the compare on the term's key, ends with
-// leadership.ErrDeposed and has written nothing since.
+// Guards against writes by a leader after another term has begun. The compare on the term's key refuses
+// its next batch, and Run returns leadership.ErrDeposed.
 func TestDeposedByTheCompareOnTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
 			cancel()
-			time.Sleep(time.Minute) // let what was under way end
+			time.Sleep(time.Minute) // lets requests in flight end
 		}()
 		network, store := fake.NewNetwork(ctx), fake.NewStore()
 		go network.Serve(ctx, storeAddr, store.Handle)
@@ -40,16 +40,16 @@
 		time.Sleep(2 * time.Second)
 		beginNextTerm(t, client)
 		if err := <-ended; !errors.Is(err, leadership.ErrDeposed) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("Run returned %v, want leadership.ErrDeposed", err)
 		}
 		if keys := store.Keys(jobstore.EndKey("")); len(keys) != 0 {
-			t.Errorf("written after the next term began: %v", keys)
+			t.Errorf("job ends written after the next term began: %v", keys)
 		}
 	})
 }
 
-// beginNextTerm writes what an election elsewhere leaves, and a cancelled job, whose end the old
-// leader will want to record.
+// beginNextTerm writes the key that the election of another controller leaves, and the record of a
+// cancelled job, whose end the old leader then tries to record.
 func beginNextTerm(t *testing.T, client *kvstore.Client) {
 	t.Helper()
 	record := jobstore.Record{Spec: arrayRecord("wk-000001", 1).Spec, ChunkSize: 100, CancelledMS: time.Now().UnixMilli()}
@@ -73,8 +73,8 @@
 		Cloud: cloud.New(dial, "10.2.0.2:8443", settings.Cloud.RPS), Node: fakeNode{types: []cloud.Type{{Name: "box", CPUs: 4, Zones: []string{"a"}}}}}
 }
 
-// The term is advanced where only that can show what a start has come to, and where an agent keeps
-// reporting tasks that it may not forget.
+// The term is advanced if a start that is to be stopped has been lost, as only a higher token can prove
+// that it will not take effect.
 func TestTermIsAdvancedForUnansweredStarts(t *testing.T) {
 	l := newTestLeader(config.Settings{})
 	j := l.admit(t, arrayRecord("wk-000001", 2))
@@ -86,19 +86,19 @@
 	for missed := range lostStartHeartbeats + 1 {
 		assignment.MissedHeartbeats = missed
 		if got := l.writer.machineNeedsNewTerm(machine); got != (missed == lostStartHeartbeats) {
-			t.Errorf("not shown by %d heartbeats: %v", missed, got)
+			t.Errorf("start missing from %d heartbeats: machineNeedsNewTerm = %v", missed, got)
 		}
 	}
 	assignment.Stopping = false
 	if l.writer.machineNeedsNewTerm(machine) {
-		t.Error("advanced for a start that is not to be stopped")
+		t.Error("new term needed for a start that is not to be stopped")
 	}
 	later := l.startedAt.Add(advanceInterval)
 	if l.writer.needsNewTerm(later) {
-		t.Error("advanced without need")
+		t.Error("new term needed without a lost start")
 	}
 	assignment.Stopping = true
 	if l.writer.needsNewTerm(later) || !l.writer.needsNewTerm(later.Add(advanceCheckInterval)) {
-		t.Error("checked more often, or more seldom, than once a second")
+		t.Error("need for a new term not checked exactly once per advanceCheckInterval")
 	}
 }
