--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -125,7 +125,7 @@
 
 // errTermSuperseded is returned by Run after a batch of records was refused because another term has
 // begun.
-var errTermSuperseded = fmt.Errorf("%w: the compare on the term's key failed", leadership.ErrDeposed)
+var errTermSuperseded = fmt.Errorf("%w: write refused: the compare on the term's key failed", leadership.ErrDeposed)
 
 // Limits on the time between two rounds of the event loop.
 const (
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -30,11 +30,11 @@
 	for ctx.Err() == nil {
 		changes, reached, err := l.Store.Watch(ctx, jobstore.JobPrefix, revision, recordsWatchTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			l.stop(fmt.Errorf("leader: watch of records: %w", err))
+			l.stop(fmt.Errorf("leader: watch job records after revision %d: %w", revision, err))
 			return
 		}
 		if err != nil {
-			slog.Debug("watch failed", "err", err)
+			slog.Debug("watch of job records failed", "err", err)
 			clock.Sleep(ctx, recordsWatchRetry)
 			continue
 		}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -144,7 +144,7 @@
 		if err == nil {
 			return page, nil
 		}
-		slog.Debug("records not read", "err", err)
+		slog.Debug("page of job records not read", "err", err)
 		if !clock.Sleep(ctx, loadRetryInterval) {
 			return kvstore.Page{}, ctx.Err()
 		}
@@ -152,7 +152,7 @@
 }
 
 // errUnexpectedKey is returned for a key below jobstore.JobPrefix that jobstore.SplitKey cannot parse.
-var errUnexpectedKey = errors.New("leader: unexpected key")
+var errUnexpectedKey = errors.New("leader: key is neither that of a job record nor that of a chunk")
 
 // loadRecord loads one record or chunk. A chunk without a record of its job is queued for deletion.
 func (l *Leader) loadRecord(item kvstore.Item) error {
@@ -163,7 +163,7 @@
 	if chunk < 0 {
 		j, _, err := l.jobs.store.ApplyRecord(item.Value, item.Revision)
 		if err != nil {
-			return fmt.Errorf("leader: %w", err)
+			return fmt.Errorf("leader: load job record: %w", err)
 		}
 		l.admitJob(j)
 		return nil
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -85,7 +85,7 @@
 		l.writer.retryLater()
 		return
 	}
-	slog.Debug("batch met a conflict", "keys", conflict.Keys)
+	slog.Debug("batch not written: compares failed", "keys", conflict.Keys)
 	for _, key := range conflict.Keys {
 		if key == e.fence.Key && l.term.Fence() == e.fence {
 			l.stop(errTermSuperseded)
@@ -140,7 +140,7 @@
 			}
 			item, err := w.Store.Get(w.loop.ctx, key, kvstore.PriorityUser)
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				slog.Debug("conflict not read", "key", key, "err", err)
+				slog.Debug("key of a failed compare not read", "key", key, "err", err)
 				continue // the next transaction fails on the same compare and reads the key again
 			}
 			w.loop.submit(conflictRead{key: key, item: item, exists: err == nil})
