--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -14,46 +14,50 @@
 	"tulipshelf/internal/wire"
 )
 
-// relayGateway is the leader's side of the relay: it takes heartbeats that other controllers
-// forward through the key-value store, and writes the commands for the machines behind them.
+// relayGateway is the leader's side of the relay: it applies heartbeats that other controllers forward
+// through the key-value store, and writes the commands for the machines that sent them.
 type relayGateway struct {
 	*environment
 	topology   *topology
 	machines   *machineTable
 	heartbeats *heartbeatHandler
-	relays     map[string]*relayState // by controller
+	relays     map[string]*relayState // by name of the controller that relays
 }
 
-// relayState is what the leader holds of one controller that relays.
+// relayState is the leader's state of one controller that relays. The commands for its machines are
+// divided into parts, each written under a key of its own.
 type relayState struct {
-	written      [][]byte // by part, the last commands written for its machines
-	firstPart    int      // part to begin with, so that each has its turn
-	writing      bool
-	nextWrite    time.Time
-	lastReceived time.Time       // its last batch of heartbeats
-	resend       map[string]bool // machines whose full heartbeats are needed
+	lastWritten  [][]byte        // by part, the encoded commands last written; nil: none
+	firstPart    int             // part with which the next write begins, so that each has its turn
+	writing      bool            // a write of commands is in flight
+	nextWrite    time.Time       // earliest time of the next check for changed commands
+	lastReceived time.Time       // when its last batch of heartbeats was applied
+	resendFull   map[string]bool // names of machines whose next heartbeat must be forwarded in full
 }
 
 // Times of the relay.
 const (
-	relayWatchTimeout = 20 * time.Second
-	relayWatchRetry   = time.Second
-	relayWatchPause   = 200 * time.Millisecond
+	relayWatchTimeout = 20 * time.Second       // wait of one watch request for heartbeats
+	relayWatchRetry   = time.Second            // delay after a failed request
+	relayWatchPause   = 200 * time.Millisecond // delay between two watch requests
 
-	// relayCheckInterval is how often it is checked whether commands have changed, and
-	// relayWriteInterval the least time between two writes of them.
+	// relayCheckInterval is the minimum time between two checks of whether a controller's commands have
+	// changed, and relayWriteInterval the minimum time between two writes of them.
 	relayCheckInterval = 250 * time.Millisecond
 	relayWriteInterval = 500 * time.Millisecond
 )
 
-// batchOverhead is what a batch of commands takes beside the commands.
-const batchOverhead = 200
+// batchOverheadBytes is the size reserved in each batch of commands for its fields other than the
+// commands.
+const batchOverheadBytes = 200
 
 func newRelayGateway(env *environment, topology *topology, machines *machineTable, heartbeats *heartbeatHandler) *relayGateway {
 	return &relayGateway{environment: env, topology: topology, machines: machines, heartbeats: heartbeats, relays: map[string]*relayState{}}
 }
 
-// watchHeartbeats follows the batches of heartbeats that other controllers write.
+// watchHeartbeats watches the batches of heartbeats that other controllers write, until ctx ends. It
+// skips batches written before it starts and, if the revision that it has reached is compacted, those
+// up to the current revision.
 func (g *relayGateway) watchHeartbeats(ctx context.Context) {
 	var revision uint64
 	for ctx.Err() == nil {
@@ -79,7 +83,8 @@
 	}
 }
 
-// heartbeatsRelayed is batches of heartbeats as they were written to the key-value store.
+// heartbeatsRelayed carries changes of the keys under which other controllers write batches of
+// heartbeats.
 type heartbeatsRelayed struct{ changes []kvstore.Event }
 
 func (e heartbeatsRelayed) apply(l *Leader) {
@@ -93,22 +98,24 @@
 	}
 }
 
+// applyBatch applies one controller's batch of heartbeats. A delta whose base this leader does not have
+// is dropped, and the machine's heartbeat requested in full.
 func (g *relayGateway) applyBatch(batch *relay.HeartbeatBatch, now time.Time) {
-	state := g.state(batch.Node)
+	state := g.findOrAdd(batch.Node)
 	state.lastReceived = now
 	for i := range batch.Full {
 		heartbeat := batch.Full[i].Heartbeat()
 		g.applyHeartbeat(batch.Node, &heartbeat, now)
-		delete(state.resend, heartbeat.Machine)
+		delete(state.resendFull, heartbeat.Machine)
 	}
 	for i := range batch.Deltas {
 		delta := &batch.Deltas[i]
 		if g.machines.registry.WasReturned(delta.Machine) {
 			continue
 		}
-		base, known := g.base(delta)
+		base, known := g.deltaBase(delta)
 		if !known {
-			state.resend[delta.Machine] = true
+			state.resendFull[delta.Machine] = true
 			continue
 		}
 		heartbeat := delta.Apply(base)
@@ -116,19 +123,21 @@
 	}
 }
 
-func (g *relayGateway) state(node string) *relayState {
+// findOrAdd returns the state of the named controller, and adds it if there is none.
+func (g *relayGateway) findOrAdd(node string) *relayState {
 	state := g.relays[node]
 	if state == nil {
-		// As many parts as one write can carry.
+		// As many parts of the maximum size as one transaction can carry, and at least one.
 		parts := min(g.Settings.Store.TxnOps, max(1, relay.MaxWrite/g.Settings.Store.ValueBytes))
-		state = &relayState{written: make([][]byte, parts), resend: map[string]bool{}}
+		state = &relayState{lastWritten: make([][]byte, parts), resendFull: map[string]bool{}}
 		g.relays[node] = state
 	}
 	return state
 }
 
-// base returns the heartbeat that a delta is relative to, if this leader has it.
-func (g *relayGateway) base(delta *relay.HeartbeatDelta) (base agent.Heartbeat, known bool) {
+// deltaBase returns the heartbeat that a delta is relative to. It returns false if that is not the last
+// one applied for the machine, or the machine's type or zone is unknown.
+func (g *relayGateway) deltaBase(delta *relay.HeartbeatDelta) (base agent.Heartbeat, known bool) {
 	machine := g.machines.registry.Machine(delta.Machine)
 	if machine == nil || machine.Type == unknownIndex || machine.Zone == unknownIndex {
 		return agent.Heartbeat{}, false
@@ -141,6 +150,8 @@
 	return base, true
 }
 
+// applyHeartbeat applies a heartbeat that a controller has forwarded. It ignores one with a token above
+// the leader's own.
 func (g *relayGateway) applyHeartbeat(node string, heartbeat *agent.Heartbeat, now time.Time) {
 	if heartbeat.FencingToken > g.term.Number() {
 		return
@@ -148,12 +159,12 @@
 	machine := g.heartbeats.apply(heartbeat, now)
 	if machine != nil && isNewest(machine, heartbeat) {
 		machine.RelayedBy = node
-		machine.MarkResponsive() // what goes through the controller reaches it
+		machine.MarkResponsive() // commands reach it through the controller
 	}
 }
 
-// writeCommands writes the commands for machines that are heard through others, where they have
-// changed.
+// writeCommands writes the commands for machines whose heartbeats are relayed, where they have changed.
+// It forgets controllers that have relayed nothing for the operator's UnhealthyAfter.
 func (g *relayGateway) writeCommands(now time.Time) {
 	if len(g.relays) == 0 || !g.term.Valid() {
 		return
@@ -163,7 +174,7 @@
 			continue
 		}
 		if now.Sub(state.lastReceived) > g.Operator.UnhealthyAfter {
-			delete(g.relays, node) // the partition is over
+			delete(g.relays, node) // the network partition has ended
 			continue
 		}
 		state.nextWrite = now.Add(relayCheckInterval)
@@ -171,65 +182,67 @@
 	}
 }
 
-// commandParts returns the commands for the machines heard through a controller, in as many parts as
-// are written; nil: there are no such machines.
+// commandParts returns the commands for the machines whose heartbeats a controller relays, divided into
+// the parts of the controller's state. It returns nil if there are neither such machines nor requests
+// for full heartbeats.
 func (g *relayGateway) commandParts(node string, state *relayState, now time.Time) []relay.CommandBatch {
-	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverhead
-	parts := newCommandParts(len(state.written), g.term.Number(), limit)
-	relaysAny := false
+	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverheadBytes
+	parts := newCommandParts(len(state.lastWritten), g.term.Number(), limit)
+	anyRelayed := false
 	g.machines.registry.Each(func(machine *agent.Machine) {
 		if machine.RelayedBy != node || now.Sub(machine.LastHeartbeat) > g.Operator.UnhealthyAfter {
 			return
 		}
-		relaysAny = true
+		anyRelayed = true
 		commands := relay.MachineCommands{
 			Incarnation: machine.Incarnation,
 			Commands:    relay.CompactCommands(g.heartbeats.commands.forRelayedMachine(machine, now)),
-			ResendFull:  state.resend[machine.Name],
+			ResendFull:  state.resendFull[machine.Name],
 		}
 		if len(commands.Commands) > 0 || commands.ResendFull {
 			parts.add(machine.Index%len(parts.batches), machine.Name, commands)
 		}
 	})
-	for name := range state.resend {
+	for name := range state.resendFull {
 		if machine := g.machines.registry.Machine(name); machine == nil || machine.RelayedBy != node {
-			relaysAny = true
+			anyRelayed = true
 			parts.add(0, name, relay.MachineCommands{ResendFull: true})
 		}
 	}
-	if !relaysAny {
+	if !anyRelayed {
 		return nil
 	}
 	return parts.batches
 }
 
-// commandParts is batches of commands of a bounded size each.
+// commandParts is the commands for one controller's machines, divided into batches of bounded size.
 type commandParts struct {
-	batches   []relay.CommandBatch
-	bytesLeft []int
+	batches   []relay.CommandBatch // by part
+	bytesLeft []int                // by part, the size that commands may still take
 }
 
-func newCommandParts(count int, term uint64, limit int) commandParts {
+func newCommandParts(count int, term uint64, limitBytes int) commandParts {
 	parts := commandParts{make([]relay.CommandBatch, count), make([]int, count)}
 	for i := range parts.batches {
 		parts.batches[i] = relay.CommandBatch{Term: term, Machines: map[string]relay.MachineCommands{}}
-		parts.bytesLeft[i] = limit
+		parts.bytesLeft[i] = limitBytes
 	}
 	return parts
 }
 
-// add puts a machine's commands into a part, if it has room; otherwise their turn comes once other
-// machines were served.
+// add adds a machine's commands to a part if they fit. Otherwise they are left out until the commands of
+// other machines have been carried out.
 func (p commandParts) add(part int, machineName string, commands relay.MachineCommands) {
-	const keyOverhead = 2
-	size := len(machineName) + len(wire.Marshal(commands)) + keyOverhead
+	const keyOverheadBytes = 2
+	size := len(machineName) + len(wire.Marshal(commands)) + keyOverheadBytes
 	if size <= p.bytesLeft[part] {
 		p.bytesLeft[part] -= size
 		p.batches[part].Machines[machineName] = commands
 	}
 }
 
-// writeParts writes the parts that have changed, as many as one write can carry.
+// writeParts starts a write of the parts that have changed, as many as fit into one transaction and at
+// least one. The next call begins with the first part that did not fit.
 func (g *relayGateway) writeParts(node string, state *relayState, parts []relay.CommandBatch) {
 	var mutations []kvstore.Mutation
 	values := map[int][]byte{}
@@ -237,8 +250,8 @@
 	for i := range parts {
 		part := (state.firstPart + i) % len(parts)
 		value := wire.Marshal(parts[part])
-		stillEmpty := len(parts[part].Machines) == 0 && state.written[part] == nil
-		if bytes.Equal(value, state.written[part]) || stillEmpty {
+		emptyAndUnwritten := len(parts[part].Machines) == 0 && state.lastWritten[part] == nil
+		if bytes.Equal(value, state.lastWritten[part]) || emptyAndUnwritten {
 			continue
 		}
 		size += len(value)
@@ -260,11 +273,11 @@
 	})
 }
 
-// commandsRelayed is the answer to a write of commands, or the lack of one.
+// commandsRelayed reports the outcome of a write of commands.
 type commandsRelayed struct {
 	node   string
 	state  *relayState
-	values map[int][]byte // by part
+	values map[int][]byte // by part, the encoded commands written
 	err    error
 }
 
@@ -275,6 +288,6 @@
 		return
 	}
 	for part, value := range e.values {
-		e.state.written[part] = value
+		e.state.lastWritten[part] = value
 	}
 }
