--- a/internal/autoscaler/demand_history.go
+++ b/internal/autoscaler/demand_history.go
@@ -10,7 +10,7 @@
 // DemandHistory estimates the load that arrivals bring: run time that arrives in a second, which is the
 // number of tasks that run at once on average. The caller sets Memory before the first use and guards it.
 type DemandHistory struct {
-	Memory time.Duration // the past loses all but 1/e of its weight in this time
+	TimeConstant time.Duration // the past loses all but 1/e of its weight in this time
 
 	decayedSeconds float64   // run time that arrived, each arrival weighted by its age at decayedAt
 	firstArrival   time.Time // zero: nothing has arrived
@@ -41,7 +41,7 @@
 		h.firstArrival = at
 	}
 	age := h.decayedAt.Sub(at)
-	h.decayedSeconds += seconds * math.Exp(-age.Seconds()/h.Memory.Seconds())
+	h.decayedSeconds += seconds * math.Exp(-age.Seconds()/h.TimeConstant.Seconds())
 	h.addInterval(at.Sub(h.lastArrival).Seconds())
 	if at.After(h.lastArrival) {
 		h.lastArrival = at
@@ -68,7 +68,7 @@
 		return 0
 	}
 	h.decay(now)
-	memory := h.Memory.Seconds()
+	memory := h.TimeConstant.Seconds()
 	shareSeen := 1 - math.Exp(-now.Sub(h.firstArrival).Seconds()/memory)
 	rate := h.decayedSeconds / (memory * math.Max(shareSeen, minShareSeen))
 	silence := now.Sub(h.lastArrival).Seconds()
@@ -84,7 +84,7 @@
 		h.firstArrival, h.decayedAt = now, now
 	}
 	if passed := now.Sub(h.decayedAt); passed > 0 {
-		h.decayedSeconds *= math.Exp(-passed.Seconds() / h.Memory.Seconds())
+		h.decayedSeconds *= math.Exp(-passed.Seconds() / h.TimeConstant.Seconds())
 		h.decayedAt = now
 	}
 }
--- a/internal/autoscaler/demand_history_test.go
+++ b/internal/autoscaler/demand_history_test.go
@@ -24,7 +24,7 @@
 // TestRateFollowsArrivals fails if the rate is other than what arrives, drops at a silence like others, or
 // keeps machines long after arrivals have ceased.
 func TestRateFollowsArrivals(t *testing.T) {
-	history := DemandHistory{Memory: testMemory}
+	history := DemandHistory{TimeConstant: testMemory}
 	start := time.Unix(0, 0)
 	if history.Rate(start) != 0 {
 		t.Error("load before any arrival")
@@ -44,7 +44,7 @@
 // TestFirstArrivalIsNoFlood fails if a history that has just begun takes its first arrivals for a load that
 // has gone on for as long as it can remember, many times as high.
 func TestFirstArrivalIsNoFlood(t *testing.T) {
-	history := DemandHistory{Memory: testMemory}
+	history := DemandHistory{TimeConstant: testMemory}
 	if !history.Empty() {
 		t.Error("not empty before any arrival")
 	}
@@ -61,7 +61,7 @@
 // a second one for usual, and so keep machines for arrivals that have ceased.
 func TestOneLongSilenceIsNotTheUsualPace(t *testing.T) {
 	const silence = 20 * time.Second
-	history := DemandHistory{Memory: testMemory}
+	history := DemandHistory{TimeConstant: testMemory}
 	now := steadyArrivals(&history, time.Unix(0, 0), 100)
 	now = steadyArrivals(&history, now.Add(silence), 1)
 	if got := history.meanInterval; got > 5 {
@@ -75,7 +75,7 @@
 // TestOldWorkCountsLess fails if what a new leader reads of jobs that arrived before counts as if it came now.
 func TestOldWorkCountsLess(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fresh, aged := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
+	fresh, aged := DemandHistory{TimeConstant: testMemory}, DemandHistory{TimeConstant: testMemory}
 	fresh.Add(1000, now)
 	aged.Add(1000, now)
 	fresh.Add(1000, now)
--- a/internal/autoscaler/estimates_test.go
+++ b/internal/autoscaler/estimates_test.go
@@ -10,7 +10,7 @@
 // has stored.
 func TestEstimatesSurviveChangeOfLeader(t *testing.T) {
 	var estimator, restoredEstimator RuntimeEstimator
-	history, restoredHistory := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
+	history, restoredHistory := DemandHistory{TimeConstant: testMemory}, DemandHistory{TimeConstant: testMemory}
 	now := steadyArrivals(&history, time.Unix(1000, 0), 200)
 	for range 200 {
 		estimator.Add("class", 10, 20)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -66,7 +66,7 @@
 // partition between zones, and with the commands that come through the key-value store. Once the
 // leader is heard again the agent is sent back to it. It returns false where it may not answer.
 func (n *Node) relayHeartbeat(heartbeat *agent.Heartbeat) (response wire.Response, ok bool) {
-	name, term, confirmed := n.candidate.Confirmed(leaderConfirmedWithin)
+	name, term, confirmed := n.candidate.ConfirmedLeader(leaderConfirmedWithin)
 	if !confirmed || !n.mayExtendLeases() || name == n.settings.Node {
 		return wire.Response{}, false
 	}
--- a/internal/controller/leader_node.go
+++ b/internal/controller/leader_node.go
@@ -31,6 +31,6 @@
 
 func (l leaderNode) TransferLeadership() { l.node.candidate.TransferLeadership() }
 
-func (l leaderNode) RedirectedElsewhere(within time.Duration) int {
+func (l leaderNode) MostRedirectedByPeer(within time.Duration) int {
 	return l.node.peers.MostRedirected(within)
 }
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -24,8 +24,8 @@
 	return &attemptTracker{environment: env, jobs: jobs, machines: machines, writer: writer, forecast: forecast, trigger: trigger}
 }
 
-// reconcile stops the live attempts of cancelled jobs and of incomplete gangs.
-func (t *attemptTracker) reconcile(now time.Time) {
+// stopObsolete stops the live attempts of cancelled jobs and of incomplete gangs.
+func (t *attemptTracker) stopObsolete(now time.Time) {
 	t.jobs.store.Each(func(j *jobstore.Job) {
 		t.withdrawIncompleteGang(j, now)
 		if j.Cancelled {
@@ -56,7 +56,7 @@
 // Ending confirmed attempts guards against a new leader that returns machines for tasks that are long
 // gone: the ends of their jobs could not be recorded in time (docs/incidents/inc-b469.md).
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
-	if !t.writer.busy {
+	if !t.writer.requestPending {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
 			t.machines.findOrAdd(attempt.Machine, now).Release(attempt)
 		}
@@ -248,9 +248,9 @@
 // maxGarbageOfJob is a limit above the number of chunks of any job.
 const maxGarbageOfJob = 1 << 20
 
-// renumberUnsent gives new numbers, of the term that has just begun, to attempts that were never sent
+// renumberUnrecorded gives new numbers, of the term that has just begun, to attempts that were never sent
 // because they are not recorded.
-func (t *attemptTracker) renumberUnsent(now time.Time) {
+func (t *attemptTracker) renumberUnrecorded(now time.Time) {
 	t.jobs.store.RenumberUnrecorded(t.term.Number(), func(renumbered jobstore.Renumbered) {
 		attempt := renumbered.Attempt
 		t.machines.findOrAdd(attempt.Machine, now).Renumber(attempt, renumbered.PreviousNumber)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -32,9 +32,9 @@
 	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, neverSettled, now)
 }
 
-// allSettled reports whether the result of every exited task that a machine still reports is recorded,
+// resultsSettled reports whether the result of every exited task that a machine still reports is recorded,
 // or needed by nobody.
-func (c *commandSource) allSettled(machine *agent.Machine) bool {
+func (c *commandSource) resultsSettled(machine *agent.Machine) bool {
 	settled := true
 	machine.EachExited(func(taskName string) { settled = settled && c.jobs.resultSettled(taskName) })
 	return settled
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -182,8 +182,8 @@
 	return client
 }
 
-// forget drops the client of a machine that was returned.
-func (d *dispatcher) forget(machineName string) { delete(d.clients, machineName) }
+// dropClient drops the client of a machine that was returned.
+func (d *dispatcher) dropClient(machineName string) { delete(d.clients, machineName) }
 
 func (d *dispatcher) trimConnections() {
 	for _, client := range d.clients {
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -52,7 +52,7 @@
 
 func newForecast(env *environment, topology *topology, jobs *jobTable) *forecast {
 	return &forecast{environment: env, topology: topology, jobs: jobs, largestGangs: map[string]gangTemplate{},
-		arrays: autoscaler.DemandHistory{Memory: demandMemory}, gangs: autoscaler.DemandHistory{Memory: demandMemory}}
+		arrays: autoscaler.DemandHistory{TimeConstant: demandMemory}, gangs: autoscaler.DemandHistory{TimeConstant: demandMemory}}
 }
 
 // runSeconds returns the estimated run time of a task of a job, in seconds and at least 1: the owner's
@@ -177,6 +177,6 @@
 	}
 	f.restoredUntil = time.UnixMilli(stored.Estimates.DecayedAtMS)
 	for _, id := range stored.Failing {
-		f.jobs.failing[id] = true
+		f.jobs.failingIDs[id] = true
 	}
 }
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -73,8 +73,8 @@
 	return &machineHealth{environment: env, topology: topology, registry: registry, recovery: recovery}
 }
 
-// begin allocates the state of each zone. It is called once the zones are known.
-func (h *machineHealth) begin() { h.lastPartitioned = make([]time.Time, len(h.topology.zones)) }
+// initZones allocates the state of each zone. It is called once the zones are known.
+func (h *machineHealth) initZones() { h.lastPartitioned = make([]time.Time, len(h.topology.zones)) }
 
 // retire marks a machine to be returned to the cloud.
 func retire(machine *agent.Machine, reason agent.RetireReason) {
@@ -326,9 +326,9 @@
 	return false
 }
 
-// retired returns the names of the machines whose RetireReason selected accepts, at most
+// namesToReturn returns the names of the machines whose RetireReason selected accepts, at most
 // cloud.MaxReturn, the limit of one request.
-func (h *machineHealth) retired(selected func(agent.RetireReason) bool) (names []string) {
+func (h *machineHealth) namesToReturn(selected func(agent.RetireReason) bool) (names []string) {
 	h.registry.Each(func(machine *agent.Machine) {
 		if len(names) < cloud.MaxReturn && selected(machine.RetireReason) {
 			names = append(names, machine.Name)
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -16,9 +16,9 @@
 	store    *jobstore.Store
 	states   map[*jobstore.Job]*jobState
 
-	// failing is the set of IDs of the jobs that the previous leader's estimates name as failing on
+	// failingIDs is the set of IDs of the jobs that the previous leader's estimates name as failing on
 	// every machine.
-	failing map[string]bool
+	failingIDs map[string]bool
 }
 
 // jobState is the leader's state of a job beyond the job's record.
@@ -45,7 +45,7 @@
 
 func newJobTable(env *environment, topology *topology) *jobTable {
 	return &jobTable{environment: env, topology: topology, store: jobstore.New(),
-		states: map[*jobstore.Job]*jobState{}, failing: map[string]bool{}}
+		states: map[*jobstore.Job]*jobState{}, failingIDs: map[string]bool{}}
 }
 
 // admit adds a job with its names mapped to dense indices, and returns its state. It returns false if
@@ -68,7 +68,7 @@
 			state.zone = len(t.topology.zones) // a zone without machines
 		}
 	}
-	if t.failing[spec.ID] {
+	if t.failingIDs[spec.ID] {
 		state.failedAttempts, state.backoff = minFailedAttempts, minFailingBackoff
 	}
 	for i := range t.topology.types {
--- a/internal/leader/jobs_test.go
+++ b/internal/leader/jobs_test.go
@@ -58,7 +58,7 @@
 		t.Errorf("stored failing jobs = %v, want only wk-000001", stored.Failing)
 	}
 	next := newTestLeader(settings)
-	next.jobs.failing[stored.Failing[0]] = true
+	next.jobs.failingIDs[stored.Failing[0]] = true
 	if j := next.admit(t, arrayRecord("wk-000001", 2)); next.jobs.tasksToStart(j) != 1 {
 		t.Errorf("tasksToStart in the next leader = %d, want 1", next.jobs.tasksToStart(j))
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -42,10 +42,10 @@
 	ObserveToken(ctx context.Context, token uint64)
 	// TransferLeadership ends the term so that another controller can be elected at once.
 	TransferLeadership()
-	// RedirectedElsewhere returns the largest number of machines that recently contacted any single
+	// MostRedirectedByPeer returns the largest number of machines that recently contacted any single
 	// other controller although it does not lead. It considers only controllers that have responded to
 	// this one within the given time.
-	RedirectedElsewhere(within time.Duration) int
+	MostRedirectedByPeer(within time.Duration) int
 }
 
 // Config holds the settings and dependencies of a leader. All of them outlive the leader.
@@ -213,10 +213,10 @@
 		l.machines.updateLoadIndex(machine, now)
 		l.attempts.drain(machine, now)
 	})
-	l.attempts.reconcile(now)
+	l.attempts.stopObsolete(now)
 	l.health.retireUnhealthy(now)
 	l.dispatcher.probeSilent(now)
-	l.transfer.considerTransfer(now)
+	l.transfer.transferIfDue(now)
 	l.dispatcher.trimConnections()
 }
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -97,7 +97,7 @@
 	for _, assignment := range state.assignments {
 		view.FetchesImage = view.FetchesImage || assignment.RunningSince.IsZero()
 	}
-	view.Free, view.Tasks, view.Load = state.free, state.tasks, state.loadIndex.Value()
+	view.Free, view.Tasks, view.LoadIndex = state.free, state.tasks, state.loadIndex.Value()
 	view.AcceptsTasks = t.acceptsTasks(machine, now)
 	return view, state.assignments
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -96,7 +96,7 @@
 	}
 	l.topology.addTypes(slices.Clone(l.Node.MachineTypes()))
 	l.forecast.restore(ctx)
-	l.health.begin()
+	l.health.initZones()
 	revision, err = l.loadRecords(ctx)
 	if err != nil {
 		return 0, err
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -62,7 +62,7 @@
 func (s *scaler) plan(now time.Time) scalingPlan {
 	if !s.recovery.loaded.Load() || !s.term.Valid() || !s.recovery.mayReplaceMissing(now) {
 		stuck := func(reason agent.RetireReason) bool { return reason == agent.RetireStuckCancelled }
-		return scalingPlan{returns: s.health.retired(stuck)}
+		return scalingPlan{returns: s.health.namesToReturn(stuck)}
 	}
 	s.topology.updatePrices(s.Node.MachineTypes())
 	candidates, machines := s.snapshotMachines(now)
@@ -73,7 +73,7 @@
 	for _, position := range decision.ScaleIn {
 		retire(candidates[position], agent.RetireIdle)
 	}
-	plan := scalingPlan{returns: s.health.retired(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
+	plan := scalingPlan{returns: s.health.namesToReturn(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
 	if len(s.unansweredRentals) == 0 { // machines of unanswered rentals are not in the snapshot yet
 		plan.rentals = s.rentals(decision, pools, demand.reason)
 	}
@@ -102,7 +102,7 @@
 // isEmpty reports whether a machine can be returned without loss: it is registered, holds no task, and
 // the results of all tasks that exited on it are recorded or not needed.
 func (s *scaler) isEmpty(machine *agent.Machine) bool {
-	return machine.Registered && len(machine.Assignments) == 0 && s.commands.allSettled(machine)
+	return machine.Registered && len(machine.Assignments) == 0 && s.commands.resultsSettled(machine)
 }
 
 // pools returns all pools of the catalog, with current prices. Pools in their back-off are blocked.
@@ -158,7 +158,7 @@
 			l.attempts.attemptEnded(machine, outcome, now)
 		}
 		delete(l.machines.states, machine)
-		l.dispatcher.forget(name)
+		l.dispatcher.dropClient(name)
 	}
 	l.scheduler.trigger.request()
 	slog.Info("machines returned", "machines", e.names)
--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -25,7 +25,7 @@
 	cfg := Config{Settings: &settings, Operator: config.DefaultOperator(), Node: fakeNode{types: types}}
 	l := New(context.Background(), cfg, &leadership.Term{})
 	l.topology.addTypes(types)
-	l.health.begin()
+	l.health.initZones()
 	return l
 }
 
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -41,9 +41,9 @@
 	unacknowledgedTransferDelay = time.Minute
 )
 
-// considerTransfer transfers the leadership once shouldTransfer has held for transferDelay. It does
+// transferIfDue transfers the leadership once shouldTransfer has held for transferDelay. It does
 // nothing during the first ReconcileTimeout of a leadership, or while the term is not valid.
-func (t *leadershipTransfer) considerTransfer(now time.Time) {
+func (t *leadershipTransfer) transferIfDue(now time.Time) {
 	if now.Sub(t.startedAt) < t.Operator.ReconcileTimeout || !t.term.Valid() {
 		return // agents are still finding this leader, or another may have been elected
 	}
@@ -69,7 +69,7 @@
 }
 
 func (t *leadershipTransfer) countContacts(now time.Time) contactCounts {
-	counts := contactCounts{redirected: t.Node.RedirectedElsewhere(RedirectionWindow)}
+	counts := contactCounts{redirected: t.Node.MostRedirectedByPeer(RedirectionWindow)}
 	t.registry.Each(func(machine *agent.Machine) {
 		if !machine.Registered {
 			return
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -18,8 +18,8 @@
 	jobs     *jobTable
 	machines *machineTable
 
-	busy    bool               // a request of the writer is in flight, or a retry is pending
-	garbage []kvstore.Mutation // deletions of the remaining chunks of ended jobs
+	requestPending bool               // a request of the writer is in flight, or a retry is pending
+	garbage        []kvstore.Mutation // deletions of the remaining chunks of ended jobs
 
 	advancedAt       time.Time // start of the last advance of the term; zero: none
 	advanceCheckedAt time.Time // last check of whether the term needs to be advanced
@@ -38,7 +38,7 @@
 // writeNext starts the next transaction, or an advance of the term if one is needed. It does nothing
 // while the writer is busy or the term is not valid.
 func (w *recordWriter) writeNext(now time.Time) {
-	if w.busy || !w.term.Valid() {
+	if w.requestPending || !w.term.Valid() {
 		return
 	}
 	if w.needsNewTerm(now) {
@@ -56,7 +56,7 @@
 		w.deleteGarbage(fence)
 		return
 	}
-	w.busy = true
+	w.requestPending = true
 	w.loop.start(func() {
 		revision, err := w.Store.Txn(w.loop.ctx, batch.Compares, batch.Mutations, kvstore.PriorityScheduling)
 		w.loop.submit(batchWritten{batch: batch, fence: fence, revision: revision, err: err})
@@ -73,7 +73,7 @@
 }
 
 func (e batchWritten) apply(l *Leader) {
-	l.writer.busy = false
+	l.writer.requestPending = false
 	if e.err == nil {
 		l.batchCommitted(e.batch, e.revision)
 		return
@@ -117,7 +117,7 @@
 
 // retryLater keeps the writer busy for writeRetryInterval.
 func (w *recordWriter) retryLater() {
-	w.busy = true
+	w.requestPending = true
 	w.loop.start(func() {
 		clock.Sleep(w.loop.ctx, writeRetryInterval)
 		w.loop.submit(writerIdle{})
@@ -127,12 +127,12 @@
 // writerIdle ends the writer's busy state after a delay or after the reads of conflicts.
 type writerIdle struct{}
 
-func (writerIdle) apply(l *Leader) { l.writer.busy = false }
+func (writerIdle) apply(l *Leader) { l.writer.requestPending = false }
 
 // readConflicts reads the keys whose compares failed, except the fence, and submits a conflictRead for
 // each. The writer is busy until the reads have ended.
 func (w *recordWriter) readConflicts(keys []string, fenceKey string) {
-	w.busy = true
+	w.requestPending = true
 	w.loop.start(func() {
 		for _, key := range keys {
 			if key == fenceKey {
@@ -180,7 +180,7 @@
 	}
 	deletions := w.garbage[:count:count]
 	w.garbage = w.garbage[count:]
-	w.busy = true
+	w.requestPending = true
 	w.loop.start(func() {
 		_, err := w.Store.Txn(w.loop.ctx, []kvstore.Compare{fence}, deletions, kvstore.PriorityBackground)
 		w.loop.submit(garbageDeleted{deletions, err})
@@ -195,7 +195,7 @@
 }
 
 func (e garbageDeleted) apply(l *Leader) {
-	l.writer.busy = false
+	l.writer.requestPending = false
 	if e.err != nil {
 		l.writer.addGarbage(e.deletions...)
 	}
@@ -254,7 +254,7 @@
 // advanceTerm starts an advance of the term. The writer is busy until it has ended.
 func (w *recordWriter) advanceTerm(now time.Time) {
 	w.advancedAt = now
-	w.busy = true
+	w.requestPending = true
 	w.loop.start(func() {
 		if err := w.term.Advance(w.loop.ctx); err != nil {
 			slog.Info("term not advanced", "err", err)
@@ -269,6 +269,6 @@
 type termAdvanced struct{}
 
 func (termAdvanced) apply(l *Leader) {
-	l.writer.busy = false
-	l.attempts.renumberUnsent(time.Now())
+	l.writer.requestPending = false
+	l.attempts.renumberUnrecorded(time.Now())
 }
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -20,7 +20,7 @@
 	campaignRetryDelay = 300 * time.Millisecond
 
 	// followInterval is the maximum duration of one watch for a change of leadership, and so
-	// the interval at which an unchanged leader is confirmed (Candidate.Confirmed).
+	// the interval at which an unchanged leader is confirmed (Candidate.ConfirmedLeader).
 	followInterval = 5 * time.Second
 
 	// deferDivisor is the divisor of the lease's TTL that gives the delay by which a candidate
--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -36,10 +36,10 @@
 	return c.view.knownLeader(c.Node)
 }
 
-// Confirmed returns the last known leader and the highest known term. ok reports whether a
+// ConfirmedLeader returns the last known leader and the highest known term. ok reports whether a
 // leader is known and this node has, within the last d, read from the key-value store that
 // another node leads. That read may have named an earlier leader than the one returned.
-func (c *Candidate) Confirmed(d time.Duration) (leader string, term uint64, ok bool) {
+func (c *Candidate) ConfirmedLeader(d time.Duration) (leader string, term uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := &c.view
--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -143,7 +143,7 @@
 		}
 		b := c.start("b")
 		time.Sleep(time.Second)
-		if leader, term, ok := b.Confirmed(2 * time.Second); leader != "a" || term != 1 || !ok {
+		if leader, term, ok := b.ConfirmedLeader(2 * time.Second); leader != "a" || term != 1 || !ok {
 			t.Errorf("b follows %q, term %d, confirmed %v; want \"a\", term 1, confirmed", leader, term, ok)
 		}
 		a.stop()
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -88,7 +88,7 @@
 			break
 		}
 		outcome.slowest = max(outcome.slowest, p.imageRankOn(gang, machineIndex))
-		outcome.totalCost += p.machines[machineIndex].Load
+		outcome.totalCost += p.machines[machineIndex].LoadIndex
 		p.assign(gang, machineIndex)
 		placed++
 	}
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -12,7 +12,7 @@
 	Zone         int     // dense index of the zone; negative: unknown, nothing is placed on it
 	Spot         bool    // spot instance, which the cloud may reclaim at any time
 	Free         Amounts // resources that no task has booked
-	Load         float64 // value of its LoadIndex
+	LoadIndex    float64 // value of its LoadIndex
 	FetchesImage bool    // an image is being fetched to it
 	Tasks        []Task  // booked tasks, which preemption and reservations read
 }
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -42,7 +42,7 @@
 func (p *pass) compareMachines(job *Job, a, b int) int {
 	return cmp.Or(
 		cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b)),
-		cmp.Compare(p.machines[a].Load, p.machines[b].Load),
+		cmp.Compare(p.machines[a].LoadIndex, p.machines[b].LoadIndex),
 		a-b)
 }
 
--- a/internal/placement/ranking_test.go
+++ b/internal/placement/ranking_test.go
@@ -12,12 +12,12 @@
 		images   []ImageState
 		want     int
 	}{
-		{"lowest load index", []Machine{{Load: 3}, {Load: 1}, {Load: 2}}, nil, 1},
-		{"first of equals", []Machine{{Load: 2}, {Load: 1}, {Load: 1}}, nil, 1},
-		{"image on the machine before image being fetched", []Machine{{Load: 1}, {Load: 9}}, []ImageState{ImageFetching, ImageReady}, 1},
-		{"image being fetched before a new fetch", []Machine{{Load: 1}, {Load: 9, FetchesImage: fetching}}, []ImageState{ImageMissing, ImageFetching}, 1},
-		{"single fetch before parallel fetch", []Machine{{Load: 1, FetchesImage: fetching}, {Load: 9}}, []ImageState{ImageMissing, ImageMissing}, 1},
-		{"lowest load index of equal image states", []Machine{{Load: 2}, {Load: 1}}, []ImageState{ImageReady, ImageReady}, 1},
+		{"lowest load index", []Machine{{LoadIndex: 3}, {LoadIndex: 1}, {LoadIndex: 2}}, nil, 1},
+		{"first of equals", []Machine{{LoadIndex: 2}, {LoadIndex: 1}, {LoadIndex: 1}}, nil, 1},
+		{"image on the machine before image being fetched", []Machine{{LoadIndex: 1}, {LoadIndex: 9}}, []ImageState{ImageFetching, ImageReady}, 1},
+		{"image being fetched before a new fetch", []Machine{{LoadIndex: 1}, {LoadIndex: 9, FetchesImage: fetching}}, []ImageState{ImageMissing, ImageFetching}, 1},
+		{"single fetch before parallel fetch", []Machine{{LoadIndex: 1, FetchesImage: fetching}, {LoadIndex: 9}}, []ImageState{ImageMissing, ImageMissing}, 1},
+		{"lowest load index of equal image states", []Machine{{LoadIndex: 2}, {LoadIndex: 1}}, []ImageState{ImageReady, ImageReady}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for position := range test.machines {
--- a/internal/placement/snapshot_test.go
+++ b/internal/placement/snapshot_test.go
@@ -41,7 +41,7 @@
 			Spot:         oneIn(random, 4),
 			FetchesImage: oneIn(random, 3),
 			Free:         Amounts{CPU: 4, Memory: 16},
-			Load:         float64(random.IntN(12)),
+			LoadIndex:    float64(random.IntN(12)),
 		}
 		for machine.Free[CPU] > 0 && (full || !oneIn(random, 3)) {
 			task := Task{
--- a/internal/placement/traces_test.go
+++ b/internal/placement/traces_test.go
@@ -108,7 +108,7 @@
 		Zone:         fields.integer("zone", 0),
 		Spot:         fields.flag("spot"),
 		FetchesImage: fields.flag("fetches-image"),
-		Load:         fields.number("load", 0),
+		LoadIndex:    fields.number("load", 0),
 		Free:         Amounts{CPU: fields.number("cpu", 4), Memory: fields.number("ram", 16)},
 	}
 	for _, word := range fields.words {
