--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -281,8 +281,8 @@
 	now := startTime.Add(maxDeferral)
 	store.EndAttempt(last, true, now)
 	store.EndAttempt(overdue, true, startTime)
-	store.EndAttempt(due, true, now.Add(-deferral))
-	store.EndAttempt(notDue, true, now.Add(-deferral+1))
+	store.EndAttempt(due, true, now.Add(-minDeferral))
+	store.EndAttempt(notDue, true, now.Add(-minDeferral+1))
 	start(store, addArray(t, store, "wk-000002", 4, 13), 0, now)
 	addCancelledArray(t, store, "wk-000004", 1, 11)
 
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -11,7 +11,7 @@
 // they are recorded the worker keeps reporting them, or the next leader finds them again, and no
 // answer to a user or worker relies on them.
 const (
-	deferral    = 2 * time.Second  // the least wait; then they use what write rate is to spare
+	minDeferral = 2 * time.Second  // the least wait; then they use what write rate is to spare
 	maxDeferral = 12 * time.Second // the wait after which they use as much of the rate as starts do
 )
 
@@ -113,7 +113,7 @@
 	if waited >= maxDeferral {
 		return urgencyOverdue, true
 	}
-	return urgencyDeferrable, waited >= deferral
+	return urgencyDeferrable, waited >= minDeferral
 }
 
 // weight returns the candidate.weight of a dirty chunk.
--- a/internal/jobstore/rechunk_test.go
+++ b/internal/jobstore/rechunk_test.go
@@ -12,19 +12,19 @@
 
 // testLeader is a leader with its key-value store and the one job in it.
 type testLeader struct {
-	t       *testing.T
-	backend *fakeStore
-	store   *Store
-	job     *Job
-	now     time.Time
-	maxOps  int // of a batch
+	t            *testing.T
+	backend      *fakeStore
+	store        *Store
+	job          *Job
+	now          time.Time
+	maxMutations int // of a batch
 }
 
 func newTestLeader(t *testing.T, record Record) *testLeader {
 	t.Helper()
 	backend := newFakeStore(record)
 	store := backend.load(t)
-	return &testLeader{t: t, backend: backend, store: store, job: store.Job(record.Spec.ID), now: startTime, maxOps: 4}
+	return &testLeader{t: t, backend: backend, store: store, job: store.Job(record.Spec.ID), now: startTime, maxMutations: 4}
 }
 
 // startAll starts all tasks that may start, on a machine, and returns their attempts.
@@ -40,7 +40,7 @@
 // commit executes the next batch, if there is one, and reads what it has conflicted with.
 func (l *testLeader) commit(valueBytes int) {
 	l.t.Helper()
-	batch := l.store.NextBatch(fence, BatchLimits{l.maxOps, l.maxOps, valueBytes}, l.now)
+	batch := l.store.NextBatch(fence, BatchLimits{l.maxMutations, l.maxMutations, valueBytes}, l.now)
 	if batch == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 	l.t.Helper()
 	mutations := 0
 	for {
-		batch := l.store.NextBatch(fence, BatchLimits{l.maxOps, l.maxOps, valueBytes}, l.now)
+		batch := l.store.NextBatch(fence, BatchLimits{l.maxMutations, l.maxMutations, valueBytes}, l.now)
 		if batch == nil {
 			return mutations
 		}
@@ -97,7 +97,7 @@
 		FirstChunk:        rechunkedFirstChunk,
 		PreviousChunkSize: 200,
 	})
-	leader.maxOps = 8
+	leader.maxMutations = 8
 	attempts := leader.startAll(largeValue, "vm-000001")
 	if n := leader.commitAll(largeValue); n != 3 {
 		t.Fatalf("%d chunks written", n)
@@ -200,7 +200,7 @@
 			finishRechunk(leader, batch)
 			leader.startAll(smallValue, "vm-000002")
 			leader.commit(smallValue)
-			checkLeaderInTheMiddle(t, leader)
+			checkSuccessorMidRechunk(t, leader)
 			for range 20 {
 				leader.now = leader.now.Add(time.Minute)
 				leader.commit(smallValue)
@@ -230,9 +230,9 @@
 	return leader
 }
 
-// checkLeaderInTheMiddle checks that a leader that ends before all of the new chunks are written
+// checkSuccessorMidRechunk checks that a leader that ends before all of the new chunks are written
 // loses nothing.
-func checkLeaderInTheMiddle(t *testing.T, leader *testLeader) {
+func checkSuccessorMidRechunk(t *testing.T, leader *testLeader) {
 	t.Helper()
 	successor := leader.backend.load(t)
 	successor.FinishLoading()
@@ -247,12 +247,12 @@
 	t.Helper()
 	service := leader.backend.load(t).Job(testID)
 	for task := range replicas {
-		known, stored := leader.job.tasks.live[task], service.tasks.live[task]
-		if known == nil || stored == nil || !known.Recorded {
-			t.Fatalf("task %d: %+v, stored %+v", task, known, stored)
+		inMemory, stored := leader.job.tasks.live[task], service.tasks.live[task]
+		if inMemory == nil || stored == nil || !inMemory.Recorded {
+			t.Fatalf("task %d: %+v, stored %+v", task, inMemory, stored)
 		}
-		if known.Number != stored.Number || known.Machine != stored.Machine {
-			t.Fatalf("task %d: %+v, stored %+v", task, known, stored)
+		if inMemory.Number != stored.Number || inMemory.Machine != stored.Machine {
+			t.Fatalf("task %d: %+v, stored %+v", task, inMemory, stored)
 		}
 	}
 	if service.record.ChunkSize != TasksPerChunk(smallValue) || service.Arrival != leader.job.Arrival {
