--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -1,4 +1,4 @@
-// This file builds a batch: one transaction of the most urgent changes, within its limits.
+// This file builds batches: transactions of the most urgent changes, within the limits.
 
 package jobstore
 
@@ -11,53 +11,56 @@
 )
 
 const (
-	// maxBatchBytes keeps a transaction well below the 64 KiB that the key-value store takes.
+	// maxBatchBytes limits the estimated size of a transaction, in bytes. It leaves a margin below
+	// the key-value store's limit of 64 KiB.
 	maxBatchBytes = 48 << 10
 
-	// mutationOverheadBytes is about what a mutation takes of a transaction beside its value.
+	// mutationOverheadBytes is the estimated size of a mutation without its value, in bytes.
 	mutationOverheadBytes = 200
 
-	// minEndMutations is the least number of mutations for the end of a job: the final state is
-	// put and the record deleted.
+	// minEndMutations is the minimum number of mutations for the end of a job: one puts the final
+	// state, one deletes the job's record.
 	minEndMutations = 2
 )
 
-// Batch is one transaction's changes. The leader executes it, if Compares hold, and then reports the
-// outcome to Store.BatchCommitted or Store.BatchFailed.
+// Batch holds the changes of one transaction. The leader executes it on condition that all Compares
+// hold, and then reports the outcome to Store.BatchCommitted or Store.BatchFailed.
 type Batch struct {
 	Compares  []kvstore.Compare
 	Mutations []kvstore.Mutation
 
 	chunks  []chunkWrite
 	ends    []endWrite
-	rechunk *rechunkWrite // nil: none
+	rechunk *rechunkWrite // nil unless the batch rechunks a job
 }
 
 // chunkWrite is the part of a batch that writes a chunk.
 type chunkWrite struct {
 	job     *Job
 	chunk   *chunk
-	starts  []*Attempt // that it records
-	lastEnd uint64     // it records the ends up to this one in the order of Store.endSequence
+	starts  []*Attempt // attempts whose starts are recorded
+	lastEnd uint64     // number (Store.endSequence) up to which ends of attempts are recorded
 }
 
 // endWrite is the part of a batch that records the end of a job.
 type endWrite struct {
 	job           *Job
-	deletedChunks []int // indices of the chunks that it deletes
+	deletedChunks []int // indices of the chunks that the batch deletes
 }
 
-// BatchLimits is what one batch may hold, as the key-value store allows it now.
+// BatchLimits limits a batch to what the key-value store accepts at present.
 type BatchLimits struct {
-	Mutations      int // at most
-	SpareMutations int // from so many on changes that can wait are left out
-	ValueBytes     int // of the largest value that the key-value store takes
+	Mutations      int // maximum number of mutations
+	SpareMutations int // number of mutations from which on no deferrable change is added
+	ValueBytes     int // maximum size of a value, in bytes of JSON
 }
 
-// NextBatch builds a transaction of the most urgent changes within limits that is executed only while
-// fence holds, the compare of the leader's term. It returns nil if there is nothing to write. Chunks
-// whose value is too large are left out until it fits. The outcome has to be reported before the next call: one
-// batch is in flight at a time.
+// NextBatch builds a transaction of the most urgent changes within limits. It returns nil if nothing
+// can be written now. A job that needs to be rechunked comes first, in a batch of its own. A chunk
+// whose value exceeds limits.ValueBytes is left out until the value fits.
+//
+// The batch is conditional on fence, the compare of the leader's term. Its outcome has to be reported
+// before the next call: only one batch may be in flight.
 func (s *Store) NextBatch(fence kvstore.Compare, limits BatchLimits, now time.Time) *Batch {
 	if batch := s.nextRechunk(fence, limits); batch != nil {
 		return batch
@@ -84,11 +87,11 @@
 type batchBuilder struct {
 	batch   *Batch
 	limits  BatchLimits
-	lastEnd uint64 // Store.endSequence
-	bytes   int    // of the transaction, about
+	lastEnd uint64 // Store.endSequence at the time the batch is built
+	bytes   int    // estimated size of the transaction
 }
 
-// add adds a candidate, or leaves it out. It returns false if the batch takes no more candidates.
+// add adds a candidate or skips it. It returns false if the batch takes no more candidates.
 func (b *batchBuilder) add(c candidate) bool {
 	if b.isFullFor(c) {
 		return false
@@ -100,7 +103,7 @@
 	return b.addChunk(c.job, c.chunk)
 }
 
-// isFullFor reports whether the batch takes neither the next candidate nor any less urgent one.
+// isFullFor reports whether the batch takes neither next nor any less urgent candidate.
 func (b *batchBuilder) isFullFor(next candidate) bool {
 	if b.mutationsLeft() <= 0 || b.bytes > maxBatchBytes {
 		return true
@@ -109,15 +112,15 @@
 	if canWait && len(b.batch.Mutations) >= b.limits.SpareMutations {
 		return true
 	}
-	// An urgent end that does not fit any more must have the next batch, so less urgent changes
-	// must not use up the rate that it waits for.
+	// Guards against starvation of ends: if an urgent end no longer fits, less urgent changes would
+	// use up the write rate that it waits for. It goes into the next batch.
 	return next.isEnd() && !canWait && b.mutationsLeft() < minEndMutations
 }
 
 func (b *batchBuilder) mutationsLeft() int { return b.limits.Mutations - len(b.batch.Mutations) }
 
-// addChunk adds what is to be stored of a chunk, and returns false if the transaction is full. A
-// chunk whose value is too large is left out: it fits once enough of its tasks have ended.
+// addChunk adds the write of a chunk, and returns false if the transaction is full. A chunk whose
+// value is too large is skipped: the value fits once enough of the chunk's tasks have ended.
 func (b *batchBuilder) addChunk(job *Job, changed *chunk) bool {
 	value := job.chunkValue(changed.index)
 	if value.jsonBytes() > b.limits.ValueBytes {
@@ -138,11 +141,11 @@
 	}
 	b.mutate(kvstore.Mutation{Put: key, Value: encoded})
 	b.batch.chunks = append(b.batch.chunks, write)
-	changed.dirty, changed.unrecordedStarts = false, 0 // changes while it is in flight set them again
+	changed.dirty, changed.unrecordedStarts = false, 0 // changes while in flight set them again
 	return true
 }
 
-// addEnd adds the end of a job, unless it needs more mutations than are left.
+// addEnd adds the end of a job, or skips it if it needs more mutations than are left.
 func (b *batchBuilder) addEnd(job *Job) {
 	b.bytes += mutationOverheadBytes
 	if b.mutationsLeft() < minEndMutations {
@@ -156,9 +159,10 @@
 	b.batch.ends = append(b.batch.ends, endWrite{job: job, deletedChunks: b.deleteChunks(job)})
 }
 
-// deleteChunks adds the deletion of a job's chunks as far as it holds up no other changes, and
-// returns their indices. The rest becomes garbage that is deleted later: of the mutations that a
-// job of one task costs in all, only this one can wait.
+// deleteChunks adds deletions of an ended job's chunks as far as there is write rate to spare, and
+// returns the indices of these chunks. The other chunks become garbage that is deleted later, so
+// that they do not delay other changes. Of all mutations that a job of one task needs, only the
+// deletion of its chunk can be deferred.
 func (b *batchBuilder) deleteChunks(job *Job) []int {
 	var deleted []int
 	limit := min(b.limits.Mutations, b.limits.SpareMutations)
@@ -183,7 +187,7 @@
 	b.batch.Mutations = append(b.batch.Mutations, mutation)
 }
 
-// finalStatus returns the FinalState.Status of a job whose end is recorded.
+// finalStatus returns the FinalState.Status with which the end of the job is recorded.
 func (j *Job) finalStatus() string {
 	if j.Cancelled {
 		return StatusCancelled
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -7,44 +7,49 @@
 	"time"
 )
 
-// Completions and losses that finish no job wait for others to share a transaction with. Until
-// they are recorded the worker keeps reporting them, or the next leader finds them again, and no
-// answer to a user or worker relies on them.
+// Bounds of the deferral of changes. Completed and lost attempts that do not end their job are
+// deferred so that several of them share a transaction. This is safe: until such a change is recorded,
+// the worker agent keeps reporting it or the next leader detects it again, and no answer to a user or
+// worker agent depends on it.
 const (
-	minDeferral = 2 * time.Second  // the least wait; then they use what write rate is to spare
-	maxDeferral = 12 * time.Second // the wait after which they use as much of the rate as starts do
+	minDeferral = 2 * time.Second  // minimum wait, after which spare write rate may be used
+	maxDeferral = 12 * time.Second // wait after which as much write rate may be used as for starts
 )
 
-// urgency orders changes: the greatest is written first.
+// urgency is the priority with which a change is written. Higher values are written first.
 type urgency int
 
-// Levels of urgency. Those from urgencyOverdue on are written even if no rate is to spare.
+// Levels of urgency. Changes at urgencyOverdue and above are written even without spare write rate.
 const (
-	urgencyDeferrable urgency = 0 // a completion or loss that finishes no job
+	urgencyDeferrable urgency = 0 // completed or lost attempt that does not end its job
 
-	// urgencyCancelledEnd is of the end of a cancelled job. Its user learns of it from the job's
-	// record. But until it is recorded a new leader takes its tasks for running, and returns sound
-	// machines for them, so it becomes overdue as well (docs/incidents/inc-b469.md).
+	// urgencyCancelledEnd is the urgency of the end of a cancelled job. The end can be deferred, as
+	// the job's record already shows its user the cancellation. It becomes overdue after maxDeferral:
+	// until it is recorded, a new leader treats the job's tasks as running and returns healthy
+	// machines because of them (docs/incidents/inc-b469.md).
 	urgencyCancelledEnd urgency = 1
 
-	urgencyOverdue urgency = 50  // what has waited for maxDeferral
-	urgencyStart   urgency = 200 // plus the rank of the job's priority
+	urgencyOverdue urgency = 50  // change that has waited for maxDeferral
+	urgencyStart   urgency = 200 // start of an attempt; the rank of the job's priority is added
 
-	// urgencyDoneEnd is of the end of a job that is done: its user waits for it, and a stream of
-	// starts would hold it back for minutes.
+	// urgencyDoneEnd is the urgency of the end of a job whose tasks are all done. Its user waits for
+	// it, and a stream of starts at a higher urgency would delay it by minutes.
 	urgencyDoneEnd urgency = 300
 )
 
-// candidate is a change that waits to be written: of a chunk, or the end of a job.
+// candidate is a change that waits to be written: a changed chunk or the end of a job.
 type candidate struct {
 	job     *Job
-	chunk   *chunk // nil: the job's end
+	chunk   *chunk // nil for the end of the job
 	urgency urgency
 
-	// weight orders changes of the same urgency: the seconds for which the change has waited,
-	// times the starts that wait with it. By the jobs' arrival the chunks of a large array that
-	// changes all the time would go before all jobs that came later (docs/incidents/inc-bc39.md);
-	// by the wait alone many jobs of one task would hold up as many starts in a few chunks.
+	// weight orders changes of the same urgency, the highest first. It is the change's waiting time
+	// in seconds, for a chunk multiplied by the number of its unrecorded starts (at least 1). It is
+	// 0 for an end that is not overdue.
+	//
+	// Ordering by arrival instead would place the chunks of a large, constantly changing array
+	// before all jobs that arrived later (docs/incidents/inc-bc39.md). Ordering by waiting time
+	// alone would let many jobs of one task delay an equal number of starts in a few chunks.
 	weight float64
 }
 
@@ -85,7 +90,8 @@
 	return found
 }
 
-// endCandidate returns the end of a job as a candidate.
+// endCandidate returns the end of the job as a candidate. The waiting time of the end starts at the
+// first call.
 func (j *Job) endCandidate(now time.Time) candidate {
 	if j.endReadySince.IsZero() {
 		j.endReadySince = now
@@ -100,7 +106,7 @@
 	return candidate{job: j, urgency: urgencyOverdue, weight: waited.Seconds()}
 }
 
-// chunkUrgency returns how urgent it is to write a chunk, and whether it is to be written now at all.
+// chunkUrgency returns the urgency of writing a chunk, and whether the write is due at now.
 func (j *Job) chunkUrgency(c *chunk, now time.Time) (level urgency, due bool) {
 	if !c.dirty {
 		return urgencyDeferrable, false
--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -1,43 +1,44 @@
 // This file divides the tasks of a job into chunks, each stored under a key of its own, and
 // builds the value of a chunk.
 //
-// A chunk has an index, its position in the job counted from 0, and a number, which stands in its
-// key and is counted from Record.FirstChunk.
+// The index of a chunk is its position in the job, counted from 0. The number of a chunk is the index
+// plus Record.FirstChunk; it is part of the chunk's key.
 
 package jobstore
 
 import "time"
 
-// chunk is what is known of the stored record of a chunk's tasks, and of changes that it lacks.
+// chunk is the write state of one chunk: the revision of its stored value and the changes that are
+// not stored yet.
 type chunk struct {
 	index            int
-	revision         uint64 // of its key; 0: not stored
-	dirty            bool
-	dirtySince       time.Time
-	unrecordedStarts int // starts of its tasks that no batch holds yet
+	revision         uint64    // revision of the chunk's key; 0 if it is not known to be stored
+	dirty            bool      // whether there are changes that no batch holds yet
+	dirtySince       time.Time // start of the waiting time of these changes
+	unrecordedStarts int       // number of starts that no batch holds yet
 }
 
-// chunkOf returns the index of a task's chunk.
+// chunkOf returns the index of the chunk that holds a task.
 func (j *Job) chunkOf(task int) int { return task / j.record.ChunkSize }
 
-// chunkCount returns how many chunks the tasks take.
+// chunkCount returns the number of chunks into which the tasks are divided.
 func (j *Job) chunkCount() int {
 	size := j.record.ChunkSize
 	return (len(j.tasks.states) + size - 1) / size
 }
 
-// chunkTasks returns the tasks of the chunk with an index.
+// chunkTasks returns the range of tasks in the chunk with the given index.
 func (j *Job) chunkTasks(index int) taskRange {
 	return j.tasks.rangeAt(index, j.record.ChunkSize)
 }
 
-// chunkNumber returns the number in the key of the chunk with an index.
+// chunkNumber returns the number of the chunk with the given index, which is part of its key.
 func (j *Job) chunkNumber(index int) int { return j.record.FirstChunk + index }
 
-// chunkKey returns the key of the chunk with an index.
+// chunkKey returns the key of the chunk with the given index.
 func (j *Job) chunkKey(index int) string { return chunkKey(j.Spec.ID, j.chunkNumber(index)) }
 
-// chunkValue returns what is to be stored of the chunk with an index.
+// chunkValue returns the value to be stored for the chunk with the given index.
 func (j *Job) chunkValue(index int) *chunkValue {
 	tasks := j.chunkTasks(index)
 	var value chunkValue
@@ -50,7 +51,8 @@
 	return &value
 }
 
-// doneRanges returns which of the tasks are done, as ranges that count from the first of them.
+// doneRanges returns the done tasks among tasks as a text of ranges (rangeWriter). Numbers in it are
+// offsets from tasks.first.
 func (j *Job) doneRanges(tasks taskRange) string {
 	var ranges rangeWriter
 	for task := tasks.first; task < tasks.end; task++ {
@@ -67,7 +69,8 @@
 	return ranges.String()
 }
 
-// unrecordedAttempts returns the attempts of a chunk's tasks that are not recorded, by task.
+// unrecordedAttempts returns the live attempts that are not recorded yet in the chunk with the given
+// index, in ascending order of their tasks.
 func (j *Job) unrecordedAttempts(index int) []*Attempt {
 	var unrecorded []*Attempt
 	tasks := j.chunkTasks(index)
--- a/internal/jobstore/gang.go
+++ b/internal/jobstore/gang.go
@@ -8,8 +8,8 @@
 	"tulipshelf/internal/job"
 )
 
-// gangDispatchState caches whether the starts of a gang may be sent. Every change of the gang's
-// attempts sets it back to gangDispatchUnknown.
+// gangDispatchState caches whether the starts of a gang may be sent. Every change to the gang's
+// attempts resets it to gangDispatchUnknown.
 type gangDispatchState uint8
 
 const (
@@ -21,8 +21,8 @@
 // IsGang reports whether the job's tasks run together or not at all.
 func (j *Job) IsGang() bool { return j.Spec.Shape == job.Gang }
 
-// GangComplete reports whether an attempt to run a gang is complete: each of its tasks has a live
-// attempt, and all of them share one number.
+// GangComplete reports whether every task of a gang has a live attempt and all of these attempts
+// share one number.
 func (j *Job) GangComplete() bool {
 	live := j.tasks.live
 	if len(live) != len(j.tasks.states) {
@@ -36,9 +36,9 @@
 	return true
 }
 
-// Dispatchable reports whether the start of an attempt may be sent: it is recorded, and so are
-// those of the whole gang if the job is one. Otherwise the next leader might know but a part of
-// a gang that runs.
+// Dispatchable reports whether the start of the attempt may be sent to the worker agent. The attempt
+// has to be recorded; if the job is a gang, the gang has to be complete with all attempts recorded.
+// Guards against a running gang of which the next leader finds only some members in the records.
 func (a *Attempt) Dispatchable() bool {
 	if !a.Recorded || !a.Job.IsGang() {
 		return a.Recorded
@@ -46,7 +46,8 @@
 	return a.Job.gangDispatchable()
 }
 
-// gangDispatchable returns the cached answer, or computes it.
+// gangDispatchable reports whether the starts of the gang may be sent. The result is cached in
+// gangDispatch.
 func (j *Job) gangDispatchable() bool {
 	if j.gangDispatch == gangDispatchUnknown {
 		j.gangDispatch = gangDispatchBlocked
@@ -57,7 +58,7 @@
 	return j.gangDispatch == gangDispatchAllowed
 }
 
-// allRecorded reports whether all live attempts are recorded.
+// allRecorded reports whether all live attempts of the job are recorded.
 func (j *Job) allRecorded() bool {
 	for _, attempt := range j.tasks.live {
 		if !attempt.Recorded {
@@ -67,12 +68,12 @@
 	return true
 }
 
-// gangHasCompleted reports whether the job is a gang of which a task is done: the tasks of a gang
-// complete together, so whichever of them ends from then on is done too.
+// gangHasCompleted reports whether the job is a gang with at least one done task. The members of a gang
+// complete together, so from then on each member whose attempt ends is done too.
 func (j *Job) gangHasCompleted() bool { return j.IsGang() && j.tasks.done > 0 }
 
-// completeGang marks the tasks of a gang as done that were proven gone before the first was
-// reported done.
+// completeGang marks the waiting tasks of a gang as done: their attempts were proven gone before the
+// first member was reported done.
 func (s *Store) completeGang(gang *Job, now time.Time) {
 	gang.tasks.eachWaiting(func(task int) {
 		gang.tasks.markDone(task)
--- a/internal/jobstore/garbage.go
+++ b/internal/jobstore/garbage.go
@@ -1,11 +1,11 @@
-// This file keeps the stored chunks of ended jobs until they are deleted.
+// This file tracks the stored chunks of ended jobs that are still to be deleted.
 
 package jobstore
 
 import "tulipshelf/internal/kvstore"
 
-// addChunksToGarbage adds to the garbage what may be stored of the job's chunks, once its end is
-// recorded.
+// addChunksToGarbage adds every chunk of the job that may be stored to its garbage. It is called once
+// the end of the job is recorded.
 func (j *Job) addChunksToGarbage() {
 	for index := range j.chunks {
 		j.garbageChunks = append(j.garbageChunks, j.chunkNumber(index))
@@ -13,8 +13,8 @@
 	j.garbageChunks = append(j.garbageChunks, j.previousChunks...)
 }
 
-// GarbageMutations takes at most limit chunks of an ended job out of its garbage and returns their
-// deletions.
+// GarbageMutations removes at most limit chunks from the garbage of an ended job and returns the
+// mutations that delete them.
 func (j *Job) GarbageMutations(limit int) []kvstore.Mutation {
 	limit = min(limit, len(j.garbageChunks))
 	var deletions []kvstore.Mutation
--- a/internal/jobstore/rechunk.go
+++ b/internal/jobstore/rechunk.go
@@ -1,13 +1,13 @@
-// This file rechunks a job: it divides its tasks into smaller chunks once the key-value store takes
-// only smaller values than those for which the chunks were made.
+// This file rechunks jobs: it divides the tasks of a job into smaller chunks after the key-value store
+// has lowered its limit on the size of values below the one for which the chunks were sized.
 //
-// Otherwise such a chunk could be written again only once most of its tasks had ended: a lost replica
-// of a service would never start again, and most tasks of a large array would wait for minutes
-// while machines have room.
+// Guards against chunks that can no longer be written: their values would fit again only after most
+// of their tasks had ended. A lost replica of a service would never be restarted, and most tasks of a
+// large array would wait for minutes while machines have free capacity.
 //
-// Only the job's record is written for that. The new chunks have numbers beyond those of the old ones
-// and are written as any other that has changed; until one is, the old ones stay valid for its
-// tasks (Store.LoadChunk). A job is rechunked once at most.
+// Rechunking writes only the job's record. The numbers of the new chunks are beyond those of the old
+// chunks, and the new chunks are written like any other changed chunk. Until a new chunk is written,
+// the old chunks remain valid for its tasks (Store.LoadChunk). A job is rechunked at most once.
 
 package jobstore
 
@@ -16,13 +16,14 @@
 	"tulipshelf/internal/wire"
 )
 
-// rechunkWrite is the batch that rechunks a job.
+// rechunkWrite is the part of a batch that rechunks a job.
 type rechunkWrite struct {
 	job    *Job
-	record Record // with the new size of chunks
+	record Record // record to be written, with the new chunk size
 }
 
-// nextRechunk returns a batch that rechunks the job that arrived first of those that need it, or nil.
+// nextRechunk returns a batch that rechunks the job returned by firstToRechunk. It returns nil if there
+// is no such job or limits allow no mutation.
 func (s *Store) nextRechunk(fence kvstore.Compare, limits BatchLimits) *Batch {
 	job := s.firstToRechunk(limits.ValueBytes)
 	if job == nil || limits.Mutations < 1 {
@@ -41,7 +42,8 @@
 	}
 }
 
-// firstToRechunk returns the job that arrived first of those that need to be rechunked, or nil.
+// firstToRechunk returns the earliest job by arrival that needs to be rechunked, or nil. The key-value
+// store accepts values of at most valueBytes.
 func (s *Store) firstToRechunk(valueBytes int) *Job {
 	var first *Job
 	for job := range s.dirty {
@@ -55,8 +57,9 @@
 	return first
 }
 
-// needsRechunk reports whether a chunk that is to be written exceeds valueBytes and smaller chunks
-// would help.
+// needsRechunk reports whether the value of a dirty chunk exceeds valueBytes and smaller chunks would
+// help. It is false for a job that was rechunked before, whose chunks are already sized for
+// valueBytes, or that is cancelled or ready to end.
 func (j *Job) needsRechunk(valueBytes int) bool {
 	wasRechunked := j.record.FirstChunk != 0
 	if wasRechunked || j.record.ChunkSize <= TasksPerChunk(valueBytes) {
@@ -78,17 +81,19 @@
 	return false
 }
 
-// applyRechunk applies that a batch has rechunked a job, at a revision.
+// applyRechunk applies a committed rechunk to the job in memory. The job's record now has the given
+// revision.
 func (s *Store) applyRechunk(write *rechunkWrite, revision uint64) {
 	job := write.job
 	if job.Revision >= revision {
-		return // the watch has reported it first
+		return // the watch has already reported this record or a newer one
 	}
 	s.rechunk(job, write.record.ChunkSize)
 	job.record, job.Revision = write.record, revision
 }
 
-// rechunk divides a job into chunks of chunkSize tasks, none of which is known to be stored yet.
+// rechunk divides a job into chunks of chunkSize tasks, and marks all of them as dirty, as none of them
+// is known to be stored yet. The old chunks become Job.previousChunks.
 func (s *Store) rechunk(job *Job, chunkSize int) {
 	for index := range job.chunks {
 		job.previousChunks = append(job.previousChunks, index)
@@ -104,8 +109,8 @@
 	s.dirty[job] = struct{}{}
 }
 
-// addMissingChunks adds the chunks that are not known to be stored, as dirty since the job was
-// submitted.
+// addMissingChunks adds the chunks that are not known to be stored, marked as dirty since the job's
+// submission.
 func (j *Job) addMissingChunks() {
 	for index := range j.chunkCount() {
 		if j.chunks[index] == nil {
