--- a/internal/jobstore/batch_test.go
+++ b/internal/jobstore/batch_test.go
@@ -11,22 +11,22 @@
 	"tulipshelf/internal/wire"
 )
 
-// A start that a deposed leader records, or one of a cancelled job, would run beside another or
-// against its user's will: it is written under the compares of the term, of the job's record as
-// known, which a cancellation changes, and of the chunk's last revision.
+// Guards against starts that must not take effect: one recorded by a deposed leader would run beside
+// another attempt, one of a cancelled job against its user's will. The write of a start compares the
+// term, the job's record, which a cancellation changes, and the chunk's last revision.
 func TestStartIsConditional(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 6, 10)
 	attempt := store.StartAttempt(array, 5, store.NextAttemptNumber(3), "vm-1", 2, startTime)
 	batch := nextBatch(store, startTime)
 	if !hasCompare(batch, fence.Key, 7) || !hasCompare(batch, "job/wk-000001", 10) || !hasCompare(batch, "job/wk-000001/000001", 0) {
-		t.Fatalf("compares %v", batch.Compares)
+		t.Fatalf("compares %v, want those of the term, the job's record and the chunk", batch.Compares)
 	}
 	if attempt.Recorded {
-		t.Fatal("recorded before the batch was committed")
+		t.Fatal("start is marked as recorded before the batch was committed")
 	}
 	if attempt.ID().Term() != 3 {
-		t.Fatalf("attempt of term %d", attempt.ID().Term())
+		t.Fatalf("attempt has term %d, want 3", attempt.ID().Term())
 	}
 	store.BatchFailed(batch)
 	if again := nextBatch(store, startTime); again == nil || !hasCompare(again, "job/wk-000001/000001", 0) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A batch that was executed without an answer must not hold up its chunk for ever: once the
-// revision is read the chunk is written again.
+// Guards against a chunk that is never written again: a batch was executed but its answer was lost, so
+// compares of the chunk's previous revision fail. Once the new revision is read, the chunk is written.
 func TestUnansweredWriteDoesNotBlockChunk(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 4, 10)
@@ -46,15 +46,15 @@
 	store.SetChunkRevision("wk-000009", 0, 11) // no such job
 	batch := nextBatch(store, startTime)
 	if batch == nil || !hasCompare(batch, "job/wk-000001/000000", 11) {
-		t.Fatalf("not written again: %+v", batch)
+		t.Fatalf("chunk is not written again at the revision read: batch %+v", batch)
 	}
 	if starts, _ := store.BatchCommitted(batch, 12); len(starts) != 1 || starts[0] != attempt {
-		t.Errorf("recorded: %v", starts)
+		t.Errorf("recorded starts %v, want only that of task 0", starts)
 	}
 }
 
-// An end that is written without its job's record, or without the compare of its revision, could be
-// taken back.
+// Guards against an end that could be reverted: the final state has to be written in one transaction
+// with the deletion of the job's record, under the compare of that record's revision.
 func TestEndIsOneTransaction(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
@@ -62,49 +62,49 @@
 	store.EndAttempt(attempt, true, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil || !hasCompare(batch, "job/wk-000001", 10) {
-		t.Fatal("end is not conditional on the job as known")
+		t.Fatal("end is not conditional on the revision of the job's record")
 	}
 	var final FinalState
 	if err := wire.Unmarshal(batch.Mutations[0].Value, &final); err != nil || final.Status != StatusDone {
-		t.Fatalf("%+v %v", final, err)
+		t.Fatalf("final state %+v, error %v", final, err)
 	}
 	_, ended := store.BatchCommitted(batch, 12)
 	if len(ended) != 1 || store.Len() != 0 {
 		t.Fatal("job has not ended")
 	}
-	// The watch is behind and reports the job's own record once more.
+	// The watch lags behind and reports the job's record once more.
 	again, news, err := store.ApplyRecord(arrayRecord(testID, 1, false), 10)
 	if err != nil || news {
-		t.Fatalf("news %v, %v", news, err)
+		t.Fatalf("record of an ended job: news %v, error %v", news, err)
 	}
 	if again != nil {
-		t.Fatal("an ended job comes back")
+		t.Fatal("ended job is added again")
 	}
 }
 
-// The deletion of an ended job's chunks must not hold up other changes: with no rate to spare it
-// is left for later.
+// Guards against deletions of an ended job's chunks that delay other changes: without spare write rate
+// they are left for later.
 func TestChunkDeletionsDoNotHoldUpEnds(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
 	store.EndAttempt(startRecorded(t, store, array, 0, 11), true, startTime)
 	batch := store.NextBatch(fence, BatchLimits{8, 1, largeValue}, startTime)
 	if batch == nil || len(batch.Mutations) != 2 {
-		t.Fatalf("%+v", batch)
+		t.Fatalf("batch %+v, want the two mutations of the end alone", batch)
 	}
 	if _, ended := store.BatchCommitted(batch, 12); len(ended) != 1 {
 		t.Fatal("job has not ended")
 	}
 	if deletions := array.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
-		t.Errorf("left to delete: %+v", deletions)
+		t.Errorf("garbage deletions %+v, want that of chunk 0", deletions)
 	}
 	if deletions := array.GarbageMutations(8); len(deletions) != 0 {
-		t.Errorf("deleted twice: %+v", deletions)
+		t.Errorf("garbage is deleted twice: %+v", deletions)
 	}
 }
 
-// A watch may report a job's end before the end's own write is answered: what that write has deleted
-// is then deleted once more, in vain.
+// Guards against redundant deletions: the watch may report the end of a job before the end's own write
+// is answered, and the chunks that this write has deleted are then deleted once more.
 func TestEndWatchedBeforeItsAnswerDeletesOnce(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
@@ -129,7 +129,8 @@
 	}
 }
 
-// The largest job's records respect the limits on values and transactions.
+// Guards against writes of the largest job that exceed the limits on the size of values or on the
+// mutations, compares and size of transactions.
 func TestLargestJobStaysWithinTransactionLimits(t *testing.T) {
 	store := New()
 	record := Record{Spec: testSpec(testID, job.Array, job.MaxTasks), ChunkSize: TasksPerChunk(largeValue)}
@@ -141,7 +142,7 @@
 	for batch := nextBatch(store, startTime); batch != nil; batch = nextBatch(store, startTime) {
 		revision++
 		if len(batch.Mutations) > 8 || len(batch.Compares) > 32 {
-			t.Fatalf("%d mutations, %d compares", len(batch.Mutations), len(batch.Compares))
+			t.Fatalf("%d mutations and %d compares, want at most 8 and 32", len(batch.Mutations), len(batch.Compares))
 		}
 		checkValueSizes(t, batch, largeValue)
 		size := 0
@@ -149,7 +150,7 @@
 			size += len(mutation.Value)
 		}
 		if size > 60<<10 {
-			t.Fatalf("transaction of %d bytes", size)
+			t.Fatalf("transaction of %d bytes, want at most 60 KiB", size)
 		}
 		store.BatchCommitted(batch, revision)
 	}
@@ -160,12 +161,13 @@
 		}
 	})
 	if recorded != 1000 {
-		t.Fatalf("%d starts recorded", recorded)
+		t.Fatalf("%d starts recorded, want 1000", recorded)
 	}
 }
 
-// A machine whose tasks' results are durable may be returned, whatever else goes on in their
-// chunks; an end that comes while a write is in flight is not in it, so its result would be lost.
+// Guards against the return of a machine before the results of its tasks are durable: an end during
+// the write of its chunk is not part of that write, and its result would be lost. Durability is
+// tracked for each task, so other changes in the chunk do not prevent the return.
 func TestResultIsDurableByTask(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 3, 10)
@@ -194,12 +196,12 @@
 	}
 	store.BatchCommitted(mustBatch(), 14)
 	if !array.ResultDurable(1) {
-		t.Error("second not durable in the end")
+		t.Error("second result is not durable after its write was committed")
 	}
 }
 
-// A large array of which something changes all the time must not hold up the jobs that came after
-// it: what has waited longest, counted for each start, is written first.
+// Guards against a large, constantly changing array that delays the jobs that arrived after it. The
+// change with the longest waiting time, multiplied by its number of starts, is written first.
 func TestLargeArrayDoesNotHoldUpSmallJobs(t *testing.T) {
 	store := New()
 	large, small := addArray(t, store, "wk-000001", 100, 10), addArray(t, store, "wk-000002", 1, 11)
@@ -213,13 +215,14 @@
 	for i, want := range []string{"job/wk-000001/000000", "job/wk-000002/000000", "job/wk-000001/000001"} {
 		batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime.Add(2*time.Second))
 		if batch == nil || batch.Mutations[0].Put != want {
-			t.Fatalf("write %d: %+v, want %s", i, batch, want)
+			t.Fatalf("write %d: batch %+v, want put of %s", i, batch, want)
 		}
 		store.BatchCommitted(batch, uint64(20+i))
 	}
 }
 
-// Many small jobs must not hold up the starts of a large one, of which one change records many.
+// Guards against many small jobs that delay the starts of a large array, although a single write of
+// the array records many starts.
 func TestSmallJobsDoNotHoldUpLargeArray(t *testing.T) {
 	store := New()
 	for i := range 6 {
@@ -232,12 +235,12 @@
 	}
 	batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime.Add(5*time.Second))
 	if batch == nil || batch.Mutations[0].Put != "job/wk-000002/000000" {
-		t.Fatalf("four starts that waited for 3 s are behind one that waited for 5 s: %+v", batch)
+		t.Fatalf("four starts that waited for 3 s are written after one that waited for 5 s: batch %+v", batch)
 	}
 }
 
-// The end of a cancelled job waits for what is more urgent, but not for ever: with maxDeferral it
-// gets its turn among completions that have waited as long, two changes at once.
+// Guards against starvation of the end of a cancelled job, which waits for more urgent changes. After
+// maxDeferral it is written among completions that have waited as long, two changes in each batch.
 func TestEndOfCancelledJobIsNotStarved(t *testing.T) {
 	store := New()
 	large := addArray(t, store, "wk-000002", 400, 10)
@@ -250,7 +253,7 @@
 	store.MarkCancelled("wk-000001", startTime)
 	for second := range 40 {
 		now := startTime.Add(time.Duration(second) * time.Second)
-		batch := store.NextBatch(fence, BatchLimits{2, 0, largeValue}, now) // two changes at a time, and none to spare
+		batch := store.NextBatch(fence, BatchLimits{2, 0, largeValue}, now) // two mutations, without spare rate
 		if batch == nil {
 			continue
 		}
@@ -260,16 +263,16 @@
 		}
 		waited := now.Sub(startTime)
 		if ended[0] != cancelled || waited < maxDeferral || waited > maxDeferral+5*time.Second {
-			t.Errorf("%s recorded after %v", ended[0].Spec.ID, waited)
+			t.Errorf("end of %s recorded after %v, want %s after %v and at most 5 s more", ended[0].Spec.ID, waited, cancelled.Spec.ID, maxDeferral)
 		}
 		return
 	}
-	t.Error("not recorded")
+	t.Error("end of the cancelled job is not recorded within 40 s")
 }
 
-// A change that is written out of its turn holds up users who wait. The order is: the end of a
-// job that is done, starts, what is overdue, the ends of cancelled jobs, what can wait; with no
-// rate to spare only the first three are written.
+// Guards against changes that are written out of order and delay users who wait. The order is: ends of
+// done jobs, starts, overdue changes, ends of cancelled jobs, deferrable changes. Without spare write
+// rate only the first three are written.
 func TestChangesAreWrittenByUrgency(t *testing.T) {
 	store := New()
 	ended := addArray(t, store, "wk-000001", 1, 14)
@@ -289,19 +292,19 @@
 	urgent := []string{"put end/wk-000001", "delete job/wk-000001", "put job/wk-000002/000000", "put job/wk-000003/000000"}
 	batch := store.NextBatch(fence, BatchLimits{9, 0, largeValue}, now)
 	if got := describeMutations(batch); !slices.Equal(got, urgent) {
-		t.Errorf("none to spare: %q, want %q", got, urgent)
+		t.Errorf("without spare rate: mutations %q, want %q", got, urgent)
 	}
 	store.BatchFailed(batch)
 	all := []string{"put end/wk-000001", "delete job/wk-000001", "delete job/wk-000001/000000", "put job/wk-000002/000000",
 		"put job/wk-000003/000000", "put end/wk-000004", "delete job/wk-000004", "put job/wk-000003/000001"}
 	batch = store.NextBatch(fence, BatchLimits{9, 9, largeValue}, now)
 	if got := describeMutations(batch); !slices.Equal(got, all) {
-		t.Errorf("enough to spare: %q, want %q", got, all)
+		t.Errorf("with spare rate: mutations %q, want %q", got, all)
 	}
 }
 
-// An end takes two mutations. If just one is left, less urgent changes must not take it: as long
-// as there were some, the end would never be written.
+// Guards against starvation of an end, which takes two mutations: if only one is left in each batch and
+// less urgent changes take it, the end is not written as long as there are such changes.
 func TestEndIsNotStarvedBySingleMutations(t *testing.T) {
 	store := New()
 	for i, id := range []string{"wk-000001", "wk-000002"} {
@@ -311,7 +314,7 @@
 	start(store, addArray(t, store, "wk-000003", 1, 12), 0, startTime)
 	batch := store.NextBatch(fence, BatchLimits{3, 0, largeValue}, startTime)
 	if got, want := describeMutations(batch), []string{"put end/wk-000001", "delete job/wk-000001"}; !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("mutations %q, want %q", got, want)
 	}
 }
 
@@ -327,8 +330,8 @@
 	return lines
 }
 
-// The backlog sizes the write rate that is asked for: it must count what is not durable, also
-// while it is in flight.
+// Guards against an underestimated backlog, which would request too low a write rate: starts and ends
+// count until they are durable, also while they are in flight.
 func TestBacklog(t *testing.T) {
 	store := New()
 	array := addArray(t, store, "wk-000001", 8, 10)
@@ -337,14 +340,14 @@
 	start(store, array, 4, startTime)
 	addCancelledArray(t, store, "wk-000002", 1, 11)
 	if got, want := store.Backlog(), (Backlog{Starts: 3, StartChunks: 2, Ends: 1}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("backlog %+v, want %+v", got, want)
 	}
 	batch := nextBatch(store, startTime)
 	if got, want := store.Backlog(), (Backlog{Starts: 3, StartChunks: 0, Ends: 1}); got != want {
-		t.Errorf("in flight: %+v, want %+v", got, want)
+		t.Errorf("backlog with a batch in flight: %+v, want %+v", got, want)
 	}
 	store.BatchCommitted(batch, 12)
 	if got := store.Backlog(); got != (Backlog{}) {
-		t.Errorf("after it was committed: %+v", got)
+		t.Errorf("backlog after the batch was committed: %+v, want none", got)
 	}
 }
--- a/internal/jobstore/gang_test.go
+++ b/internal/jobstore/gang_test.go
@@ -14,7 +14,7 @@
 	return mustApply(t, store, wire.Marshal(record), 1)
 }
 
-// startGang starts all tasks of a gang under one number.
+// startGang starts all tasks of a gang under one attempt number.
 func startGang(store *Store, gang *Job) []*Attempt {
 	var attempts []*Attempt
 	number := store.NextAttemptNumber(1)
@@ -34,9 +34,9 @@
 	return n
 }
 
-// A gang of which a part is sent before all is recorded would be known but in part to the next
-// leader. Its starts may be sent once all are recorded, however many transactions that takes, and
-// no more once a part of the attempt is gone.
+// Guards against a gang of which the next leader finds only some members: starts are sent before all of
+// them are recorded. Starts may be sent once all are recorded, however many transactions that takes,
+// and no longer once a member's attempt is gone.
 func TestGangIsNotDispatchedInPart(t *testing.T) {
 	store := New()
 	gang := addGang(t, store)
@@ -44,21 +44,21 @@
 	for i, want := range []int{0, 4} {
 		batch := store.NextBatch(fence, BatchLimits{1, 1, largeValue}, startTime)
 		if len(batch.Mutations) != 1 {
-			t.Fatalf("%d mutations", len(batch.Mutations))
+			t.Fatalf("%d mutations, want 1", len(batch.Mutations))
 		}
 		store.BatchCommitted(batch, uint64(i+2))
 		if n := dispatchableTasks(gang); n != want {
-			t.Errorf("%d of 4 may be sent after %d of 2 transactions", n, i+1)
+			t.Errorf("%d of 4 starts may be sent after %d of 2 transactions, want %d", n, i+1, want)
 		}
 	}
 	store.EndAttempt(attempts[0], false, startTime)
 	if n := dispatchableTasks(gang); n != 0 || gang.GangComplete() {
-		t.Errorf("%d may be sent of an attempt that has lost a task", n)
+		t.Errorf("after a member was lost: %d starts may be sent, want 0; complete %v, want false", n, gang.GangComplete())
 	}
 }
 
-// Once a task of a gang is done none of them runs again: all are done as they end, and those whose
-// machines were gone before they could report it are done at once.
+// Guards against members of a gang that run again after one of them is done. The others are done as
+// their attempts end; those whose machines were gone before they could report are done at once.
 func TestGangCompletesTogether(t *testing.T) {
 	store := New()
 	gang := addGang(t, store)
@@ -70,17 +70,17 @@
 		store.EndAttempt(attempt, false, startTime)
 	}
 	attempts := startGang(store, gang)
-	store.EndAttempt(attempts[1], false, startTime) // its machine is gone before it could report
+	store.EndAttempt(attempts[1], false, startTime) // its machine is gone before it can report
 	store.EndAttempt(attempts[2], true, startTime)
 	if gang.DoneTasks() != 2 || gang.WaitingTasks() != 0 {
-		t.Errorf("%d done, %d wait", gang.DoneTasks(), gang.WaitingTasks())
+		t.Errorf("%d done, %d waiting; want 2 and 0", gang.DoneTasks(), gang.WaitingTasks())
 	}
 	store.EndAttempt(attempts[0], false, startTime)
 	if gang.DoneTasks() != 3 || gang.WaitingTasks() != 0 {
-		t.Errorf("after one more was lost: %d done, %d wait", gang.DoneTasks(), gang.WaitingTasks())
+		t.Errorf("after one more was lost: %d done, %d waiting; want 3 and 0", gang.DoneTasks(), gang.WaitingTasks())
 	}
 	store.EndAttempt(attempts[3], true, startTime)
 	if batch := nextBatch(store, startTime); gang.DoneTasks() != 4 || len(batch.ends) != 1 {
-		t.Errorf("%d of 4 done, %d ends", gang.DoneTasks(), len(batch.ends))
+		t.Errorf("%d done, %d ends; want 4 and 1", gang.DoneTasks(), len(batch.ends))
 	}
 }
--- a/internal/jobstore/rechunk_test.go
+++ b/internal/jobstore/rechunk_test.go
@@ -10,14 +10,14 @@
 	"tulipshelf/internal/wire"
 )
 
-// testLeader is a leader with its key-value store and the one job in it.
+// testLeader is a leader with a key-value store that holds a single job.
 type testLeader struct {
 	t            *testing.T
 	backend      *fakeStore
 	store        *Store
 	job          *Job
 	now          time.Time
-	maxMutations int // of a batch
+	maxMutations int // maximum number of mutations in a batch
 }
 
 func newTestLeader(t *testing.T, record Record) *testLeader {
@@ -27,7 +27,7 @@
 	return &testLeader{t: t, backend: backend, store: store, job: store.Job(record.Spec.ID), now: startTime, maxMutations: 4}
 }
 
-// startAll starts all tasks that may start, on a machine, and returns their attempts.
+// startAll starts all startable tasks on one machine and returns their attempts.
 func (l *testLeader) startAll(valueBytes int, machine string) []*Attempt {
 	var attempts []*Attempt
 	for task := l.job.NextStartable(0, valueBytes); task >= 0; task = l.job.NextStartable(task+1, valueBytes) {
@@ -37,7 +37,8 @@
 	return attempts
 }
 
-// commit executes the next batch, if there is one, and reads what it has conflicted with.
+// commit executes the next batch, if there is one. If it conflicts, commit reads all stored records and
+// chunk revisions.
 func (l *testLeader) commit(valueBytes int) {
 	l.t.Helper()
 	batch := l.store.NextBatch(fence, BatchLimits{l.maxMutations, l.maxMutations, valueBytes}, l.now)
@@ -59,8 +60,8 @@
 	}
 }
 
-// commitAll executes batches while there are any, and returns the number of mutations. None may
-// conflict.
+// commitAll executes batches until there are none left, and returns the number of mutations. A conflict
+// fails the test.
 func (l *testLeader) commitAll(valueBytes int) int {
 	l.t.Helper()
 	mutations := 0
@@ -86,9 +87,9 @@
 	mustApply(l.t, l.store, item.Value, item.Revision)
 }
 
-// A job that was rechunked before, and whose chunks are too large once more, is not rechunked
-// again. A chunk is not written until it fits, fewer of its tasks start, and all of the job is
-// done in the end.
+// Guards against a job that never completes: it was rechunked before, its chunks have become too large
+// again, and it is not rechunked twice. A chunk is not written until its value fits, and fewer of its
+// tasks are live at once, but all of them complete.
 func TestOversizedChunkWaitsUntilItFits(t *testing.T) {
 	const tasks = 300
 	leader := newTestLeader(t, Record{
@@ -100,11 +101,11 @@
 	leader.maxMutations = 8
 	attempts := leader.startAll(largeValue, "vm-000001")
 	if n := leader.commitAll(largeValue); n != 3 {
-		t.Fatalf("%d chunks written", n)
+		t.Fatalf("%d chunks written, want 3", n)
 	}
 	leader.now = leader.now.Add(time.Minute)
 	for _, attempt := range attempts[:20] {
-		leader.store.EndAttempt(attempt, false, leader.now) // they have to start again
+		leader.store.EndAttempt(attempt, false, leader.now) // lost, to be started again
 	}
 	leader.now = leader.now.Add(time.Minute)
 	checkNothingFits(t, leader)
@@ -114,28 +115,28 @@
 	}
 }
 
-// checkNothingFits checks that 20 tasks wait of which none may start while only small values are
-// taken.
+// checkNothingFits checks that no chunk can be written, and none of the 20 waiting tasks started, while
+// the key-value store accepts only small values.
 func checkNothingFits(t *testing.T, leader *testLeader) {
 	t.Helper()
 	written := leader.commitAll(smallValue)
 	small, large := leader.job.StartableTasks(smallValue), leader.job.StartableTasks(largeValue)
 	if written != 0 || small != 0 || large != 20 {
-		t.Errorf("%d written, %d and %d may start", written, small, large)
+		t.Errorf("%d mutations written, %d tasks startable, %d with large values; want 0, 0 and 20", written, small, large)
 	}
 	if task := leader.job.NextStartable(0, smallValue); task != -1 {
-		t.Errorf("task %d may start where none may", task)
+		t.Errorf("task %d is startable, want none", task)
 	}
 }
 
-// endInParts ends attempts as done, part of them at a time and the first started first, and
-// starts what may start in between, until the whole job is done.
+// endInParts ends attempts as done, in groups of at most part and in the order of their starts. It
+// starts startable tasks in between, and returns when the whole job is done.
 func (l *testLeader) endInParts(attempts []*Attempt, part int) {
 	l.t.Helper()
 	for l.job.DoneTasks() < l.job.Spec.Tasks {
 		n := min(part, len(attempts))
 		if n == 0 {
-			l.t.Fatalf("stuck with %d done", l.job.DoneTasks())
+			l.t.Fatalf("no live attempt left with %d of %d tasks done", l.job.DoneTasks(), l.job.Spec.Tasks)
 		}
 		for _, attempt := range attempts[:n] {
 			l.store.EndAttempt(attempt, true, l.now)
@@ -146,7 +147,7 @@
 	}
 }
 
-// startStartable starts tasks as long as the job says that any may start, and returns their attempts.
+// startStartable starts tasks until Job.StartableTasks returns 0, and returns their attempts.
 func (l *testLeader) startStartable() []*Attempt {
 	var attempts []*Attempt
 	for next := 0; l.job.StartableTasks(smallValue) > 0; {
@@ -157,7 +158,7 @@
 	return attempts
 }
 
-// rechunkOutcomes are the ways in which a batch that rechunks a job ends.
+// rechunkOutcomes are the possible outcomes of a batch that rechunks a job, by name of the subtest.
 var rechunkOutcomes = map[string]func(*testLeader, *Batch){
 	"answered": func(l *testLeader, batch *Batch) {
 		revision, _ := l.backend.execute(batch)
@@ -186,16 +187,16 @@
 	},
 }
 
-// A service whose chunks are too large by now is rechunked when a replica of it has to start
-// again: it would never start otherwise. No attempt may be lost, also if the answer to that is
-// lost, or more changes meanwhile, or the leader ends in the middle of it.
+// Guards against a lost replica that is never restarted, as the chunks of its service have become too
+// large to be written: the service is then rechunked. Also guards against attempts that are lost by
+// this: the answer is lost, more tasks change meanwhile, or the leader ends before it is finished.
 func TestRechunkedServiceLosesNoAttempt(t *testing.T) {
 	for name, finishRechunk := range rechunkOutcomes {
 		t.Run(name, func(t *testing.T) {
 			leader := serviceThatNeedsRechunk(t)
 			batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
 			if batch == nil || len(batch.Mutations) != 1 {
-				t.Fatalf("not rechunked: %+v", batch)
+				t.Fatalf("service is not rechunked: batch %+v", batch)
 			}
 			finishRechunk(leader, batch)
 			leader.startAll(smallValue, "vm-000002")
@@ -213,8 +214,8 @@
 
 const replicas = 100
 
-// serviceThatNeedsRechunk returns the leader of a service of which a replica is lost after only
-// small values are taken.
+// serviceThatNeedsRechunk returns the leader of a service whose chunks are sized for large values and
+// that has lost a replica. The replica is not startable with small values before the rechunk.
 func serviceThatNeedsRechunk(t *testing.T) *testLeader {
 	t.Helper()
 	spec := testSpec(testID, job.Service, replicas)
@@ -225,43 +226,45 @@
 	leader.now = leader.now.Add(time.Minute)
 	leader.store.EndAttempt(leader.job.tasks.live[50], false, leader.now)
 	if leader.job.StartableTasks(smallValue) != 0 {
-		t.Fatal("the replica may start before there is room for it")
+		t.Fatal("lost replica is startable before the service is rechunked")
 	}
 	return leader
 }
 
-// checkSuccessorMidRechunk checks that a leader that ends before all of the new chunks are written
-// loses nothing.
+// checkSuccessorMidRechunk checks that no attempt is lost if the leader ends before all new chunks are
+// written: a new leader finds the new chunk size and all live tasks except the at most two lost ones.
 func checkSuccessorMidRechunk(t *testing.T, leader *testLeader) {
 	t.Helper()
 	successor := leader.backend.load(t)
 	successor.FinishLoading()
 	service := successor.Job(testID)
 	if service.LiveTasks() < replicas-2 || service.record.ChunkSize != TasksPerChunk(smallValue) {
-		t.Errorf("%d tasks live for a leader in the middle, chunks of %d", service.LiveTasks(), service.record.ChunkSize)
+		t.Errorf("new leader finds %d live tasks in chunks of %d, want at least %d in chunks of %d",
+			service.LiveTasks(), service.record.ChunkSize, replicas-2, TasksPerChunk(smallValue))
 	}
 }
 
-// checkAllAttemptsStored checks that a new leader finds every attempt.
+// checkAllAttemptsStored checks that a new leader finds every attempt in the stored records.
 func checkAllAttemptsStored(t *testing.T, leader *testLeader) {
 	t.Helper()
 	service := leader.backend.load(t).Job(testID)
 	for task := range replicas {
 		inMemory, stored := leader.job.tasks.live[task], service.tasks.live[task]
 		if inMemory == nil || stored == nil || !inMemory.Recorded {
-			t.Fatalf("task %d: %+v, stored %+v", task, inMemory, stored)
+			t.Fatalf("task %d: attempt %+v in memory, %+v stored; want both, recorded", task, inMemory, stored)
 		}
 		if inMemory.Number != stored.Number || inMemory.Machine != stored.Machine {
-			t.Fatalf("task %d: %+v, stored %+v", task, inMemory, stored)
+			t.Fatalf("task %d: attempt %+v in memory differs from %+v stored", task, inMemory, stored)
 		}
 	}
 	if service.record.ChunkSize != TasksPerChunk(smallValue) || service.Arrival != leader.job.Arrival {
-		t.Errorf("chunks of %d tasks, arrived at %d and %d", service.record.ChunkSize, service.Arrival, leader.job.Arrival)
+		t.Errorf("stored chunks of %d tasks, want %d; stored arrival %d, want %d",
+			service.record.ChunkSize, TasksPerChunk(smallValue), service.Arrival, leader.job.Arrival)
 	}
 }
 
-// checkRechunkIsKept checks that a cancellation, whose record other nodes write, leaves the
-// chunks as they are.
+// checkRechunkIsKept checks that a cancellation, whose record another node writes, leaves the chunk size
+// and the arrival of the job unchanged.
 func checkRechunkIsKept(t *testing.T, leader *testLeader) {
 	t.Helper()
 	leader.store.EndAttempt(leader.job.tasks.live[0], false, leader.now)
@@ -270,32 +273,34 @@
 	arrival := leader.job.Arrival
 	mustApply(t, leader.store, wire.Marshal(record), leader.backend.revision+1)
 	if !leader.job.Cancelled || leader.job.Arrival != arrival || leader.job.record.ChunkSize != TasksPerChunk(smallValue) {
-		t.Errorf("cancelled %v, arrived at %d, chunks of %d tasks", leader.job.Cancelled, leader.job.Arrival, leader.job.record.ChunkSize)
+		t.Errorf("cancelled %v, want true; arrival %d, want %d; chunks of %d tasks, want %d", leader.job.Cancelled,
+			leader.job.Arrival, arrival, leader.job.record.ChunkSize, TasksPerChunk(smallValue))
 	}
 }
 
-// Starts that wait to be written as their job is rechunked are still starts: written under the
-// compare of the job's record, and sent once they are recorded.
+// Guards against starts that are written without the compare of the job's record, because their job is
+// rechunked while they wait to be written. They still are starts, and are sent once they are recorded.
 func TestRechunkKeepsUnrecordedStarts(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
 	attempt := start(leader.store, leader.job, 50, leader.now)
 	rechunk := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now)
 	if rechunk == nil || rechunk.rechunk == nil {
-		t.Fatalf("not rechunked: %+v", rechunk)
+		t.Fatalf("service is not rechunked: batch %+v", rechunk)
 	}
 	revision, _ := leader.backend.execute(rechunk)
 	leader.store.BatchCommitted(rechunk, revision)
 	batch := leader.store.NextBatch(fence, BatchLimits{1, 1, smallValue}, leader.now)
 	if !hasCompare(batch, JobKey(testID), revision) {
-		t.Errorf("compares %v", batch.Compares)
+		t.Errorf("compares %v, want that of the job's record at revision %d", batch.Compares, revision)
 	}
 	if starts, _ := leader.store.BatchCommitted(batch, revision+1); len(starts) != 1 || starts[0] != attempt {
-		t.Errorf("recorded: %v", starts)
+		t.Errorf("recorded starts %v, want only that of task 50", starts)
 	}
 }
 
-// The answer to a rechunk that arrives after a newer record was read must not undo that: a
-// cancellation would be forgotten, and the revision would be one that conflicts.
+// Guards against a cancellation that is undone: the answer to a rechunk arrives after a newer record,
+// which cancels the job, was read. The revision in the answer is outdated too, and would cause
+// conflicts.
 func TestLateAnswerToRechunkDoesNotUndoCancellation(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
 	batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
@@ -306,12 +311,14 @@
 	leader.readRecord()
 	leader.store.BatchCommitted(batch, revision)
 	if !leader.job.Cancelled || leader.job.record.CancelledMS == 0 || leader.job.Revision != leader.backend.revision {
-		t.Errorf("cancelled %v, revision %d of %d", leader.job.Cancelled, leader.job.Revision, leader.backend.revision)
+		t.Errorf("cancelled %v, at %d ms; revision %d, want %d",
+			leader.job.Cancelled, leader.job.record.CancelledMS, leader.job.Revision, leader.backend.revision)
 	}
 }
 
-// A leader that ends once a job's record names smaller chunks leaves it to the next one to write
-// them. Otherwise old chunks would stay among the new ones until each of their tasks changes.
+// Guards against old chunks that remain among the new ones until each of their tasks changes: a leader
+// ends after it has written the record of the rechunked job, before it has written the new chunks. The
+// next leader writes them.
 func TestNewLeaderFinishesRechunk(t *testing.T) {
 	leader := serviceThatNeedsRechunk(t)
 	batch := leader.store.NextBatch(fence, BatchLimits{4, 4, smallValue}, leader.now.Add(time.Minute))
@@ -330,9 +337,9 @@
 	}
 }
 
-// An array whose chunks are too large by now is rechunked as soon as one of them can't be
-// written. Otherwise what was lost would not start again; and nothing of it may be left stored in
-// the end.
+// Guards against lost tasks that are not restarted, as the chunks of their array have become too large:
+// the array is rechunked as soon as one of its chunks cannot be written. Also guards against keys that
+// remain stored after the array has ended.
 func TestRechunkedArrayRestartsLostTasks(t *testing.T) {
 	const tasks = 300
 	leader := newTestLeader(t, Record{Spec: testSpec(testID, job.Array, tasks), ChunkSize: TasksPerChunk(largeValue)})
@@ -344,11 +351,12 @@
 	leader.now = leader.now.Add(time.Minute)
 	leader.commitAll(smallValue)
 	if n := leader.job.StartableTasks(smallValue); n != 10 {
-		t.Errorf("%d of 10 may start", n)
+		t.Errorf("%d lost tasks are startable, want 10", n)
 	}
 	successor := leader.backend.load(t).Job(testID)
 	if successor.DoneTasks() != 10 || successor.LiveTasks() != 280 || successor.WaitingTasks() != 10 {
-		t.Errorf("a new leader finds %d done, %d live, %d that wait", successor.DoneTasks(), successor.LiveTasks(), successor.WaitingTasks())
+		t.Errorf("new leader finds %d tasks done, %d live, %d waiting; want 10, 280 and 10",
+			successor.DoneTasks(), successor.LiveTasks(), successor.WaitingTasks())
 	}
 	leader.startAll(smallValue, "vm-000002")
 	for task := range tasks {
@@ -365,6 +373,6 @@
 		delete(leader.backend.items, deletion.Delete)
 	}
 	if len(leader.backend.items) != 1 || leader.backend.items[EndKey(testID)].Revision == 0 {
-		t.Errorf("left: %v", slices.Sorted(maps.Keys(leader.backend.items)))
+		t.Errorf("keys left: %v, want only that of the final state", slices.Sorted(maps.Keys(leader.backend.items)))
 	}
 }
