--- a/internal/jobstore/outcome.go
+++ b/internal/jobstore/outcome.go
@@ -39,8 +39,8 @@
 
 // recordEnds forgets the ends of attempts that the write holds. Later ones are not in it.
 func (w *chunkWrite) recordEnds() {
-	for task, end := range w.job.unrecordedEnds {
-		if end <= w.lastEnd && w.job.chunkOf(task) == w.chunk.index {
+	for task, sequence := range w.job.unrecordedEnds {
+		if sequence <= w.lastEnd && w.job.chunkOf(task) == w.chunk.index {
 			delete(w.job.unrecordedEnds, task)
 		}
 	}
--- a/internal/jobstore/records.go
+++ b/internal/jobstore/records.go
@@ -9,7 +9,7 @@
 // returns the job, and whether that is news: the job is new or newly cancelled. Older revisions
 // than the one known are no news; for a job whose end is recorded already the job is nil. The error
 // wraps ErrMalformed.
-func (s *Store) ApplyRecord(value []byte, revision uint64) (job *Job, news bool, err error) {
+func (s *Store) ApplyRecord(value []byte, revision uint64) (job *Job, changed bool, err error) {
 	record, err := DecodeRecord(value)
 	if err != nil {
 		return nil, false, err
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -79,15 +79,15 @@
 }
 
 // Older revisions, which a slow read returns, must not undo a cancellation.
-func TestOlderRecordIsNoNews(t *testing.T) {
+func TestOlderRecordIsIgnored(t *testing.T) {
 	store := New()
-	array, news, err := store.ApplyRecord(arrayRecord(testID, 2, true), 12)
-	if err != nil || !news || !array.Cancelled || !array.CancelledAt.Equal(startTime) {
-		t.Fatalf("%+v, news %v, %v", array, news, err)
+	array, changed, err := store.ApplyRecord(arrayRecord(testID, 2, true), 12)
+	if err != nil || !changed || !array.Cancelled || !array.CancelledAt.Equal(startTime) {
+		t.Fatalf("%+v, news %v, %v", array, changed, err)
 	}
-	again, news, err := store.ApplyRecord(arrayRecord(testID, 2, false), 11)
-	if err != nil || news || again != array || !array.Cancelled || array.Revision != 12 {
-		t.Errorf("%+v, news %v, %v", again, news, err)
+	again, changed, err := store.ApplyRecord(arrayRecord(testID, 2, false), 11)
+	if err != nil || changed || again != array || !array.Cancelled || array.Revision != 12 {
+		t.Errorf("%+v, news %v, %v", again, changed, err)
 	}
 }
 
--- a/internal/jobstore/tasks.go
+++ b/internal/jobstore/tasks.go
@@ -19,7 +19,7 @@
 	states            []taskState
 	live              map[int]*Attempt // by task, of all in taskLive
 	done              int              // tasks in taskDone
-	firstMaybeWaiting int              // no task below it is in taskWaiting
+	waitingLowerBound int              // no task below it is in taskWaiting
 }
 
 func newTaskTable(tasks int) taskTable {
@@ -48,7 +48,7 @@
 
 // nextWaiting returns the first waiting task at or after from, or -1.
 func (t *taskTable) nextWaiting(from int) int {
-	for task := max(from, t.firstMaybeWaiting); task < len(t.states); task++ {
+	for task := max(from, t.waitingLowerBound); task < len(t.states); task++ {
 		if t.states[task] == taskWaiting {
 			return task
 		}
@@ -60,8 +60,8 @@
 func (t *taskTable) start(attempt *Attempt) {
 	t.states[attempt.Task] = taskLive
 	t.live[attempt.Task] = attempt
-	for t.firstMaybeWaiting < len(t.states) && t.states[t.firstMaybeWaiting] != taskWaiting {
-		t.firstMaybeWaiting++
+	for t.waitingLowerBound < len(t.states) && t.states[t.waitingLowerBound] != taskWaiting {
+		t.waitingLowerBound++
 	}
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	t.states[task] = taskWaiting
-	t.firstMaybeWaiting = min(t.firstMaybeWaiting, task)
+	t.waitingLowerBound = min(t.waitingLowerBound, task)
 }
 
 // markDone marks a task as done that neither is done nor has a live attempt.
