--- a/internal/jobstore/backlog.go
+++ b/internal/jobstore/backlog.go
@@ -1,16 +1,17 @@
-// This file counts what waits to be written.
+// This file counts the changes that wait to be written.
 
 package jobstore
 
-// Backlog counts the changes that wait to be written.
+// Backlog is the number of changes of each kind that wait to be written.
 type Backlog struct {
-	Starts      int // of attempts
-	StartChunks int // chunks with such starts
-	Ends        int // of jobs
+	Starts      int // unrecorded starts of attempts
+	StartChunks int // chunks with starts that are in no batch
+	Ends        int // unrecorded ends of jobs
 }
 
-// Backlog counts the changes that wait to be written. Starts in a batch in flight count among
-// Starts, but their chunks do not.
+// Backlog returns the number of changes that wait to be written. Starts in a batch that is in flight
+// are counted in Starts, but their chunks are not counted in StartChunks. If the end of a job can be
+// recorded, only the end of that job is counted.
 func (s *Store) Backlog() Backlog {
 	var backlog Backlog
 	for job := range s.dirty {
@@ -24,7 +25,7 @@
 	return backlog
 }
 
-// chunksWithStarts returns how many chunks have starts that no batch holds.
+// chunksWithStarts returns the number of the job's chunks with starts that are in no batch.
 func (j *Job) chunksWithStarts() int {
 	n := 0
 	for _, c := range j.chunks {
@@ -35,7 +36,7 @@
 	return n
 }
 
-// unrecordedStarts returns how many live attempts are not recorded.
+// unrecordedStarts returns the number of the job's live attempts that are not recorded.
 func (j *Job) unrecordedStarts() int {
 	n := 0
 	for _, attempt := range j.tasks.live {
--- a/internal/jobstore/capacity.go
+++ b/internal/jobstore/capacity.go
@@ -1,12 +1,12 @@
-// This file says how many tasks may start while the values of their chunks are limited in size.
+// This file limits the starts of tasks so that the values of their chunks fit into the key-value store.
 //
-// That matters only for jobs whose chunks were made for larger values than the key-value store
-// takes by now: of such a chunk no more tasks are live at once than fit.
+// The limit matters only for jobs whose chunks were sized for larger values than the key-value store now
+// accepts. In such a chunk, no more tasks may be live at once than fit into a value.
 
 package jobstore
 
-// StartableTasks returns how many of the waiting tasks may start now, if the key-value store takes
-// values of so many bytes: those whose chunks have room for their attempts.
+// StartableTasks returns the number of waiting tasks that may start now, which are those whose attempts
+// fit into their chunks. The largest value that the key-value store accepts is valueBytes, in bytes.
 func (j *Job) StartableTasks(valueBytes int) int {
 	limit := TasksPerChunk(valueBytes)
 	if j.record.ChunkSize <= limit {
@@ -20,8 +20,8 @@
 	return min(startable, j.WaitingTasks())
 }
 
-// NextStartable returns the first task at or after from that may start if the key-value store
-// takes values of so many bytes, or -1.
+// NextStartable returns the first task at or after from that may start now, or -1 if there is none. The
+// largest value that the key-value store accepts is valueBytes, in bytes.
 func (j *Job) NextStartable(from, valueBytes int) int {
 	limit := TasksPerChunk(valueBytes)
 	task := j.tasks.nextWaiting(from)
@@ -35,7 +35,8 @@
 	return task
 }
 
-// freeSlots returns how many more attempts may be live in a chunk where at most limit may be.
+// freeSlots returns the number of further attempts that may be live in the chunk with an index, if at
+// most limit may be live in it.
 func (j *Job) freeSlots(index, limit int) int {
 	live := j.tasks.count(j.chunkTasks(index), taskLive)
 	return max(0, limit-live)
--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -1,5 +1,6 @@
-// This file encodes and decodes the values of records. Their names on the wire stand here alone:
-// older versions read and write the same values, so no tag may change (docs/upgrades.md).
+// This file defines the encodings of stored values. Apart from those in job.Spec, the names of their
+// fields are set only here. Older versions read and write the same values, so no tag may change
+// (docs/upgrades.md).
 
 package jobstore
 
@@ -11,22 +12,22 @@
 	"tulipshelf/internal/wire"
 )
 
-// ErrMalformed is wrapped by errors of values that are not what their keys stand for.
+// ErrMalformed is wrapped by the errors for stored values that cannot be decoded or are inconsistent.
 var ErrMalformed = errors.New("malformed value")
 
-// Record is the value under a job's key.
+// Record is the value under the key of an unfinished job (JobKey).
 type Record struct {
 	Spec              *job.Spec `cbor:"spec"`
-	SubmittedMS       int64     `cbor:"at_ms"`                  // submission, in Unix milliseconds
-	Arrival           uint64    `cbor:"arrival,omitempty"`      // revision of the first record; 0: this is the first
-	CancelledMS       int64     `cbor:"cancelled_ms,omitempty"` // cancellation, in Unix milliseconds; 0: not cancelled
-	ChunkSize         int       `cbor:"chunk"`                  // tasks in one chunk
-	FirstChunk        int       `cbor:"base,omitempty"`         // number of the first chunk; 0: never rechunked
-	PreviousChunkSize int       `cbor:"was,omitempty"`          // tasks in one chunk before it was rechunked
+	SubmittedMS       int64     `cbor:"at_ms"`                  // submission, in Unix ms
+	Arrival           uint64    `cbor:"arrival,omitempty"`      // first record's revision; 0 in that record
+	CancelledMS       int64     `cbor:"cancelled_ms,omitempty"` // cancellation, in Unix ms; 0: not cancelled
+	ChunkSize         int       `cbor:"chunk"`                  // tasks per chunk
+	FirstChunk        int       `cbor:"base,omitempty"`         // first chunk's number; 0: never rechunked
+	PreviousChunkSize int       `cbor:"was,omitempty"`          // previous ChunkSize; 0: never rechunked
 }
 
-// rechunkedFirstChunk is Record.FirstChunk of a job that was rechunked. It is beyond the numbers of
-// all earlier chunks, of which there are at most as many as tasks.
+// rechunkedFirstChunk is the value of Record.FirstChunk after a rechunk. It exceeds the numbers of all
+// previous chunks, as a job has at most one chunk per task.
 const rechunkedFirstChunk = job.MaxTasks
 
 // DecodeRecord decodes the value of a job's key. The error wraps ErrMalformed.
@@ -41,9 +42,9 @@
 	return record, nil
 }
 
-// DecodeRecordSummary decodes of the value of a job's key only whether the job is cancelled, and the
-// number of the first chunk that is valid: chunks with lower numbers are from before it was
-// rechunked. The error wraps ErrMalformed.
+// DecodeRecordSummary decodes two fields of the value of a job's key: whether the job is cancelled, and
+// the number of its first valid chunk. Chunks with lower numbers precede a rechunk. The error wraps
+// ErrMalformed.
 func DecodeRecordSummary(value []byte) (cancelled bool, firstChunk int, err error) {
 	var summary struct {
 		CancelledMS int64 `cbor:"cancelled_ms"`
@@ -55,31 +56,32 @@
 	return summary.CancelledMS != 0, summary.FirstChunk, nil
 }
 
-// FinalState is the value under a finished job's key.
+// FinalState is the value under the key of a finished job (EndKey).
 type FinalState struct {
 	Status string `cbor:"status"` // StatusDone or StatusCancelled
 	Tasks  int    `cbor:"tasks"`
 }
 
-// Final states, in the words of the users' protocol, as users read them verbatim.
+// Values of FinalState.Status, which are those of the users' protocol: users receive them verbatim.
 const (
 	StatusDone      = "done"
 	StatusCancelled = "withdrawn"
 )
 
-// chunkValue is the value of one chunk.
+// chunkValue is the value under the key of a chunk.
 type chunkValue struct {
-	Done string         `cbor:"done"` // ranges (eachInRanges) that count from the chunk's first task
-	Live []attemptValue `cbor:"live"`
+	Done string         `cbor:"done"` // offsets of done tasks in the chunk, as ranges (eachInRanges)
+	Live []attemptValue `cbor:"live"` // live attempts of the chunk's tasks
 }
 
-// attemptValue is a live attempt in the value of a chunk, encoded as a list in this order.
+// attemptValue is a live attempt in the value of a chunk. It is encoded as an array in the order of its
+// fields.
 type attemptValue struct {
 	_           struct{} `cbor:",toarray"`
 	Task        int      // index in the job
-	Number      uint64
+	Number      uint64   // attempt number (Store.NextAttemptNumber)
 	Machine     string
-	Incarnation uint64
+	Incarnation uint64 // incarnation of the worker agent
 }
 
 // decodeChunkValue decodes the value of a chunk. The error wraps ErrMalformed.
@@ -91,15 +93,15 @@
 	return decoded, nil
 }
 
-// Location is where a live attempt runs, according to its record.
+// Location is the machine and incarnation of a live attempt, as recorded in its chunk.
 type Location struct {
 	Attempt     job.AttemptID
 	Machine     string
-	Incarnation uint64 // of the worker agent
+	Incarnation uint64 // incarnation of the worker agent
 }
 
-// DecodeChunk decodes the value of a chunk of the job with an ID: how many tasks are done, and where
-// the live attempts run. The error wraps ErrMalformed.
+// DecodeChunk decodes the value of a chunk of the job with an ID. It returns the number of done tasks
+// and the locations of the live attempts. The error wraps ErrMalformed.
 func DecodeChunk(id string, value []byte) (done int, live []Location, err error) {
 	decoded, err := decodeChunkValue(value)
 	if err != nil {
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -1,4 +1,4 @@
-// This file holds a job and what can be asked about its progress.
+// This file defines Job and the queries on its progress.
 
 package jobstore
 
@@ -8,38 +8,38 @@
 	"tulipshelf/internal/job"
 )
 
-// Job is an unfinished job. Like its Store it is for the leader's event loop alone; the exported
-// fields are read only outside this package.
+// Job is an unfinished job. Like its Store, it may be used only by the leader's event loop. Code outside
+// this package must not write the exported fields.
 type Job struct {
 	Spec        *job.Spec
-	Revision    uint64 // of its record, as last read or written
-	Arrival     uint64 // revision of its first record: jobs that were submitted earlier have smaller ones
+	Revision    uint64 // revision of the job's record, as last read or written
+	Arrival     uint64 // revision of the job's first record; lower for jobs submitted earlier
 	SubmittedAt time.Time
 	Cancelled   bool
 	CancelledAt time.Time // zero unless Cancelled
 
-	record Record // as last read or written; the chunks in memory are divided as it says
+	record Record // record as last read or written; defines the division into chunks
 	tasks  taskTable
 
 	chunks         map[int]*chunk // by index
-	previousChunks []int          // numbers of stored chunks from before the job was rechunked
-	garbageChunks  []int          // numbers of stored chunks to delete now that the end is recorded
+	previousChunks []int          // numbers of stored chunks that precede the rechunk
+	garbageChunks  []int          // numbers of stored chunks to delete; empty until the end is recorded
 
-	// unrecordedEnds has, for each task whose last end is not recorded yet, that end's number in
-	// the order of Store.endSequence.
+	// unrecordedEnds maps each task whose latest end is not recorded to the sequence number of that
+	// end (Store.endSequence).
 	unrecordedEnds map[int]uint64
-	endReadySince  time.Time // when the end was first found to be ready; zero: not yet
+	endReadySince  time.Time // time at which NextBatch first found the end ready to record; zero: not yet
 
 	gangDispatch gangDispatchState
 }
 
-// DoneTasks returns how many tasks are done.
+// DoneTasks returns the number of tasks that are done.
 func (j *Job) DoneTasks() int { return j.tasks.done }
 
-// LiveTasks returns how many tasks have an attempt that is not proven gone.
+// LiveTasks returns the number of tasks with an attempt that is not proven gone.
 func (j *Job) LiveTasks() int { return len(j.tasks.live) }
 
-// WaitingTasks returns how many tasks wait for a machine; none of a cancelled job do.
+// WaitingTasks returns the number of tasks that wait for a machine. It is 0 for a cancelled job.
 func (j *Job) WaitingTasks() int {
 	if j.Cancelled {
 		return 0
@@ -54,9 +54,12 @@
 	}
 }
 
-// ResultDurable reports whether the last end of a task is recorded. It is kept for each task, as a
-// whole chunk is hardly ever clean while a large array runs: by the chunk, machines that had run
-// all of their tasks could not be returned until the array ended.
+// ResultDurable reports whether the latest end of a task is recorded. It is false while the task's chunk
+// is not stored.
+//
+// Ends are tracked for each task, not for each chunk. The chunks of a large array are hardly ever clean
+// while it runs, so a check of the whole chunk would block the return of machines that have run all of
+// their tasks until the array ended.
 func (j *Job) ResultDurable(task int) bool {
 	_, unrecorded := j.unrecordedEnds[task]
 	stored := j.chunks[j.chunkOf(task)]
@@ -64,8 +67,8 @@
 }
 
 // readyToEnd reports whether the end of the job can be recorded: all of its tasks are done, or it is
-// cancelled and has no live attempt. It is computed each time: a new leader reads a cancelled job
-// before the attempts that are still live.
+// cancelled and has no live attempt. The result is not cached: a new leader reads the record of a
+// cancelled job before the chunks with its live attempts, and so finds no live attempt at first.
 func (j *Job) readyToEnd() bool {
 	if j.tasks.done == len(j.tasks.states) {
 		return true
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -1,4 +1,4 @@
-// This file forms and parses the keys of records.
+// This file builds and parses the keys of records.
 
 package jobstore
 
@@ -22,11 +22,11 @@
 // EndKey returns the key of a finished job's FinalState.
 func EndKey(id string) string { return endPrefix + id }
 
-// chunkKey returns the key of the chunk with a number.
+// chunkKey returns the key of a job's chunk, given the job's ID and the chunk's number.
 func chunkKey(id string, number int) string { return fmt.Sprintf("%s%s/%06d", JobPrefix, id, number) }
 
 // SplitKey parses a key under JobPrefix into the job's ID and the chunk's number, which is -1 for the
-// job's own record. It reports whether the key is one.
+// key of the job's record. It returns ok as false if the key is of neither form.
 func SplitKey(key string) (id string, chunk int, ok bool) {
 	id, chunkText, isChunk := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
 	if !job.ValidID(id) {
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -1,4 +1,4 @@
-// This file starts, renumbers and ends attempts in memory. A batch makes each change durable later.
+// This file starts, renumbers and ends attempts in memory. A later batch makes each change durable.
 
 package jobstore
 
@@ -7,9 +7,11 @@
 	"time"
 )
 
-// StartAttempt makes a waiting task live. The attempt must not be sent before a batch has recorded it
-// (Attempt.Dispatchable). It panics if the task does not wait or the job is cancelled: a second
-// attempt beside a live one might run the task twice, so the caller's plan is at fault.
+// StartAttempt starts an attempt of a waiting task and returns it. The start must not be sent to the
+// worker agent before it is recorded (Attempt.Dispatchable).
+//
+// StartAttempt panics if the task is not waiting or the job is cancelled. Guards against a fault in the
+// caller's plan: a second attempt beside a live one might run the task twice.
 func (s *Store) StartAttempt(job *Job, task int, number uint64, machine string, incarnation uint64, now time.Time) *Attempt {
 	if job.tasks.states[task] != taskWaiting || job.Cancelled {
 		panic(fmt.Sprintf("jobstore: start of %s/%d in state %d", job.Spec.ID, task, job.tasks.states[task]))
@@ -21,20 +23,22 @@
 	return attempt
 }
 
-// Renumbered is an attempt that has a new number.
+// Renumbered is an attempt with a new number, and the number that it had before.
 type Renumbered struct {
-	Attempt        *Attempt // with its new number
+	Attempt        *Attempt // attempt with the new number already set
 	PreviousNumber uint64
 }
 
-// RenumberUnrecorded gives the attempts that are not recorded, and so were never sent, numbers of
-// a new term, and calls onRenumbered for each. Starts that wait to be written while the leader
-// advances its term would never be sent under their old numbers, and would hold resources until
-// that is noticed (docs/incidents/inc-bc39.md).
+// RenumberUnrecorded gives numbers of a new term to all attempts that are not recorded, and so were
+// never sent. It calls onRenumbered for each of them.
+//
+// Guards against starts that are never sent: a start that waits to be written while the leader advances
+// its term would never be sent under its old number, and would hold resources until that is detected
+// (docs/incidents/inc-bc39.md).
 func (s *Store) RenumberUnrecorded(term uint64, onRenumbered func(Renumbered)) {
 	for job := range s.dirty {
 		job.gangDispatch = gangDispatchUnknown
-		newNumbers := map[uint64]uint64{} // by the old one, which members of a gang share
+		newNumbers := map[uint64]uint64{} // by old number, which the members of a gang share
 		for _, attempt := range job.tasks.live {
 			if attempt.Recorded {
 				continue
@@ -49,8 +53,9 @@
 	}
 }
 
-// EndAttempt applies the proof that an attempt is gone: its task is done, or else waits again.
-// An attempt that is not live any more is ignored.
+// EndAttempt ends an attempt that is proven gone. Its task becomes done if done is true, or if the job
+// is a gang of which another task is done; otherwise the task waits again. If done is true and the job
+// is a gang, its waiting tasks become done as well. An attempt that is no longer live is ignored.
 func (s *Store) EndAttempt(attempt *Attempt, done bool, now time.Time) {
 	job, task := attempt.Job, attempt.Task
 	if job.tasks.live[task] != attempt {
@@ -71,8 +76,8 @@
 	s.markDirtyIfReadyToEnd(job)
 }
 
-// WithdrawUnrecorded ends the attempts of a cancelled job that no batch has recorded, and returns
-// them. Their starts were never sent, so nothing has to be stopped.
+// WithdrawUnrecorded ends the attempts of a cancelled job that are not recorded, and returns them. Their
+// starts were never sent, so no worker agent has to stop them.
 func (s *Store) WithdrawUnrecorded(job *Job, now time.Time) []*Attempt {
 	var withdrawn []*Attempt
 	for _, attempt := range job.tasks.live {
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -1,4 +1,4 @@
-// This file loads the chunks of jobs, as a new leader reads them.
+// This file loads the stored chunks of jobs into the Store of a new leader.
 
 package jobstore
 
@@ -7,12 +7,12 @@
 	"fmt"
 )
 
-// ErrNoJob is wrapped by errors of chunks without a record of their job.
+// ErrNoJob is wrapped by the errors for chunks of a job that the Store does not hold.
 var ErrNoJob = errors.New("no such job")
 
-// LoadChunk applies the value of the chunk with a number, as a new leader reads it after the record
-// of its job and in ascending order of keys. The error wraps ErrNoJob or ErrMalformed; after one the
-// Store must not be used.
+// LoadChunk loads the value of the chunk with a number, which a new leader has read. It must be called
+// after ApplyRecord for the chunk's job, and in ascending order of keys. The error wraps ErrNoJob or
+// ErrMalformed. After an error the Store must not be used.
 func (s *Store) LoadChunk(id string, number int, value []byte, revision uint64) error {
 	job := s.jobs[id]
 	if job == nil {
@@ -30,11 +30,11 @@
 	return nil
 }
 
-// addStoredChunk notes that the chunk with a number is stored, and returns its tasks.
+// addStoredChunk adds the chunk with a number as stored at a revision, and returns its tasks.
 func (j *Job) addStoredChunk(number int, revision uint64) taskRange {
 	if number < j.record.FirstChunk {
-		// From before the job was rechunked. It is valid until the chunk with the same
-		// tasks that has replaced it is read.
+		// This chunk precedes a rechunk. Its states are valid until they are replaced by those
+		// of a new chunk with the same tasks.
 		j.previousChunks = append(j.previousChunks, number)
 		return j.tasks.rangeAt(number, j.record.PreviousChunkSize)
 	}
@@ -43,7 +43,7 @@
 	return j.chunkTasks(index)
 }
 
-// loadTasks replaces the states of a chunk's tasks by those in its value. The error wraps
+// loadTasks replaces the states of a chunk's tasks by those in the chunk's value. The error wraps
 // ErrMalformed.
 func (j *Job) loadTasks(tasks taskRange, stored *chunkValue) error {
 	j.tasks.reset(tasks)
@@ -70,8 +70,9 @@
 	return nil
 }
 
-// FinishLoading is called once a new leader has read all records and chunks. It marks as dirty what
-// its predecessor left to be written: ends of jobs, and chunks of rechunked ones.
+// FinishLoading marks as dirty the changes that the previous leader left unwritten: ends of jobs, and
+// chunks of rechunked jobs. It also marks the waiting tasks of a gang as done if another of its tasks is
+// done. A new leader calls it once, after it has loaded all records and chunks.
 func (s *Store) FinishLoading() {
 	for _, job := range s.jobs {
 		if job.record.FirstChunk != 0 {
--- a/internal/jobstore/outcome.go
+++ b/internal/jobstore/outcome.go
@@ -1,10 +1,11 @@
-// This file applies the outcome of a batch to the state in memory.
+// This file updates the state in memory from the outcomes of batches.
 
 package jobstore
 
-// BatchCommitted applies that a batch was executed, at a revision. It returns the attempts that
-// it has recorded, whose starts may now be sent (Attempt.Dispatchable), and the jobs that have
-// ended.
+// BatchCommitted updates the state in memory after a batch was committed at a revision. It returns the
+// live attempts whose starts the batch recorded, and the jobs whose ends it recorded, with any
+// duplicates that a late read has added (Store.remove). The starts may now be sent if
+// Attempt.Dispatchable reports true.
 func (s *Store) BatchCommitted(batch *Batch, revision uint64) (starts []*Attempt, ended []*Job) {
 	for _, write := range batch.chunks {
 		starts = write.recordStarts(starts)
@@ -25,8 +26,8 @@
 	return starts, ended
 }
 
-// recordStarts marks the attempts as recorded whose starts the write holds, and appends those that
-// are still live to recorded.
+// recordStarts marks as recorded the attempts whose starts the write contains, if they are still live,
+// and appends them to recorded.
 func (w *chunkWrite) recordStarts(recorded []*Attempt) []*Attempt {
 	for _, attempt := range w.starts {
 		if w.job.tasks.live[attempt.Task] == attempt {
@@ -37,7 +38,8 @@
 	return recorded
 }
 
-// recordEnds forgets the ends of attempts that the write holds. Later ones are not in it.
+// recordEnds removes the ends that the write contains from the job's unrecorded ends. It keeps
+// later ends, which the write does not contain.
 func (w *chunkWrite) recordEnds() {
 	for task, sequence := range w.job.unrecordedEnds {
 		if sequence <= w.lastEnd && w.job.chunkOf(task) == w.chunk.index {
@@ -46,8 +48,8 @@
 	}
 }
 
-// applyEnd removes a job whose end is recorded. If another object stands under its ID, as a late read
-// has brought the job back (Store.remove), it returns that one.
+// applyEnd removes a job whose end is recorded. It returns the object that the Store holds under the
+// job's ID if that is another one, which a late read has added (Store.remove), and nil otherwise.
 func (s *Store) applyEnd(write endWrite) (duplicate *Job) {
 	ended := write.job
 	for _, index := range write.deletedChunks {
@@ -63,9 +65,9 @@
 	return current
 }
 
-// BatchFailed applies that a batch was not executed, or that this is not known. All of it is written
-// again under the same compares: of two transactions that compare the same revision of a key and
-// change it at most one is ever executed.
+// BatchFailed marks the chunks of a batch as dirty again if the batch was not executed or its outcome is
+// unknown. Later batches write all of its changes again with the same compares. That is safe: of two
+// transactions that compare the same revision of a key and change the key, at most one is executed.
 func (s *Store) BatchFailed(batch *Batch) {
 	for _, write := range batch.chunks {
 		write.chunk.dirty = true
@@ -74,9 +76,10 @@
 	}
 }
 
-// SetChunkRevision applies the revision of a chunk's key that was found when its compare had failed,
-// because an unanswered batch was executed after all. Only the leader of this term can have written
-// it, so the state in memory is the newer one.
+// SetChunkRevision sets the revision of a chunk to the one read from the key-value store after a compare
+// of the chunk's key failed, because a batch that was not answered had been executed. Only the leader of
+// this term can have written the chunk, so the state in memory is newer than the stored value. A chunk
+// that is not in memory is ignored.
 func (s *Store) SetChunkRevision(id string, number int, revision uint64) {
 	job := s.jobs[id]
 	if job == nil {
--- a/internal/jobstore/ranges.go
+++ b/internal/jobstore/ranges.go
@@ -1,4 +1,4 @@
-// This file encodes sets of numbers as ranges, such as "0-5,9".
+// This file encodes sets of numbers as ranges in text form, such as "0-5,9", and decodes them.
 
 package jobstore
 
@@ -10,10 +10,10 @@
 	"tulipshelf/internal/job"
 )
 
-// rangeWriter builds a text of ranges.
+// rangeWriter builds the text form of a set of numbers.
 type rangeWriter struct{ text strings.Builder }
 
-// add appends the numbers from first to last, which are beyond those added before.
+// add appends the range from first to last, inclusive, which must be above all ranges added before.
 func (w *rangeWriter) add(first, last int) {
 	if w.text.Len() > 0 {
 		w.text.WriteByte(',')
@@ -25,11 +25,11 @@
 	}
 }
 
-// String returns the ranges added so far.
+// String returns the text form of the ranges added so far; "" is the empty set.
 func (w *rangeWriter) String() string { return w.text.String() }
 
-// eachInRanges calls visit for each number of a text of ranges until it fails. The error wraps
-// ErrMalformed if the text is not one, and is visit's own otherwise.
+// eachInRanges calls visit for each number of a set in text form, and stops at the first error of visit,
+// which it returns. The error wraps ErrMalformed if the text is malformed.
 func eachInRanges(text string, visit func(number int) error) error {
 	if text == "" {
 		return nil
@@ -48,11 +48,14 @@
 	return nil
 }
 
-// numberRange is the numbers from first to last.
+// numberRange is the range of numbers from first to last, inclusive.
 type numberRange struct{ first, last int }
 
-// parseRange parses one range, a number or two with a hyphen between them. No number may exceed
-// the most tasks of a job, which bounds what a malformed value makes its reader do.
+// parseRange parses one range: a number, or two numbers separated by a hyphen. The error wraps
+// ErrMalformed.
+//
+// No number may exceed the maximum number of tasks of a job. Guards against unbounded work: a short
+// malformed text such as "0-999999999" would make its reader visit all of these numbers.
 func parseRange(text string) (numberRange, error) {
 	firstText, lastText, isPair := strings.Cut(text, "-")
 	first, err := strconv.Atoi(firstText)
--- a/internal/jobstore/records.go
+++ b/internal/jobstore/records.go
@@ -1,14 +1,13 @@
-// This file applies to the state in memory what is known of jobs' own records: what was read of
-// them, cancellations and deletions.
+// This file updates the state in memory from the records of jobs: reads, cancellations and deletions.
 
 package jobstore
 
 import "time"
 
-// ApplyRecord applies a job's record as it was read at a revision, by a read or from the watch. It
-// returns the job, and whether that is news: the job is new or newly cancelled. Older revisions
-// than the one known are no news; for a job whose end is recorded already the job is nil. The error
-// wraps ErrMalformed.
+// ApplyRecord applies the value of a job's record at a revision, from a read or from the watch. It
+// returns the job and reports whether the job is new or newly cancelled. A revision that is not later
+// than the one in memory is ignored. The job is nil if its end is already recorded. The error wraps
+// ErrMalformed.
 func (s *Store) ApplyRecord(value []byte, revision uint64) (job *Job, changed bool, err error) {
 	record, err := DecodeRecord(value)
 	if err != nil {
@@ -16,7 +15,7 @@
 	}
 	id := record.Spec.ID
 	if _, ended := s.endedIDs[id]; ended {
-		return nil, false, nil // the watch is behind the end that was written here
+		return nil, false, nil // the watch has not yet reported the end that this leader recorded
 	}
 	job = s.jobs[id]
 	if job != nil && revision <= job.Revision {
@@ -31,7 +30,7 @@
 	return job, isNew || newlyCancelled, nil
 }
 
-// newJob returns a job with none of its tasks started, of which a first record was read.
+// newJob returns a job with all of its tasks waiting, from the first of its records that is read.
 func newJob(record *Record, revision uint64) *Job {
 	return &Job{
 		Spec:           record.Spec,
@@ -44,13 +43,13 @@
 	}
 }
 
-// updateRecord takes over a newer record of a job and reports whether it newly cancels the job.
+// updateRecord replaces the record of a job by a newer one and reports whether it newly cancels the job.
 func (s *Store) updateRecord(job *Job, record Record, revision uint64) (newlyCancelled bool) {
 	if record.Arrival != 0 {
 		job.Arrival = record.Arrival
 	}
 	if record.ChunkSize != job.record.ChunkSize {
-		// A rechunk that was written here without an answer was applied after all.
+		// A rechunk by this leader was committed, and its batch has not been answered.
 		s.rechunk(job, record.ChunkSize)
 	}
 	newlyCancelled = record.CancelledMS != 0 && !job.Cancelled
@@ -61,9 +60,9 @@
 	return newlyCancelled
 }
 
-// MarkCancelled applies what another node has reported, that a job is durably cancelled, and returns
-// the job if that is news, else nil. The revision of its record is learnt later: until then batches
-// with changes of the job meet a conflict.
+// MarkCancelled cancels a job whose durable cancellation a controller has reported. It returns the job
+// if it is newly cancelled, and nil if it is not in the Store or already cancelled. Job.Revision is
+// updated only when the record is read or watched. Until then, batches that compare it meet a conflict.
 func (s *Store) MarkCancelled(id string, now time.Time) *Job {
 	job := s.jobs[id]
 	if job == nil || job.Cancelled {
@@ -73,29 +72,30 @@
 	return job
 }
 
+// cancel marks a job as cancelled at a time, and as dirty if its end can be recorded.
 func (s *Store) cancel(job *Job, at time.Time) {
 	job.Cancelled, job.CancelledAt = true, at
 	s.markDirtyIfReadyToEnd(job)
 }
 
-// RecordFoundDeleted removes a job whose record a read has found deleted, and returns it if it was
-// unfinished here, else nil. Its end was recorded by a transaction without an answer; the watch has
-// yet to report it.
+// RecordFoundDeleted removes a job whose record a read did not find, and returns the job, or nil if the
+// Store does not hold it. The end of the job was recorded by a transaction that was not answered, and
+// the watch has yet to report the deletion.
 func (s *Store) RecordFoundDeleted(id string) *Job {
 	s.endedIDs[id] = struct{}{}
 	return s.removeEnded(id)
 }
 
-// RecordDeleted removes a job whose record's deletion the watch has reported, and returns it if it
-// was unfinished here, else nil.
+// RecordDeleted removes a job after the watch has reported the deletion of its record. It returns the
+// job, or nil if the Store does not hold it.
 func (s *Store) RecordDeleted(id string) *Job {
 	delete(s.endedIDs, id)
 	return s.removeEnded(id)
 }
 
-// removeEnded removes a job whose end is recorded. Whether all of its chunks were deleted with it is
-// not known, so all of them become garbage; otherwise they would stay until another leader reads
-// the records.
+// removeEnded removes a job whose end is recorded, and adds all of its chunks to its garbage. Which of
+// them were deleted with the record is not known. A chunk that was not deleted would otherwise stay
+// until another leader reads the records.
 func (s *Store) removeEnded(id string) *Job {
 	job := s.remove(id)
 	if job != nil {
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -1,32 +1,36 @@
 // Package jobstore keeps the records of jobs and of the attempts to run their tasks: the leader's
 // copy in memory, and the batches of conditional writes that make it durable.
 //
-// It does no input or output of its own. The leader's event loop feeds a Store with what it reads
-// from the key-value store (Store.ApplyRecord, Store.LoadChunk), starts and ends attempts, which
-// marks chunks of tasks as dirty, takes one batch at a time (Store.NextBatch) and reports its
-// outcome (Store.BatchCommitted, Store.BatchFailed).
+// The package does no input or output. The leader's event loop
 //
-// Keys, whose use of the store's write rate docs/records.md explains:
+//   - applies records that it reads from the key-value store (Store.ApplyRecord, Store.LoadChunk),
+//   - starts and ends attempts, which marks chunks of tasks as dirty,
+//   - takes one batch at a time (Store.NextBatch), and
+//   - reports the outcome of the batch (Store.BatchCommitted, Store.BatchFailed).
 //
-//	job/ID         a job while it is unfinished (Record)
-//	job/ID/NNNNNN  a chunk of its tasks: which are done, and the live attempts
+// A start or an end is recorded once the key-value store is known to hold it.
+//
+// The keys are as follows; docs/records.md explains how they use the write rate of the key-value store.
+//
+//	job/ID         an unfinished job (Record)
+//	job/ID/NNNNNN  a chunk of the job's tasks: which are done, and the live attempts
 //	end/ID         the final state of a finished job (FinalState)
 package jobstore
 
 import "time"
 
-// Store is the leader's copy of all unfinished jobs. It has no lock: its methods, those of its jobs
-// and attempts, and all of their fields are for the leader's event loop alone.
+// Store is the leader's copy of all unfinished jobs. It has no lock: only the leader's event loop
+// may use the Store, its jobs and their attempts.
 type Store struct {
 	jobs  map[string]*Job   // by ID
-	dirty map[*Job]struct{} // jobs with a dirty chunk or with an end to record
+	dirty map[*Job]struct{} // jobs with a dirty chunk or an end to record
 
-	// endedIDs are the jobs whose end is recorded while the watch has not yet reported the deletion
-	// of their records. Without it a late event would bring an ended job back.
+	// endedIDs holds the IDs of jobs whose end is recorded and for which the watch has not yet reported
+	// the deletion of the record. Guards against a late event that would add an ended job again.
 	endedIDs map[string]struct{}
 
-	attemptSequence uint64 // of the last attempt number that was handed out
-	endSequence     uint64 // ends of attempts so far: the number of the last one
+	attemptSequence uint64 // sequence number in the last allocated attempt number; 0: none allocated
+	endSequence     uint64 // sequence number of the last end of an attempt; 0: none has ended
 }
 
 // New returns an empty store.
@@ -34,7 +38,7 @@
 	return &Store{jobs: map[string]*Job{}, dirty: map[*Job]struct{}{}, endedIDs: map[string]struct{}{}}
 }
 
-// Job returns an unfinished job, or nil.
+// Job returns the unfinished job with an ID, or nil if there is none.
 func (s *Store) Job(id string) *Job { return s.jobs[id] }
 
 // Each calls f for each unfinished job, in unspecified order.
@@ -44,10 +48,11 @@
 	}
 }
 
-// Len returns how many jobs are unfinished.
+// Len returns the number of unfinished jobs.
 func (s *Store) Len() int { return len(s.jobs) }
 
-// markDirty marks the chunk of a task as changed at now and returns it.
+// markDirty marks a task's chunk as dirty since now, and returns the chunk. A chunk that is already
+// dirty keeps its earlier time.
 func (s *Store) markDirty(job *Job, task int, now time.Time) *chunk {
 	index := job.chunkOf(task)
 	changed := job.chunks[index]
@@ -62,15 +67,15 @@
 	return changed
 }
 
-// markDirtyIfReadyToEnd marks a job as dirty if its end is to be recorded.
+// markDirtyIfReadyToEnd marks a job as dirty if its end can be recorded.
 func (s *Store) markDirtyIfReadyToEnd(job *Job) {
 	if job.readyToEnd() {
 		s.dirty[job] = struct{}{}
 	}
 }
 
-// clearDirtyIfWritten removes a job from the dirty ones once none of its chunks is dirty and its end
-// is not to be recorded.
+// clearDirtyIfWritten removes a job from the dirty jobs if none of its chunks is dirty and it has no end
+// to record.
 func (s *Store) clearDirtyIfWritten(job *Job) {
 	if job.readyToEnd() {
 		return
@@ -83,11 +88,12 @@
 	delete(s.dirty, job)
 }
 
-// remove removes and returns the job that is stored under an ID, or nil. It need not be the object
-// whose end was recorded: a read that began before the end and is answered after the watch has
-// reported it brings the job back as another object. Left among the dirty ones, such a job would be
-// written again and again, always in vain, at the expense of the write rate that the ends of other
-// jobs wait for (docs/incidents/inc-1671.md).
+// remove removes the job with an ID from the Store and returns it, or nil if there is none.
+//
+// The job may be another object than the one whose end was recorded: a read that began before the end
+// and is answered after the watch has reported the end adds the job again, as a new object. Such a job
+// must not stay among the dirty jobs. Its writes would fail and be repeated for ever, and use up the
+// write rate that the ends of other jobs need (docs/incidents/inc-1671.md).
 func (s *Store) remove(id string) *Job {
 	job := s.jobs[id]
 	if job != nil {
