--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -34,10 +34,11 @@
 func DecodeRecord(value []byte) (Record, error) {
 	var record Record
 	if err := wire.Unmarshal(value, &record); err != nil {
-		return record, fmt.Errorf("jobstore: job record: %w: %w", ErrMalformed, err)
+		return record, fmt.Errorf("jobstore: decode job record: %w: %w", ErrMalformed, err)
 	}
 	if record.Spec == nil || record.ChunkSize < 1 {
-		return record, fmt.Errorf("jobstore: job record: %w: no description or chunk size", ErrMalformed)
+		return record, fmt.Errorf("jobstore: decode job record: %w: no job description, or chunk size %d below 1",
+			ErrMalformed, record.ChunkSize)
 	}
 	return record, nil
 }
@@ -51,7 +52,7 @@
 		FirstChunk  int   `cbor:"base"`
 	}
 	if err := wire.Unmarshal(value, &summary); err != nil {
-		return false, 0, fmt.Errorf("jobstore: job record: %w: %w", ErrMalformed, err)
+		return false, 0, fmt.Errorf("jobstore: decode summary of job record: %w: %w", ErrMalformed, err)
 	}
 	return summary.CancelledMS != 0, summary.FirstChunk, nil
 }
@@ -105,7 +106,7 @@
 func DecodeChunk(id string, value []byte) (done int, live []Location, err error) {
 	decoded, err := decodeChunkValue(value)
 	if err != nil {
-		return 0, nil, fmt.Errorf("jobstore: chunk: %w", err)
+		return 0, nil, fmt.Errorf("jobstore: decode chunk of job %s: %w", id, err)
 	}
 	for _, a := range decoded.Live {
 		attempt := job.AttemptID{Task: job.TaskName(id, a.Task), Number: a.Number}
@@ -113,7 +114,7 @@
 	}
 	err = eachInRanges(decoded.Done, func(int) error { done++; return nil })
 	if err != nil {
-		return done, live, fmt.Errorf("jobstore: chunk: %w", err)
+		return done, live, fmt.Errorf("jobstore: decode chunk of job %s: done tasks: %w", id, err)
 	}
 	return done, live, nil
 }
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -14,7 +14,8 @@
 // caller's plan: a second attempt beside a live one might run the task twice.
 func (s *Store) StartAttempt(job *Job, task int, number uint64, machine string, incarnation uint64, now time.Time) *Attempt {
 	if job.tasks.states[task] != taskWaiting || job.Cancelled {
-		panic(fmt.Sprintf("jobstore: start of %s/%d in state %d", job.Spec.ID, task, job.tasks.states[task]))
+		panic(fmt.Sprintf("jobstore: StartAttempt of task %s/%d in state %d (want %d), job cancelled: %t (want false)",
+			job.Spec.ID, task, job.tasks.states[task], taskWaiting, job.Cancelled))
 	}
 	attempt := &Attempt{Job: job, Task: task, Number: number, Machine: machine, Incarnation: incarnation}
 	job.tasks.start(attempt)
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -16,16 +16,16 @@
 func (s *Store) LoadChunk(id string, number int, value []byte, revision uint64) error {
 	job := s.jobs[id]
 	if job == nil {
-		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, ErrNoJob)
+		return fmt.Errorf("jobstore: load chunk %s/%d: %w", id, number, ErrNoJob)
 	}
 	stored, err := decodeChunkValue(value)
 	if err != nil {
-		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, err)
+		return fmt.Errorf("jobstore: decode chunk %s/%d: %w", id, number, err)
 	}
 	tasks := job.addStoredChunk(number, revision)
 	job.gangDispatch = gangDispatchUnknown
 	if err := job.loadTasks(tasks, &stored); err != nil {
-		return fmt.Errorf("jobstore: chunk %s/%d: %w", id, number, err)
+		return fmt.Errorf("jobstore: load chunk %s/%d: %w", id, number, err)
 	}
 	return nil
 }
@@ -50,7 +50,7 @@
 	err := eachInRanges(stored.Done, func(offset int) error {
 		task := tasks.first + offset
 		if task >= tasks.end {
-			return fmt.Errorf("%w: task %d is out of range", ErrMalformed, task)
+			return fmt.Errorf("%w: done task %d is beyond the chunk, which ends before task %d", ErrMalformed, task, tasks.end)
 		}
 		if j.tasks.states[task] != taskDone {
 			j.tasks.markDone(task)
@@ -63,7 +63,8 @@
 	for _, a := range stored.Live {
 		inRange := tasks.first <= a.Task && a.Task < tasks.end
 		if !inRange || j.tasks.states[a.Task] != taskWaiting {
-			return fmt.Errorf("%w: attempt of task %d", ErrMalformed, a.Task)
+			return fmt.Errorf("%w: live attempt of task %d, which is done, has another attempt or is not in [%d, %d)",
+				ErrMalformed, a.Task, tasks.first, tasks.end)
 		}
 		j.tasks.load(&Attempt{Job: j, Task: a.Task, Number: a.Number, Machine: a.Machine, Incarnation: a.Incarnation, Recorded: true})
 	}
--- a/internal/jobstore/ranges.go
+++ b/internal/jobstore/ranges.go
@@ -65,7 +65,8 @@
 	}
 	isValid := 0 <= first && first <= last && last <= job.MaxTasks
 	if err != nil || !isValid {
-		return numberRange{}, fmt.Errorf("%w: range %q", ErrMalformed, text)
+		return numberRange{}, fmt.Errorf("%w: range %q, want \"N\" or \"M-N\" with 0 <= M <= N <= %d",
+			ErrMalformed, text, job.MaxTasks)
 	}
 	return numberRange{first, last}, nil
 }
