--- a/internal/jobstore/codec_test.go
+++ b/internal/jobstore/codec_test.go
@@ -10,7 +10,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// Older versions read and write the same values: their encodings must not change by a byte.
+// Guards against changed encodings: older versions read and write the same values, so no byte may
+// change.
 func TestEncodingsStayAsOlderVersionsReadThem(t *testing.T) {
 	attempt := attemptValue{Task: 6, Number: 1<<24 | 2, Machine: "vm-1", Incarnation: 7}
 	firstRecord := Record{Spec: testSpec(testID, job.Array, 3), SubmittedMS: 1, ChunkSize: 4}
@@ -32,13 +33,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := string(wire.Marshal(test.value)); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("encoded as %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// The names under which a job's record is stored: older versions read them.
+// Guards against renamed fields in the stored record of a job: older versions read the same names.
 func TestRecordFieldNames(t *testing.T) {
 	var fields map[string]any
 	full := Record{Spec: &job.Spec{}, SubmittedMS: 1, Arrival: 2, CancelledMS: 3, ChunkSize: 4, FirstChunk: 5, PreviousChunkSize: 6}
@@ -47,7 +48,7 @@
 	}
 	want := []string{"arrival", "at_ms", "base", "cancelled_ms", "chunk", "spec", "was"}
 	if got := slices.Sorted(maps.Keys(fields)); !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("fields %v, want %v", got, want)
 	}
 }
 
@@ -61,27 +62,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := DecodeRecord(value); !errors.Is(err, ErrMalformed) {
-				t.Errorf("decoded with %v", err)
+				t.Errorf("DecodeRecord: error %v, want ErrMalformed", err)
 			}
 			if _, _, err := New().ApplyRecord(value, 1); !errors.Is(err, ErrMalformed) {
-				t.Errorf("applied with %v", err)
+				t.Errorf("ApplyRecord: error %v, want ErrMalformed", err)
 			}
 		})
 	}
 	if _, _, err := DecodeRecordSummary([]byte{0x01}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("summary decoded with %v", err)
+		t.Errorf("DecodeRecordSummary: error %v, want ErrMalformed", err)
 	}
 	if _, _, err := DecodeChunk(testID, []byte{0x01}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("chunk decoded with %v", err)
+		t.Errorf("DecodeChunk: error %v, want ErrMalformed", err)
 	}
 }
 
-// Users are answered from summaries: a rechunked job's old chunks must not count.
+// Guards against wrong task counts in answers to users, which come from record summaries: the chunks
+// that precede a rechunk must not be counted.
 func TestRecordSummaryHasFirstValidChunk(t *testing.T) {
 	record := Record{Spec: testSpec(testID, job.Array, 1), CancelledMS: 1, ChunkSize: 4, FirstChunk: rechunkedFirstChunk}
 	cancelled, firstChunk, err := DecodeRecordSummary(wire.Marshal(record))
 	if err != nil || !cancelled || firstChunk != rechunkedFirstChunk {
-		t.Errorf("cancelled %v, first chunk %d, %v", cancelled, firstChunk, err)
+		t.Errorf("cancelled %v, first chunk %d, error %v; want true, %d, nil", cancelled, firstChunk, err, rechunkedFirstChunk)
 	}
 }
 
@@ -96,15 +98,15 @@
 	}
 	value := array.chunkValue(0)
 	if value.Done != "0,2-3" {
-		t.Errorf("done: %q", value.Done)
+		t.Errorf("done tasks %q, want \"0,2-3\"", value.Done)
 	}
 	done, live, err := DecodeChunk(testID, wire.Marshal(value))
 	if err != nil || done != 3 || len(live) != 1 {
-		t.Fatalf("done %d, live %v, %v", done, live, err)
+		t.Fatalf("%d done tasks, live attempts %v, error %v; want 3 done, 1 live, nil", done, live, err)
 	}
 	want := Location{job.AttemptID{Task: "wk-000001/1", Number: 1<<24 | 2}, "vm-000001", 1}
 	if live[0] != want {
-		t.Errorf("live %v, want %v", live[0], want)
+		t.Errorf("live attempt %v, want %v", live[0], want)
 	}
 }
 
@@ -112,7 +114,7 @@
 	for _, text := range []string{"x", "3-1", "-1", "1-", "0-999999999", "1,", ",", "1-2-3", "0x1"} {
 		err := eachInRanges(text, func(int) error { return nil })
 		if !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q is read with %v", text, err)
+			t.Errorf("%q: error %v, want ErrMalformed", text, err)
 		}
 	}
 }
@@ -122,18 +124,19 @@
 		var numbers []int
 		err := eachInRanges(text, func(number int) error { numbers = append(numbers, number); return nil })
 		if err != nil || !slices.Equal(numbers, want) {
-			t.Errorf("%q: %v, %v", text, numbers, err)
+			t.Errorf("%q: numbers %v, error %v; want %v, nil", text, numbers, err, want)
 		}
 	}
 	stop := errors.New("stop")
 	visits := 0
 	err := eachInRanges("0-9", func(int) error { visits++; return stop })
 	if !errors.Is(err, stop) || visits != 1 {
-		t.Errorf("%d visits, %v", visits, err)
+		t.Errorf("%d visits, error %v; want 1, %v", visits, err, stop)
 	}
 }
 
-// What a chunk's ranges are written from is read from them again.
+// Guards against done tasks that are lost or added by the encoding: the ranges of a chunk must decode to
+// the tasks from which they were encoded.
 func FuzzRangesRoundTrip(f *testing.F) {
 	f.Add([]byte{0b0011_1111, 0b0000_0010})
 	f.Add([]byte{})
@@ -151,13 +154,13 @@
 		text := array.doneRanges(array.chunkTasks(0))
 		err := eachInRanges(text, func(number int) error { got = append(got, number); return nil })
 		if err != nil || !slices.Equal(got, want) {
-			t.Errorf("%v written as %q, read as %v, %v", want, text, got, err)
+			t.Errorf("%v encoded as %q, decoded as %v with error %v", want, text, got, err)
 		}
 	})
 }
 
-// Whatever stands under a chunk's key, a new leader either refuses it or has consistent counts of
-// tasks.
+// Guards against inconsistent task counts in a new leader: whatever the value of a chunk is, LoadChunk
+// must either refuse it as malformed or leave counts that agree with the states of the tasks.
 func FuzzLoadChunk(f *testing.F) {
 	attempt := attemptValue{Task: 6, Number: 3, Machine: "vm-1", Incarnation: 7}
 	f.Add(1, wire.Marshal(chunkValue{Done: "0-1", Live: []attemptValue{attempt}}))
@@ -166,21 +169,21 @@
 	f.Add(0, []byte{0xa0})
 	f.Fuzz(func(t *testing.T, number int, value []byte) {
 		if number < 0 || number > job.MaxTasks {
-			t.Skip("no number of a chunk")
+			t.Skip("not a chunk number")
 		}
 		store := New()
 		array := addArray(t, store, testID, 10, 1)
 		err := store.LoadChunk(testID, number, value, 2)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
-				t.Errorf("refused with %v", err)
+				t.Errorf("LoadChunk: error %v, want ErrMalformed", err)
 			}
 			return
 		}
 		all := taskRange{0, 10}
 		counts := []int{array.tasks.count(all, taskWaiting), array.tasks.count(all, taskLive), array.tasks.count(all, taskDone)}
 		if want := []int{array.WaitingTasks(), array.LiveTasks(), array.DoneTasks()}; !slices.Equal(counts, want) {
-			t.Errorf("tasks that wait, are live, are done: %v, counted as %v", counts, want)
+			t.Errorf("waiting, live and done tasks: %v by state, %v by count", counts, want)
 		}
 	})
 }
@@ -203,19 +206,20 @@
 	} {
 		id, chunk, ok := SplitKey(test.key)
 		if id != test.id || chunk != test.chunk || ok != test.ok {
-			t.Errorf("%q: %q, %d, %v", test.key, id, chunk, ok)
+			t.Errorf("SplitKey(%q) = %q, %d, %v, want %q, %d, %v", test.key, id, chunk, ok, test.id, test.chunk, test.ok)
 		}
 	}
 	if key := chunkKey(testID, 2); key != "job/wk-000001/000002" {
-		t.Errorf("key of a chunk: %q", key)
+		t.Errorf("chunkKey = %q, want \"job/wk-000001/000002\"", key)
 	}
 }
 
-// Chunks that were made for too many tasks could not be written (docs/records.md has the two sizes).
+// Guards against chunks with too many tasks, which could not be written (docs/records.md has the two
+// sizes).
 func TestTasksPerChunk(t *testing.T) {
 	for valueBytes, want := range map[int]int{0: 1, 120: 1, 2 << 10: 35, 8 << 10: 145, 64 << 10: 1024, 1 << 20: 1024} {
 		if tasks := TasksPerChunk(valueBytes); tasks != want {
-			t.Errorf("%d tasks in %d bytes, want %d", tasks, valueBytes, want)
+			t.Errorf("TasksPerChunk(%d) = %d, want %d", valueBytes, tasks, want)
 		}
 	}
 }
--- a/internal/jobstore/helpers_test.go
+++ b/internal/jobstore/helpers_test.go
@@ -13,8 +13,8 @@
 
 const (
 	testID     = "wk-000001"
-	largeValue = 8 << 10 // bytes that the key-value store takes at first
-	smallValue = 2 << 10 // bytes that it takes after its limit was lowered
+	largeValue = 8 << 10 // value limit of the key-value store at first, in bytes
+	smallValue = 2 << 10 // value limit after it was lowered, in bytes
 )
 
 var (
@@ -22,12 +22,12 @@
 	fence     = kvstore.Compare{Key: "lead/term", Revision: 7}
 )
 
-// testSpec returns the description of a job of a shape.
+// testSpec returns the description of a job with an ID, a shape and a number of tasks.
 func testSpec(id string, shape job.Shape, tasks int) *job.Spec {
 	return &job.Spec{ID: id, Shape: shape, Priority: "standard", Tasks: tasks, CPUs: 1}
 }
 
-// arrayRecord returns the value of a job array's key, in chunks of four tasks.
+// arrayRecord returns the value of a job array's key, with four tasks per chunk.
 func arrayRecord(id string, tasks int, cancelled bool) []byte {
 	record := Record{Spec: testSpec(id, job.Array, tasks), ChunkSize: 4}
 	if cancelled {
@@ -36,7 +36,7 @@
 	return wire.Marshal(record)
 }
 
-// mustApply applies a record that is valid.
+// mustApply applies a job record, and fails the test if the record is refused.
 func mustApply(t *testing.T, store *Store, value []byte, revision uint64) *Job {
 	t.Helper()
 	applied, _, err := store.ApplyRecord(value, revision)
@@ -46,7 +46,7 @@
 	return applied
 }
 
-// addArray applies the record of a job array in chunks of four tasks.
+// addArray applies the record of a job array with four tasks per chunk.
 func addArray(t *testing.T, store *Store, id string, tasks int, revision uint64) *Job {
 	t.Helper()
 	return mustApply(t, store, arrayRecord(id, tasks, false), revision)
@@ -58,27 +58,27 @@
 	return mustApply(t, store, arrayRecord(id, tasks, true), revision)
 }
 
-// start starts a task under a number of its own.
+// start starts a task with a new attempt number.
 func start(store *Store, target *Job, task int, now time.Time) *Attempt {
 	return store.StartAttempt(target, task, store.NextAttemptNumber(1), "vm-000001", 1, now)
 }
 
-// startRecorded starts a task and records the start, as a leader does before it sends it.
+// startRecorded starts a task and records the start, as a leader does before it sends the start.
 func startRecorded(t *testing.T, store *Store, target *Job, task int, revision uint64) *Attempt {
 	t.Helper()
 	attempt := start(store, target, task, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil {
-		t.Fatal("start is not written")
+		t.Fatal("no batch for the start")
 	}
 	starts, _ := store.BatchCommitted(batch, revision)
 	if len(starts) != 1 || starts[0] != attempt || !attempt.Recorded {
-		t.Fatalf("committed %v", starts)
+		t.Fatalf("recorded starts %v, want only the new attempt, marked as recorded", starts)
 	}
 	return attempt
 }
 
-// nextBatch returns the next batch of a leader with rate to spare.
+// nextBatch returns the next batch of a leader with write rate to spare.
 func nextBatch(store *Store, now time.Time) *Batch {
 	return store.NextBatch(fence, BatchLimits{8, 8, largeValue}, now)
 }
@@ -87,7 +87,7 @@
 	return slices.Contains(batch.Compares, kvstore.Compare{Key: key, Revision: revision})
 }
 
-// fakeStore is a key-value store that executes batches.
+// fakeStore is a key-value store in memory that executes batches.
 type fakeStore struct {
 	revision uint64
 	items    map[string]kvstore.Item // by key
@@ -105,7 +105,8 @@
 	f.items[key] = kvstore.Item{Key: key, Value: value, Revision: f.revision}
 }
 
-// execute executes a batch if its compares hold, all but the first, which is that of the term.
+// execute executes a batch if its compares hold. It skips the first one, which is that of the term. It
+// returns the store's revision, and whether the batch was executed.
 func (f *fakeStore) execute(batch *Batch) (revision uint64, ok bool) {
 	for _, c := range batch.Compares[1:] {
 		if f.items[c.Key].Revision != c.Revision {
@@ -123,7 +124,7 @@
 	return f.revision, true
 }
 
-// load returns the Store of a new leader that has read all records.
+// load returns the Store of a new leader that has loaded all records, before FinishLoading.
 func (f *fakeStore) load(t *testing.T) *Store {
 	t.Helper()
 	store := New()
@@ -144,7 +145,7 @@
 	t.Helper()
 	for _, mutation := range batch.Mutations {
 		if len(mutation.Value) > valueBytes {
-			t.Fatalf("a value of %d bytes", len(mutation.Value))
+			t.Fatalf("value of %d bytes, want at most %d", len(mutation.Value), valueBytes)
 		}
 	}
 }
--- a/internal/jobstore/lifecycle_test.go
+++ b/internal/jobstore/lifecycle_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A second attempt beside a live one would run the task twice, and a cancelled job must not run:
-// a plan that asks for that is a fault of the program.
+// Guards against starts of tasks that do not wait. A second attempt beside a live one would run the task
+// twice, and a cancelled job must not run. A plan with such a start is a fault of the program, so
+// StartAttempt panics.
 func TestStartOfTaskThatDoesNotWaitPanics(t *testing.T) {
 	store := New()
 	running := addArray(t, store, "wk-000001", 2, 10)
@@ -15,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			defer func() {
 				if recover() == nil {
-					t.Error("task started")
+					t.Error("StartAttempt did not panic")
 				}
 			}()
 			start(store, array, 0, startTime)
@@ -23,8 +24,8 @@
 	}
 }
 
-// Starts that wait to be written while the leader advances its term are sent under the new one; those
-// that are recorded keep their numbers, as they may have been sent.
+// Guards against starts that are never sent: they wait to be written while the leader advances its term,
+// and need numbers of the new term. Recorded starts keep their numbers, as they may have been sent.
 func TestUnrecordedStartsSurviveNewTerm(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 4, 10)
@@ -36,43 +37,45 @@
 	store.RenumberUnrecorded(5, func(renumbered Renumbered) {
 		calls++
 		if renumbered.PreviousNumber != shared {
-			t.Errorf("previous number %d, was %d", renumbered.PreviousNumber, shared)
+			t.Errorf("previous number %d, want %d", renumbered.PreviousNumber, shared)
 		}
 		if renumbered.Attempt != first && renumbered.Attempt != second {
-			t.Errorf("renumbered %v", renumbered.Attempt.ID())
+			t.Errorf("attempt %v renumbered, want only the unrecorded ones", renumbered.Attempt.ID())
 		}
 	})
 	if calls != 2 || first.ID().Term() != 5 || first.Number != second.Number {
-		t.Errorf("%d calls, numbers %d and %d", calls, first.Number, second.Number)
+		t.Errorf("%d calls, numbers %d and %d; want 2 calls and one number of term 5", calls, first.Number, second.Number)
 	}
 	if recorded.ID().Term() != 1 {
-		t.Errorf("recorded attempt has number %d", recorded.Number)
+		t.Errorf("recorded attempt has number %d, want one of term 1", recorded.Number)
 	}
 }
 
-// Of a cancelled job the starts that were never recorded, and so never sent, need no proof that
-// they are gone; those that may have been sent stay live until there is one.
+// Guards against losing attempts of a cancelled job that may still run. An attempt whose start may have
+// been sent stays live until it is proven gone. A start that was never recorded was never sent, so it
+// needs no proof.
 func TestCancelledJobKeepsAttemptsThatMayRun(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 3, 10)
 	recorded := startRecorded(t, store, array, 0, 11)
 	unrecorded := start(store, array, 1, startTime)
 	if store.MarkCancelled(testID, startTime) != array {
-		t.Fatal("cancellation is no news")
+		t.Fatal("MarkCancelled did not return the newly cancelled job")
 	}
 	if store.MarkCancelled(testID, startTime) != nil {
-		t.Error("cancellation is news twice")
+		t.Error("second MarkCancelled returned a job, want nil")
 	}
 	withdrawn := store.WithdrawUnrecorded(array, startTime)
 	if len(withdrawn) != 1 || withdrawn[0] != unrecorded {
-		t.Errorf("withdrawn: %v", withdrawn)
+		t.Errorf("withdrawn attempts %v, want only the unrecorded one", withdrawn)
 	}
 	if array.LiveTasks() != 1 || array.tasks.live[0] != recorded {
-		t.Errorf("%d live attempts", array.LiveTasks())
+		t.Errorf("%d live attempts, want only the recorded one", array.LiveTasks())
 	}
 }
 
-// An attempt that ends twice, as two proofs of it arrive, must not end the task's next attempt.
+// Guards against an attempt that ends twice because two proofs of its end arrive: the second one must
+// not end the task's next attempt.
 func TestSecondProofDoesNotEndNextAttempt(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
@@ -81,11 +84,12 @@
 	next := start(store, array, 0, startTime)
 	store.EndAttempt(lost, true, startTime)
 	if array.tasks.live[0] != next || array.DoneTasks() != 0 {
-		t.Errorf("live attempt %v, %d done", array.tasks.live[0], array.DoneTasks())
+		t.Errorf("live attempt %v, %d tasks done; want %v, none done", array.tasks.live[0], array.DoneTasks(), next)
 	}
 }
 
-// A task that waits again is found, also if it is below those that were started since.
+// Guards against a lost task that never starts again: a task that waits again must be found, even if its
+// index is below those of the tasks that were started since.
 func TestLostTaskStartsAgain(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 6, 10)
@@ -94,13 +98,13 @@
 		attempts = append(attempts, start(store, array, task, startTime))
 	}
 	if task := array.NextStartable(0, largeValue); task != -1 {
-		t.Errorf("task %d may start where none waits", task)
+		t.Errorf("task %d may start, but no task waits", task)
 	}
 	store.EndAttempt(attempts[3], false, startTime)
 	store.EndAttempt(attempts[1], false, startTime)
 	for _, test := range []struct{ from, want int }{{0, 1}, {1, 1}, {2, 3}, {4, -1}} {
 		if task := array.NextStartable(test.from, largeValue); task != test.want {
-			t.Errorf("next task from %d: %d, want %d", test.from, task, test.want)
+			t.Errorf("NextStartable from %d: task %d, want %d", test.from, task, test.want)
 		}
 	}
 }
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -9,8 +9,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// A new leader that took a cancelled job for ended before it had read its live attempts would not
-// count them, and a team would exceed its quota.
+// Guards against a team that exceeds its quota: a new leader reads the record of a cancelled job before
+// the chunk with its live attempts. If it treated the job as ended, it would not count these attempts.
 func TestCancelledJobReadBeforeItsAttempts(t *testing.T) {
 	predecessor := New()
 	before := addArray(t, predecessor, testID, 2, 10)
@@ -24,74 +24,77 @@
 	}
 	store.FinishLoading()
 	if batch := nextBatch(store, startTime.Add(time.Minute)); batch != nil {
-		t.Fatalf("job with a live attempt is ended: %+v", batch.Mutations)
+		t.Fatalf("batch for a cancelled job with a live attempt: %+v", batch.Mutations)
 	}
 	if array.LiveTasks() != 1 || store.Job(testID) == nil {
-		t.Fatalf("%d live attempts", array.LiveTasks())
+		t.Fatalf("%d live attempts, want 1 of a job that is still unfinished", array.LiveTasks())
 	}
 	store.EndAttempt(array.tasks.live[0], false, startTime)
 	batch := nextBatch(store, startTime)
 	if batch == nil || len(batch.Mutations) != 3 || batch.Mutations[0].Put != "end/wk-000001" {
-		t.Fatalf("end is not recorded: %+v", batch)
+		t.Fatalf("batch %+v, want one of three mutations that begins with the end", batch)
 	}
 }
 
-// A read of a job that is answered after the watch has reported its end, and before the end's own
-// write is answered, must leave nothing to be written: that would be refused for ever.
+// Guards against writes that are refused for ever: a read of a job is answered after the watch has
+// reported the job's end, and before the write of that end is answered. Nothing of the job may be left
+// to write.
 func TestLateReadOfEndedJobIsNotWritten(t *testing.T) {
 	store := New()
 	addCancelledArray(t, store, testID, 1, 10)
 	end := nextBatch(store, startTime)
 	if end == nil || end.Mutations[0].Put != "end/wk-000001" {
-		t.Fatalf("end is not recorded: %+v", end)
+		t.Fatalf("batch %+v, want one that begins with the end", end)
 	}
 	store.RecordDeleted(testID)
 	addCancelledArray(t, store, testID, 1, 10)
 	if _, ended := store.BatchCommitted(end, 11); len(ended) != 2 || store.Len() != 0 {
-		t.Errorf("%d jobs returned as ended, %d left", len(ended), store.Len())
+		t.Errorf("%d jobs returned as ended, %d left; want 2, 0", len(ended), store.Len())
 	}
 	if batch := nextBatch(store, startTime.Add(time.Minute)); batch != nil {
-		t.Errorf("written again: %+v", batch.Mutations)
+		t.Errorf("batch after the end: %+v, want none", batch.Mutations)
 	}
 }
 
-// A job whose end was recorded without an answer is found deleted by a read. The watch, which is
-// behind, must not bring it back, and its chunks must not stay.
+// Guards against an ended job that is added again, and against chunks that stay stored. The batch that
+// recorded the end was not answered, and a read finds the record deleted. The watch then reports an
+// earlier change of the record before it reports the deletion.
 func TestJobFoundDeletedDoesNotComeBack(t *testing.T) {
 	store := New()
 	array := addArray(t, store, testID, 1, 10)
 	startRecorded(t, store, array, 0, 11)
 	if store.RecordFoundDeleted(testID) != array || store.Len() != 0 {
-		t.Fatal("job is not removed")
+		t.Fatal("RecordFoundDeleted did not remove and return the job")
 	}
 	if deletions := array.GarbageMutations(8); len(deletions) != 1 || deletions[0].Delete != "job/wk-000001/000000" {
-		t.Errorf("left to delete: %+v", deletions)
+		t.Errorf("deletions of garbage %+v, want only that of the chunk", deletions)
 	}
 	if again := addCancelledArray(t, store, testID, 1, 12); again != nil {
-		t.Error("the job comes back before the watch has reported its end")
+		t.Error("job added again before the watch has reported its deletion")
 	}
 	if store.RecordDeleted(testID) != nil {
-		t.Error("removed twice")
+		t.Error("job removed twice")
 	}
 	if again := addArray(t, store, testID, 1, 13); again == nil {
-		t.Error("its ID stays blocked")
+		t.Error("job refused after the watch has reported the deletion")
 	}
 }
 
-// Older revisions, which a slow read returns, must not undo a cancellation.
+// Guards against a cancellation that is undone by a slow read, which returns an older revision.
 func TestOlderRecordIsIgnored(t *testing.T) {
 	store := New()
 	array, changed, err := store.ApplyRecord(arrayRecord(testID, 2, true), 12)
 	if err != nil || !changed || !array.Cancelled || !array.CancelledAt.Equal(startTime) {
-		t.Fatalf("%+v, news %v, %v", array, changed, err)
+		t.Fatalf("job %+v, changed %v, error %v; want a newly cancelled job", array, changed, err)
 	}
 	again, changed, err := store.ApplyRecord(arrayRecord(testID, 2, false), 11)
 	if err != nil || changed || again != array || !array.Cancelled || array.Revision != 12 {
-		t.Errorf("%+v, news %v, %v", again, changed, err)
+		t.Errorf("job %+v, changed %v, error %v; want the same job, unchanged", again, changed, err)
 	}
 }
 
-// A new leader that went on from a chunk that does not fit its job would lose or repeat tasks.
+// Guards against lost or repeated tasks, which follow if a new leader accepts a chunk that does not
+// match its job.
 func TestChunkThatDoesNotFitIsRefused(t *testing.T) {
 	attempt := func(task int) []attemptValue {
 		return []attemptValue{{Task: task, Number: 3, Machine: "vm-1", Incarnation: 7}}
@@ -108,17 +111,17 @@
 			store := New()
 			addArray(t, store, testID, 12, 10)
 			if err := store.LoadChunk(testID, 1, wire.Marshal(value), 11); !errors.Is(err, ErrMalformed) {
-				t.Errorf("loaded with %v", err)
+				t.Errorf("LoadChunk: error %v, want ErrMalformed", err)
 			}
 		})
 	}
 	if err := New().LoadChunk(testID, 0, wire.Marshal(chunkValue{}), 11); !errors.Is(err, ErrNoJob) {
-		t.Errorf("chunk without a job loaded with %v", err)
+		t.Errorf("LoadChunk without the job: error %v, want ErrNoJob", err)
 	}
 }
 
-// A leader that ends between the first end of a gang's task and the others' leaves tasks that
-// wait, of a gang that is done: the next one must not start them again.
+// Guards against a new leader that starts tasks of a gang that is done. Its predecessor stopped after
+// the first task of the gang had ended and before the others had, which leaves tasks that wait.
 func TestNewLeaderCompletesGang(t *testing.T) {
 	store := New()
 	record := Record{Spec: testSpec(testID, job.Gang, 4), ChunkSize: 4}
@@ -128,9 +131,9 @@
 	}
 	store.FinishLoading()
 	if gang.DoneTasks() != 4 || gang.WaitingTasks() != 0 {
-		t.Errorf("%d done, %d wait", gang.DoneTasks(), gang.WaitingTasks())
+		t.Errorf("%d tasks done, %d waiting; want 4, 0", gang.DoneTasks(), gang.WaitingTasks())
 	}
 	if batch := nextBatch(store, startTime); batch == nil || len(batch.ends) != 1 {
-		t.Errorf("end is not recorded: %+v", batch)
+		t.Errorf("batch %+v, want one with the end of the gang", batch)
 	}
 }
