--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -23,12 +23,12 @@
 	majority  int           // controllers that make one, this one included
 	retention time.Duration // for which a job is kept after it was added
 
-	mu            sync.Mutex       // guards all that follows
-	jobs          map[string]entry // by job ID
-	lastSequence  uint64           // of the job learned last
-	memoryStart   time.Time        // nothing that was learned since then has been forgotten too early
-	completeUntil time.Time        // all cancellations confirmed until then are held; zero: unknown
-	peers         map[string]peer  // the last answer of each other controller, by its node name
+	mu            sync.Mutex            // guards all that follows
+	jobs          map[string]entry      // by job ID
+	lastSequence  uint64                // of the job learned last
+	retainedSince time.Time             // nothing that was learned since then has been forgotten too early
+	completeUntil time.Time             // all cancellations confirmed until then are held; zero: unknown
+	peerAnswers   map[string]peerAnswer // the last answer of each other controller, by its node name
 }
 
 // entry is one cancelled job.
@@ -42,40 +42,40 @@
 // confirmation.
 func New(controllers int, taskDeadline time.Duration) *Register {
 	return &Register{
-		majority:    controllers/2 + 1,
-		retention:   taskDeadline + retentionSlack,
-		jobs:        map[string]entry{},
-		memoryStart: time.Now(),
-		peers:       map[string]peer{},
+		majority:      controllers/2 + 1,
+		retention:     taskDeadline + retentionSlack,
+		jobs:          map[string]entry{},
+		retainedSince: time.Now(),
+		peerAnswers:   map[string]peerAnswer{},
 	}
 }
 
 // Add adds jobs whose cancellation is recorded in the key-value store and returns those that
 // were not known yet.
-func (r *Register) Add(ids ...string) (news []string) {
+func (r *Register) Add(ids ...string) (added []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.add(ids, time.Now())
 }
 
 // add is Add. The caller holds mu.
-func (r *Register) add(ids []string, now time.Time) (news []string) {
+func (r *Register) add(ids []string, now time.Time) (added []string) {
 	for _, id := range ids {
-		if _, known := r.jobs[id]; known {
+		if _, held := r.jobs[id]; held {
 			continue
 		}
-		r.makeRoom(now)
+		r.ensureCapacity(now)
 		r.lastSequence++
 		r.jobs[id] = entry{sequence: r.lastSequence, addedAt: now}
-		news = append(news, id)
+		added = append(added, id)
 	}
-	return news
+	return added
 }
 
-// makeRoom ensures that one more job can be added. If there are too many that have to be kept,
+// ensureCapacity ensures that one more job can be added. If there are too many that have to be kept,
 // it forgets them all and with them what the register could answer for, like a new incarnation
 // of the process. The caller holds mu.
-func (r *Register) makeRoom(now time.Time) {
+func (r *Register) ensureCapacity(now time.Time) {
 	if len(r.jobs) < maxJobs {
 		return
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	r.jobs = map[string]entry{}
-	r.memoryStart = now
+	r.retainedSince = now
 	r.completeUntil = time.Time{}
 }
 
@@ -101,29 +101,29 @@
 func (r *Register) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, known := r.jobs[id]
-	return known
+	_, held := r.jobs[id]
+	return held
 }
 
-// LearnedBefore returns, in no order, the jobs that were learned at least d ago and are still
+// LearnedBefore returns, in no order, the jobs that were learned at least minAge ago and are still
 // kept.
-func (r *Register) LearnedBefore(d time.Duration) (ids []string) {
+func (r *Register) LearnedBefore(minAge time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for id, job := range r.jobs {
-		if elapsed(now, job.addedAt) >= d {
+		if elapsed(now, job.addedAt) >= minAge {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// elapsed returns the time from then to now, by the monotonic clock or by the wall clock,
+// elapsed returns the time from start to now, by the monotonic clock or by the wall clock,
 // whichever says more. One of them may not advance while the process is suspended; by that
 // clock alone, what was learned before would pass for fresh.
-func elapsed(now, then time.Time) time.Duration {
-	monotonic := now.Sub(then)
-	wall := now.Round(0).Sub(then.Round(0)) // Round strips the monotonic reading
+func elapsed(now, start time.Time) time.Duration {
+	monotonic := now.Sub(start)
+	wall := now.Round(0).Sub(start.Round(0)) // Round strips the monotonic reading
 	return max(monotonic, wall)
 }
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -30,11 +30,11 @@
 	StalenessKnown bool          // whether there is such a time; otherwise Age means nothing
 }
 
-// peer is the last answer of another controller.
-type peer struct {
-	askedAt      time.Time // when the request was sent that it answered
-	memoryStart  time.Time // its memory began no later
-	acknowledged uint64    // it holds the jobs of this register up to that sequence number
+// peerAnswer is the last answer of another controller.
+type peerAnswer struct {
+	askedAt       time.Time // when the request was sent that it answered
+	retainedSince time.Time // its memory began no later
+	acknowledged  uint64    // it holds the jobs of this register up to that sequence number
 }
 
 // State returns what to send to other controllers.
@@ -50,38 +50,38 @@
 	return State{
 		Jobs:           ids,
 		Sequence:       r.lastSequence,
-		Memory:         now.Sub(r.memoryStart),
+		Memory:         now.Sub(r.retainedSince),
 		Staleness:      elapsed(now, r.completeUntil),
 		StalenessKnown: !r.completeUntil.IsZero(),
 	}
 }
 
-// MergeAnswer merges the answer of another controller, theirs, to a request that was sent at
-// sent with the State of this register at the given sequence number. By answering, the other
+// MergeAnswer merges the state in the answer of another controller to a request that was sent at
+// sentAt with the State of this register at the given sequence number. By answering, the other
 // controller says that it has merged that state.
-func (r *Register) MergeAnswer(node string, seq uint64, sent time.Time, theirs State) {
+func (r *Register) MergeAnswer(node string, seq uint64, sentAt time.Time, state State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.add(theirs.Jobs, now)
-	r.peers[node] = peer{askedAt: sent, memoryStart: now.Add(-theirs.Memory), acknowledged: seq}
-	if theirs.StalenessKnown {
-		r.advance(sent.Add(-theirs.Staleness))
+	r.add(state.Jobs, now)
+	r.peerAnswers[node] = peerAnswer{askedAt: sentAt, retainedSince: now.Add(-state.Memory), acknowledged: seq}
+	if state.StalenessKnown {
+		r.advance(sentAt.Add(-state.Staleness))
 	}
 	r.advanceByMajority(now)
 }
 
-// MergeRead merges a read of all records, sent at asOf, that found the given jobs cancelled. It
+// MergeRead merges a read of all records, sent at sentAt, that found the given jobs cancelled. It
 // returns those that were not known yet.
-func (r *Register) MergeRead(ids []string, asOf time.Time) (news []string) {
+func (r *Register) MergeRead(ids []string, sentAt time.Time) (added []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news = r.add(ids, time.Now())
+	added = r.add(ids, time.Now())
 	// What such a read returned may have been forgotten if it was sent before memory began.
-	if asOf.After(r.memoryStart) {
-		r.advance(asOf)
+	if sentAt.After(r.retainedSince) {
+		r.advance(sentAt)
 	}
-	return news
+	return added
 }
 
 // advanceByMajority advances the time until which the register is complete to the latest time
@@ -93,12 +93,12 @@
 	}
 	latestStart := r.completeUntil.Add(-incarnationMargin)
 	var askedAt []time.Time
-	if !r.memoryStart.After(latestStart) {
+	if !r.retainedSince.After(latestStart) {
 		askedAt = append(askedAt, now)
 	}
-	for _, p := range r.peers {
-		if !p.memoryStart.After(latestStart) {
-			askedAt = append(askedAt, p.askedAt)
+	for _, answer := range r.peerAnswers {
+		if !answer.retainedSince.After(latestStart) {
+			askedAt = append(askedAt, answer.askedAt)
 		}
 	}
 	if len(askedAt) < r.majority {
@@ -118,7 +118,7 @@
 
 // Staleness returns how long ago the register was complete: it holds every cancellation that
 // was confirmed until then. ok is false if no such time is known.
-func (r *Register) Staleness() (d time.Duration, ok bool) {
+func (r *Register) Staleness() (staleness time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return elapsed(time.Now(), r.completeUntil), !r.completeUntil.IsZero()
@@ -130,15 +130,15 @@
 func (r *Register) HeldByMajority(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	job, known := r.jobs[id]
-	if !known {
+	job, held := r.jobs[id]
+	if !held {
 		return false
 	}
 	now := time.Now()
 	holders := 1
-	for _, p := range r.peers {
-		acknowledged := p.acknowledged >= job.sequence
-		if acknowledged && elapsed(now, p.askedAt) < answerValidity {
+	for _, answer := range r.peerAnswers {
+		acknowledged := answer.acknowledged >= job.sequence
+		if acknowledged && elapsed(now, answer.askedAt) < answerValidity {
 			holders++
 		}
 	}
