--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -1,43 +1,50 @@
 package cancellation
 
-// This file has the set of cancelled jobs itself and for how long they are kept.
+// This file contains the set of cancelled jobs and its retention.
 
 import (
 	"sync"
 	"time"
 )
 
-// retentionSlack is for how long a cancellation is kept beyond the time in which the job's
-// tasks must be gone. That time counts from the confirmation. A register may learn of a
-// cancellation before it is confirmed, and another register may learn of it from this one
-// long after that.
+// retentionSlack is the part of a job's retention period that exceeds the deadline of its tasks.
+// The deadline counts from the confirmation, but the retention period starts when the job is
+// added to a register. That may be before the confirmation, and another register may receive the
+// job from this one long after it was added here.
 const retentionSlack = 15 * time.Second
 
-// maxJobs bounds a register to what one message between controllers can carry. Controllers
-// of earlier versions accept no larger messages (docs/size.md).
+// maxJobs is the maximum number of jobs in a register. One message between controllers carries
+// all of them, and controllers of earlier versions accept no larger messages (docs/size.md).
 const maxJobs = 4096
 
 // Register is one controller's replica of the set of cancelled jobs. It lives in memory only:
-// a new incarnation of the process begins with an empty one. It is safe for concurrent use.
+// a new incarnation of the process starts with an empty one. It is safe for concurrent use.
 type Register struct {
-	majority  int           // controllers that make one, this one included
-	retention time.Duration // for which a job is kept after it was added
-
-	mu            sync.Mutex            // guards all that follows
-	jobs          map[string]entry      // by job ID
-	lastSequence  uint64                // of the job learned last
-	retainedSince time.Time             // nothing that was learned since then has been forgotten too early
-	completeUntil time.Time             // all cancellations confirmed until then are held; zero: unknown
-	peerAnswers   map[string]peerAnswer // the last answer of each other controller, by its node name
+	majority  int           // number of controllers that form a majority, this one included
+	retention time.Duration // period for which a job is kept after it was added
+
+	mu           sync.Mutex       // guards the fields below
+	jobs         map[string]entry // cancelled jobs by job ID
+	lastSequence uint64           // sequence number of the job added last
+
+	// Start of the incarnation, or the last time at which jobs were dropped before the end of
+	// their retention period.
+	retainedSince time.Time
+
+	// Time up to which the register is complete: it holds every cancellation that was confirmed
+	// until then and whose tasks may still run. Zero if no such time is known.
+	completeUntil time.Time
+
+	peerAnswers map[string]peerAnswer // last answer of each other controller, by its node name
 }
 
-// entry is one cancelled job.
+// entry describes one cancelled job in a register.
 type entry struct {
-	sequence uint64 // position in the order in which this register learned of its jobs
+	sequence uint64 // position in the order in which jobs were added to this register
 	addedAt  time.Time
 }
 
-// New returns the empty register of a controller in a cluster of the given number of
+// New returns an empty register for a controller in a cluster of the given number of
 // controllers. The tasks of a cancelled job must be gone within taskDeadline of the
 // confirmation.
 func New(controllers int, taskDeadline time.Duration) *Register {
@@ -51,14 +58,14 @@
 }
 
 // Add adds jobs whose cancellation is recorded in the key-value store and returns those that
-// were not known yet.
+// the register did not hold yet.
 func (r *Register) Add(ids ...string) (added []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.add(ids, time.Now())
 }
 
-// add is Add. The caller holds mu.
+// add implements Add. The caller holds mu.
 func (r *Register) add(ids []string, now time.Time) (added []string) {
 	for _, id := range ids {
 		if _, held := r.jobs[id]; held {
@@ -72,9 +79,10 @@
 	return added
 }
 
-// ensureCapacity ensures that one more job can be added. If there are too many that have to be kept,
-// it forgets them all and with them what the register could answer for, like a new incarnation
-// of the process. The caller holds mu.
+// ensureCapacity ensures that one more job can be added. If the register is full of jobs that are
+// still within their retention period, it drops all of them, sets retainedSince to now and clears
+// completeUntil. Like the register of a new incarnation of the process, the register then covers no
+// earlier cancellation. The caller holds mu.
 func (r *Register) ensureCapacity(now time.Time) {
 	if len(r.jobs) < maxJobs {
 		return
@@ -88,7 +96,8 @@
 	r.completeUntil = time.Time{}
 }
 
-// expire drops the jobs of which no task can be left. The caller holds mu.
+// expire drops the jobs whose retention period has ended. No task of theirs can be left. The
+// caller holds mu.
 func (r *Register) expire(now time.Time) {
 	for id, job := range r.jobs {
 		if elapsed(now, job.addedAt) >= r.retention {
@@ -97,7 +106,7 @@
 	}
 }
 
-// Contains reports whether a job is known to be cancelled.
+// Contains reports whether the register holds the cancellation of a job.
 func (r *Register) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,8 +114,8 @@
 	return held
 }
 
-// LearnedBefore returns, in no order, the jobs that were learned at least minAge ago and are still
-// kept.
+// LearnedBefore returns, in no particular order, the jobs that were added to this register at least
+// minAge ago and are still kept.
 func (r *Register) LearnedBefore(minAge time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,9 +128,10 @@
 	return ids
 }
 
-// elapsed returns the time from start to now, by the monotonic clock or by the wall clock,
-// whichever says more. One of them may not advance while the process is suspended; by that
-// clock alone, what was learned before would pass for fresh.
+// elapsed returns the time from start to now, measured by the monotonic clock or by the wall clock,
+// whichever gives the longer time. Guards against old information that passes for fresh after the
+// process was suspended: one of the clocks may not advance during the suspension, and measured by
+// that clock alone the information would seem recent.
 func elapsed(now, start time.Time) time.Duration {
 	monotonic := now.Sub(start)
 	wall := now.Round(0).Sub(start.Round(0)) // Round strips the monotonic reading
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// taskDeadline is the time in which tasks of cancelled jobs must be gone.
+// taskDeadline is the time after a confirmation within which the job's tasks must be gone.
 const taskDeadline = time.Minute
 
 // exchange sends a heartbeat from one register to another and merges the answer.
@@ -25,50 +25,51 @@
 	return New(3, taskDeadline), New(3, taskDeadline), New(3, taskDeadline)
 }
 
-// A cancellation may be confirmed once a majority holds it, and only as long as that was
-// shown recently: another controller may have crashed since.
+// Guards against confirming a cancellation that no majority holds. Another controller may not have
+// been sent it, or may have crashed and lost it after an answer that is no longer recent.
 func TestHeldByMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _ := newCluster()
 		a.Add("wk-000001")
 		if a.HeldByMajority("wk-000001") {
-			t.Error("held by one of three")
+			t.Error("HeldByMajority is true, though only one of three controllers holds the job")
 		}
 		exchange(a, "b", b)
 		if !a.HeldByMajority("wk-000001") || !b.Contains("wk-000001") {
-			t.Error("not held by two of three")
+			t.Error("HeldByMajority is false or b lacks the job after an exchange between two of three controllers")
 		}
 		a.Add("wk-000002")
 		if a.HeldByMajority("wk-000002") || a.HeldByMajority("wk-000003") {
-			t.Error("held though no other controller was sent it")
+			t.Error("HeldByMajority is true, though no other controller was sent the job")
 		}
 		time.Sleep(answerValidity)
 		if a.HeldByMajority("wk-000001") {
-			t.Error("still held though the answer is too old")
+			t.Error("HeldByMajority is true, though the only answer is answerValidity old")
 		}
 		single := New(1, taskDeadline)
 		if len(single.Add("wk-000001")) != 1 || !single.HeldByMajority("wk-000001") {
-			t.Error("not held by one of one")
+			t.Error("job not added or HeldByMajority false in a cluster of one controller")
 		}
 	})
 }
 
-// newStaleCluster returns the registers of three controllers that were complete ten seconds ago.
+// newStaleCluster returns the registers of three controllers that were last complete ten seconds ago.
 func newStaleCluster() (a, b, c *Register) {
 	a, b, c = newCluster()
 	time.Sleep(5 * time.Second)
 	for _, r := range []*Register{a, b, c} {
 		r.MergeRead(nil, time.Now())
 	}
-	time.Sleep(10 * time.Second) // the key-value store refuses all
+	time.Sleep(10 * time.Second) // no reads meanwhile: the key-value store is unavailable
 	return a, b, c
 }
 
+// expectFresh checks whether a register is known to have been complete less than a second ago.
 func expectFresh(t *testing.T, r *Register, want bool) {
 	t.Helper()
 	staleness, known := r.Staleness()
 	if got := known && staleness < time.Second; got != want {
-		t.Errorf("staleness %v, known %v; fresh wanted: %v", staleness, known, want)
+		t.Errorf("staleness %v, known %v: fresh (below 1 s) is %v, want %v", staleness, known, got, want)
 	}
 }
 
@@ -79,8 +80,9 @@
 	}
 }
 
-// A register is as fresh as its last read, or as its last exchange with enough others that
-// have forgotten nothing since.
+// Guards against a wrong bound on the staleness of a register. A register is as fresh as its last
+// read, or as its last exchange with a majority of the controllers (this one included) that has
+// dropped no job too early since the register was last complete.
 func TestStaleness(t *testing.T) {
 	runBubbles(t, map[string]func(*testing.T){
 		"nothing read": func(t *testing.T) {
@@ -118,8 +120,8 @@
 	})
 }
 
-// A new incarnation of a process has forgotten what the last one held, so it answers for nothing
-// that was confirmed before it began.
+// Guards against counting the answers of a new incarnation of a process for cancellations that were
+// confirmed before it started. It does not hold what the incarnation before it held.
 func TestStalenessWithNewIncarnations(t *testing.T) {
 	runBubbles(t, map[string]func(*testing.T){
 		"new incarnation of the other": func(t *testing.T) {
@@ -131,7 +133,7 @@
 			expectFresh(t, a, false)
 			exchange(b, "a", a)
 			if staleness, known := b.Staleness(); !known || staleness < 20*time.Second {
-				t.Errorf("staleness %v, known %v: it can know no more than the other", staleness, known)
+				t.Errorf("staleness %v, known %v; want at least 20s, as for the other controller", staleness, known)
 			}
 		},
 		"new incarnation, and two others": func(t *testing.T) {
@@ -140,13 +142,14 @@
 			exchange(a, "b", b)
 			expectFresh(t, a, false)
 			exchange(a, "c", c)
-			expectFresh(t, a, true) // both answer for all since the read
+			expectFresh(t, a, true) // the answers of b and c cover all cancellations since the read
 		},
 	})
 }
 
-// A register that had to forget jobs too early is like that of a new incarnation: it is complete
-// until no known time, and a read that was sent before does not make it complete.
+// Guards against a register that counts as complete after it dropped jobs before the end of their
+// retention period, because it was full. Like the register of a new incarnation it is then complete
+// up to no known time, and a read that was sent before the drop does not make it complete.
 func TestOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, _, _ := newStaleCluster()
@@ -154,17 +157,17 @@
 			a.Add(fmt.Sprintf("wk-%06d", i))
 		}
 		if _, known := a.Staleness(); !known {
-			t.Error("staleness unknown though nothing was forgotten")
+			t.Error("staleness unknown, though no job was dropped")
 		}
 		readSent := time.Now()
 		time.Sleep(time.Millisecond)
 		a.Add("wk-999999")
 		if _, known := a.Staleness(); known || a.Contains("wk-000000") || !a.Contains("wk-999999") {
-			t.Error("not begun anew with the job that was one too many")
+			t.Error("register not reset to the one job that exceeded maxJobs")
 		}
 		a.MergeRead(nil, readSent)
 		if _, known := a.Staleness(); known {
-			t.Error("complete by a read of which jobs may have been forgotten")
+			t.Error("staleness known after a read whose jobs may have been dropped")
 		}
 		time.Sleep(time.Millisecond)
 		a.MergeRead(nil, time.Now())
@@ -172,18 +175,19 @@
 	})
 }
 
-// A cancellation is kept for longer than its tasks may run, and then dropped.
+// Guards against dropping a cancellation while the job's tasks may still run, and against keeping it
+// after its retention period.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(3, taskDeadline)
 		r.Add("wk-000001")
 		time.Sleep(taskDeadline + time.Second)
 		if state := r.State(); len(state.Jobs) != 1 || len(r.LearnedBefore(taskDeadline)) != 1 {
-			t.Errorf("%d kept", len(state.Jobs))
+			t.Errorf("%d jobs in State after taskDeadline, want 1 there and in LearnedBefore", len(state.Jobs))
 		}
 		time.Sleep(retentionSlack)
 		if state := r.State(); len(state.Jobs) != 0 || r.Contains("wk-000001") {
-			t.Errorf("%d kept", len(state.Jobs))
+			t.Errorf("%d jobs in State after the retention period, want none there and Contains false", len(state.Jobs))
 		}
 	})
 }
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -1,8 +1,8 @@
 package cancellation
 
-// This file has what a register exchanges with the registers of the other controllers, what
-// follows from their answers and from reads of the records, and for how long. The argument is
-// in the package comment.
+// This file contains the state that registers exchange, what a register derives from answers and
+// from reads of the records, and how long an answer is valid. The package comment has the argument
+// that this is safe.
 
 import (
 	"slices"
@@ -10,34 +10,41 @@
 )
 
 const (
-	// answerValidity is for how long a controller that has answered is taken to hold what it
-	// was sent. It may have crashed since, and its next incarnation holds nothing. Heartbeats
-	// are about a second apart, so the next answer usually comes before this one is too old.
+	// answerValidity is the period, from the sending of a request, in which its answer is
+	// evidence that the other controller holds the jobs that it was sent. It is limited because
+	// that controller may have crashed since, and its next incarnation starts with an empty
+	// register. Heartbeats are about a second apart, so the next answer usually arrives before
+	// the period ends.
 	answerValidity = 1500 * time.Millisecond
 
-	// incarnationMargin is by how much an incarnation must have begun before a time if it is to
-	// answer for all cancellations confirmed since that time. They may have been held up to
-	// answerValidity before they were confirmed; as much again is slack.
+	// incarnationMargin is the minimum time by which retainedSince, usually the start of the
+	// incarnation, must precede a time for a controller's answer to cover all cancellations
+	// confirmed since that time. When a cancellation is confirmed, the answers that show that it
+	// is held may be up to answerValidity old. The other half is a safety margin.
 	incarnationMargin = 2 * answerValidity
 )
 
-// State is what a controller says of its register in a heartbeat or in the answer to one.
+// State is the state of a controller's register, as sent in a heartbeat or in the answer to one.
 type State struct {
-	Jobs           []string      // all that it holds, in no order
-	Sequence       uint64        // number of the job that it learned last; not sent to others
-	Memory         time.Duration // for which it has forgotten nothing too early
-	Staleness      time.Duration // since the time until which it is complete
-	StalenessKnown bool          // whether there is such a time; otherwise Age means nothing
+	Jobs     []string // IDs of all jobs in the register, in no particular order
+	Sequence uint64   // sequence number of the job added last; not sent to other controllers
+
+	// Time since the start of the incarnation or since the register last dropped jobs before the
+	// end of their retention period, whichever is shorter.
+	Memory time.Duration
+
+	Staleness      time.Duration // time since the latest time up to which the register is complete
+	StalenessKnown bool          // whether such a time is known; if false, Staleness has no meaning
 }
 
-// peerAnswer is the last answer of another controller.
+// peerAnswer describes the last answer of another controller.
 type peerAnswer struct {
-	askedAt       time.Time // when the request was sent that it answered
-	retainedSince time.Time // its memory began no later
-	acknowledged  uint64    // it holds the jobs of this register up to that sequence number
+	askedAt       time.Time // time at which the answered request was sent
+	retainedSince time.Time // latest possible retainedSince of its register
+	acknowledged  uint64    // sequence number up to which it has merged the jobs of this register
 }
 
-// State returns what to send to other controllers.
+// State returns the state of the register for other controllers. It drops expired jobs first.
 func (r *Register) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,9 +63,10 @@
 	}
 }
 
-// MergeAnswer merges the state in the answer of another controller to a request that was sent at
-// sentAt with the State of this register at the given sequence number. By answering, the other
-// controller says that it has merged that state.
+// MergeAnswer merges the state that another controller, named node, returned in answer to a
+// request. The request was sent at sentAt and carried the State of this register with the
+// sequence number seq. By answering, the other controller acknowledges that it has merged that
+// State.
 func (r *Register) MergeAnswer(node string, seq uint64, sentAt time.Time, state State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,25 +79,27 @@
 	r.advanceByMajority(now)
 }
 
-// MergeRead merges a read of all records, sent at sentAt, that found the given jobs cancelled. It
-// returns those that were not known yet.
+// MergeRead merges the result of a read of all records, sent at sentAt, in which the given jobs
+// were cancelled. It returns the jobs that the register did not hold yet.
 func (r *Register) MergeRead(ids []string, sentAt time.Time) (added []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	added = r.add(ids, time.Now())
-	// What such a read returned may have been forgotten if it was sent before memory began.
+	// Guards against a register that counts as complete without the jobs of the read: they may
+	// have been dropped if the read was sent before retainedSince.
 	if sentAt.After(r.retainedSince) {
 		r.advance(sentAt)
 	}
 	return added
 }
 
-// advanceByMajority advances the time until which the register is complete to the latest time
-// at which, or later, a majority was asked that answers for everything since. This controller
-// counts as asked now. The caller holds mu.
+// advanceByMajority advances completeUntil to the latest time s for which a majority of the
+// controllers was asked at s or later. Only controllers whose retainedSince is at least
+// incarnationMargin before completeUntil count. This controller counts as asked now. The caller
+// holds mu.
 func (r *Register) advanceByMajority(now time.Time) {
 	if r.completeUntil.IsZero() {
-		return // nobody can answer for all cancellations since ever
+		return // no incarnation covers all cancellations ever confirmed
 	}
 	latestStart := r.completeUntil.Add(-incarnationMargin)
 	var askedAt []time.Time
@@ -109,24 +119,25 @@
 	r.advance(askedAt[r.majority-1])
 }
 
-// advance notes that the register is complete until the given time. The caller holds mu.
+// advance sets completeUntil to the given time if that is later. The caller holds mu.
 func (r *Register) advance(until time.Time) {
 	if until.After(r.completeUntil) {
 		r.completeUntil = until
 	}
 }
 
-// Staleness returns how long ago the register was complete: it holds every cancellation that
-// was confirmed until then. ok is false if no such time is known.
+// Staleness returns the time since the latest time up to which the register is complete: it holds
+// every cancellation that was confirmed until then and whose tasks may still run. If ok is false,
+// no such time is known and staleness has no meaning.
 func (r *Register) Staleness() (staleness time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return elapsed(time.Now(), r.completeUntil), !r.completeUntil.IsZero()
 }
 
-// HeldByMajority reports whether a majority of the controllers, this one included, holds a
-// job's cancellation in memory, by the answers that are not too old. Only then may a user be
-// told of the cancellation of an unfinished job.
+// HeldByMajority reports whether a majority of the controllers, this one included, holds a job's
+// cancellation in memory, according to answers to requests that were sent less than answerValidity
+// ago. Only then may the cancellation of an unfinished job be confirmed to a user.
 func (r *Register) HeldByMajority(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
