--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -1,81 +1,89 @@
 package cancellation
 
-// This file has the set of cancelled jobs itself and for how long they are kept.
+// This file contains the set of cancelled jobs and its retention.
 
 import (
 	"sync"
 	"time"
 )
 
-// retentionSlack is for how long a cancellation is kept beyond the time in which the job's
-// tasks must be gone. That time counts from the confirmation. A register may learn of a
-// cancellation before it is confirmed, and another register may learn of it from this one
-// long after that.
+// retentionSlack is the part of a job's retention period that exceeds the deadline of its tasks.
+// The deadline counts from the confirmation, but the retention period starts when the job is
+// added to a register. That may be before the confirmation, and another register may receive the
+// job from this one long after it was added here.
 const retentionSlack = 15 * time.Second
 
-// maxJobs bounds a register to what one message between controllers can carry. Controllers
-// of earlier versions accept no larger messages (docs/size.md).
+// maxJobs is the maximum number of jobs in a register. One message between controllers carries
+// all of them, and controllers of earlier versions accept no larger messages (docs/size.md).
 const maxJobs = 4096
 
 // Register is one controller's replica of the set of cancelled jobs. It lives in memory only:
-// a new incarnation of the process begins with an empty one. It is safe for concurrent use.
+// a new incarnation of the process starts with an empty one. It is safe for concurrent use.
 type Register struct {
-	majority  int           // controllers that make one, this one included
-	retention time.Duration // for which a job is kept after it was added
-
-	mu            sync.Mutex       // guards all that follows
-	jobs          map[string]entry // by job ID
-	lastSequence  uint64           // of the job learned last
-	memoryStart   time.Time        // nothing that was learned since then has been forgotten too early
-	completeUntil time.Time        // all cancellations confirmed until then are held; zero: unknown
-	peers         map[string]peer  // the last answer of each other controller, by its node name
+	majority  int           // number of controllers that form a majority, this one included
+	retention time.Duration // period for which a job is kept after it was added
+
+	mu           sync.Mutex       // guards the fields below
+	jobs         map[string]entry // cancelled jobs by job ID
+	lastSequence uint64           // sequence number of the job added last
+
+	// Start of the incarnation, or the last time at which jobs were dropped before the end of
+	// their retention period.
+	retainedSince time.Time
+
+	// Time up to which the register is complete: it holds every cancellation that was confirmed
+	// until then and whose tasks may still run. Zero if no such time is known.
+	completeUntil time.Time
+
+	peerAnswers map[string]peerAnswer // last answer of each other controller, by its node name
 }
 
-// entry is one cancelled job.
+// entry describes one cancelled job in a register.
 type entry struct {
-	sequence uint64 // position in the order in which this register learned of its jobs
+	sequence uint64 // position in the order in which jobs were added to this register
 	addedAt  time.Time
 }
 
-// New returns the empty register of a controller in a cluster of the given number of
+// New returns an empty register for a controller in a cluster of the given number of
 // controllers. The tasks of a cancelled job must be gone within taskDeadline of the
 // confirmation.
 func New(controllers int, taskDeadline time.Duration) *Register {
 	return &Register{
-		majority:    controllers/2 + 1,
-		retention:   taskDeadline + retentionSlack,
-		jobs:        map[string]entry{},
-		memoryStart: time.Now(),
-		peers:       map[string]peer{},
+		majority:      controllers/2 + 1,
+		retention:     taskDeadline + retentionSlack,
+		jobs:          map[string]entry{},
+		retainedSince: time.Now(),
+		peerAnswers:   map[string]peerAnswer{},
 	}
 }
 
 // Add adds jobs whose cancellation is recorded in the key-value store and returns those that
-// were not known yet.
-func (r *Register) Add(ids ...string) (news []string) {
+// the register did not hold yet.
+func (r *Register) Add(ids ...string) (added []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.add(ids, time.Now())
 }
 
-// add is Add. The caller holds mu.
-func (r *Register) add(ids []string, now time.Time) (news []string) {
+// add implements Add. The caller holds mu.
+func (r *Register) add(ids []string, now time.Time) (added []string) {
 	for _, id := range ids {
-		if _, known := r.jobs[id]; known {
+		if _, held := r.jobs[id]; held {
 			continue
 		}
-		r.makeRoom(now)
+		r.ensureCapacity(now)
 		r.lastSequence++
 		r.jobs[id] = entry{sequence: r.lastSequence, addedAt: now}
-		news = append(news, id)
+		added = append(added, id)
 	}
-	return news
+	return added
 }
 
-// makeRoom ensures that one more job can be added. If there are too many that have to be kept,
-// it forgets them all and with them what the register could answer for, like a new incarnation
-// of the process. The caller holds mu.
-func (r *Register) makeRoom(now time.Time) {
+// ensureCapacity ensures that one more job can be added. If the register is full of jobs that are
+// still within their retention period, it drops all of them, sets retainedSince to now and clears
+// completeUntil. Like the register of a new incarnation of the process, the register then covers no
+// earlier cancellation. The caller holds mu.
+func (r *Register) ensureCapacity(now time.Time) {
 	if len(r.jobs) < maxJobs {
 		return
 	}
@@ -84,11 +92,12 @@
 		return
 	}
 	r.jobs = map[string]entry{}
-	r.memoryStart = now
+	r.retainedSince = now
 	r.completeUntil = time.Time{}
 }
 
-// expire drops the jobs of which no task can be left. The caller holds mu.
+// expire drops the jobs whose retention period has ended. No task of theirs can be left. The
+// caller holds mu.
 func (r *Register) expire(now time.Time) {
 	for id, job := range r.jobs {
 		if elapsed(now, job.addedAt) >= r.retention {
@@ -97,33 +106,34 @@
 	}
 }
 
-// Contains reports whether a job is known to be cancelled.
+// Contains reports whether the register holds the cancellation of a job.
 func (r *Register) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, known := r.jobs[id]
-	return known
+	_, held := r.jobs[id]
+	return held
 }
 
-// LearnedBefore returns, in no order, the jobs that were learned at least d ago and are still
-// kept.
-func (r *Register) LearnedBefore(d time.Duration) (ids []string) {
+// LearnedBefore returns, in no particular order, the jobs that were added to this register at least
+// minAge ago and are still kept.
+func (r *Register) LearnedBefore(minAge time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for id, job := range r.jobs {
-		if elapsed(now, job.addedAt) >= d {
+		if elapsed(now, job.addedAt) >= minAge {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// elapsed returns the time from then to now, by the monotonic clock or by the wall clock,
-// whichever says more. One of them may not advance while the process is suspended; by that
-// clock alone, what was learned before would pass for fresh.
-func elapsed(now, then time.Time) time.Duration {
-	monotonic := now.Sub(then)
-	wall := now.Round(0).Sub(then.Round(0)) // Round strips the monotonic reading
+// elapsed returns the time from start to now, measured by the monotonic clock or by the wall clock,
+// whichever gives the longer time. Guards against old information that passes for fresh after the
+// process was suspended: one of the clocks may not advance during the suspension, and measured by
+// that clock alone the information would seem recent.
+func elapsed(now, start time.Time) time.Duration {
+	monotonic := now.Sub(start)
+	wall := now.Round(0).Sub(start.Round(0)) // Round strips the monotonic reading
 	return max(monotonic, wall)
 }
