--- a/internal/agent/image_cache_test.go
+++ b/internal/agent/image_cache_test.go
@@ -6,7 +6,7 @@
 )
 
 // Where images exceed the disk, the one used least recently is evicted.
-func TestImagesForgetOldest(t *testing.T) {
+func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	var images ImageCache
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
 	images.Use("a", 4, 10, at(1))
