--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -13,7 +13,9 @@
 type StatusError struct{ Status int }
 
 // Error returns the status as a text.
-func (e StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+func (e StatusError) Error() string {
+	return fmt.Sprintf("agent: response status %d, expected 200 or 409", e.Status)
+}
 
 // Call makes a direct request to an agent and returns the heartbeat that it responds with, also if
 // it refuses the commands (status 409: its incarnation is another, or it has seen a higher token).
