--- a/internal/agent/assignment.go
+++ b/internal/agent/assignment.go
@@ -11,24 +11,26 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// Assignment is an attempt on a machine, from the decision to start it until there is proof that it
-// is gone.
+// Assignment is an attempt on a machine. It exists from the decision to start the attempt until the
+// attempt is proven gone or released.
 type Assignment struct {
 	*jobstore.Attempt
-	AssignedAt       time.Time // when the start was decided, or a new leader found the attempt
-	RunningSince     time.Time // when it was first reported past waiting; zero: not yet
-	FirstSent        time.Time // when this leader first sent the start; zero: never
-	Stopping         bool      // a halt is wanted
-	GracePeriodS     float64   // seconds that the halt leaves the task to end; the shortest asked for
-	MissedHeartbeats int       // heartbeats in a row that do not list it and prove nothing
+	AssignedAt       time.Time // when the attempt was placed, or a new leader read its record
+	RunningSince     time.Time // when it was first reported past pulling and waiting; zero: not yet
+	FirstSent        time.Time // when PendingCommands first returned the start; zero: never
+	Stopping         bool      // a halt was requested
+	GracePeriodS     float64   // grace period of the halt in seconds, the shortest requested
+	MissedHeartbeats int       // consecutive heartbeats that neither list it nor prove it gone
 }
 
-// compareAssignments orders by attempt number, which the tasks of a gang share, then by task.
+// compareAssignments orders assignments by attempt number, which the tasks of a gang share, then by
+// task.
 func compareAssignments(a, b *Assignment) int {
 	return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
 }
 
-// SortedAssignments returns the assignments in a fixed order, so that runs repeat.
+// SortedAssignments returns the assignments in the order of compareAssignments. The fixed order keeps
+// runs reproducible.
 func (m *Machine) SortedAssignments() []*Assignment {
 	sorted := make([]*Assignment, 0, len(m.Assignments))
 	for _, assignment := range m.Assignments {
@@ -38,7 +40,7 @@
 	return sorted
 }
 
-// AssignmentOf returns the assignment of an attempt, or nil.
+// AssignmentOf returns the assignment of an attempt, or nil if the attempt is not assigned here.
 func (m *Machine) AssignmentOf(attempt *jobstore.Attempt) *Assignment {
 	return m.Assignments[attempt.ID()]
 }
@@ -53,7 +55,7 @@
 	return false
 }
 
-// Assign places an attempt on the machine.
+// Assign adds an assignment for an attempt to the machine.
 func (m *Machine) Assign(attempt *jobstore.Attempt, now time.Time) *Assignment {
 	assignment := &Assignment{Attempt: attempt, AssignedAt: now}
 	m.Assignments[attempt.ID()] = assignment
@@ -61,8 +63,10 @@
 	return assignment
 }
 
-// Release removes the assignment of an attempt whose start was never sent. If the agent reports the
-// attempt as live all the same, it counts as an unknown task from then on.
+// Release removes the assignment of an attempt that no heartbeat applied to the machine has proven gone.
+// The caller must know that its start was never sent, that it was confirmed gone in another way, or that
+// the end of its job is recorded. If the newest heartbeat lists the attempt as live, the attempt counts
+// as an unknown task from then on.
 func (m *Machine) Release(attempt *jobstore.Attempt) {
 	id := attempt.ID()
 	delete(m.Assignments, id)
@@ -72,8 +76,9 @@
 	m.Version++
 }
 
-// Renumber keeps the assignment of an attempt whose start was never sent under the number that it
-// has been given instead of previousNumber, as happens when another term has begun.
+// Renumber moves the assignment of an attempt from previousNumber to the attempt's current number. An
+// attempt whose start was never sent is renumbered when a new term begins. Renumber does nothing if
+// previousNumber is not assigned.
 func (m *Machine) Renumber(attempt *jobstore.Attempt, previousNumber uint64) {
 	previousID := job.AttemptID{Task: attempt.TaskName(), Number: previousNumber}
 	assignment := m.Assignments[previousID]
@@ -85,8 +90,8 @@
 	m.Version++
 }
 
-// Stop asks for an assigned attempt to be halted after a grace period in seconds. A halt that is
-// already wanted at least as soon stays as it is.
+// Stop requests that an assigned attempt is halted with a grace period in seconds. It does nothing if a
+// halt with the same or a shorter grace period has already been requested.
 func (m *Machine) Stop(assignment *Assignment, gracePeriodS float64) {
 	if assignment.Stopping && assignment.GracePeriodS <= gracePeriodS {
 		return
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -1,6 +1,6 @@
 package agent
 
-// The client of worker agents, for requests that do not wait for the next heartbeat.
+// The client for direct requests to worker agents, which do not wait for the next heartbeat.
 
 import (
 	"context"
@@ -9,19 +9,20 @@
 	"tulipshelf/internal/wire"
 )
 
-// StatusError is a response of an agent with a status that carries no heartbeat.
+// StatusError is the error for a response status other than 200 and 409. Such a response carries no
+// heartbeat.
 type StatusError struct{ Status int }
 
-// Error returns the status as a text.
+// Error implements the error interface.
 func (e StatusError) Error() string {
 	return fmt.Sprintf("agent: response status %d, expected 200 or 409", e.Status)
 }
 
-// Call makes a direct request to an agent and returns the heartbeat that it responds with, also if
-// it refuses the commands (status 409: its incarnation is another, or it has seen a higher token).
-// The error is a StatusError for any other status but 200; otherwise it is one of the client, which
-// wraps wire.ErrNotSent if the request had no effect, or of the codec. It may be called from any
-// goroutine.
+// Call makes a direct request to an agent and returns the heartbeat in the response. A response with
+// status 409 has one too: the agent refuses the commands because its incarnation differs or because it
+// has seen a higher token. For any status but 200 and 409 the error is a StatusError. Other errors come
+// from the client, which wraps wire.ErrNotSent if the request had no effect, or from the codec. Call is
+// safe for concurrent use.
 func Call(ctx context.Context, client *wire.Client, method, path string, body []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
 	resp, err := client.Do(ctx, method, path, body)
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -1,31 +1,33 @@
 package agent
 
-// Commands: what a machine's agent is to be sent next, and whether it has to be sent at once.
+// Commands: which commands a machine needs next, and whether they must be sent at once.
 
 import (
 	"slices"
 	"time"
 )
 
-// PendingCommands returns the commands that the machine needs under the given fencing token, at
-// most limit, and marks starts as sent. First come starts and halts in the order of
-// SortedAssignments, then, in arbitrary order, those for reported attempts that are not assigned.
-// Starts that the agent already lists are left out. An exited attempt is only forgotten once
-// settled reports that its result is durable. The commands point into the assignments: only the
-// leader's event loop may encode them.
+// PendingCommands returns the commands that the machine needs under the given fencing token, at most
+// limit, and marks the starts among them as sent. Starts and halts come first, in the order of
+// SortedAssignments. Commands for reported attempts that are not assigned follow in arbitrary order.
+// Starts of attempts that the agent already lists are omitted. VerbForget is returned for an exited
+// attempt only if settled reports that the result of its task is durable. If limit cuts off starts or
+// halts, the machine stays urgent.
+//
+// The commands contain pointers into the assignments: only the leader's event loop may encode them.
 func (m *Machine) PendingCommands(token uint64, limit int, settled func(task string) bool, now time.Time) []Command {
 	m.urgent = false
 	commands, complete := m.assignmentCommands(token, limit, now)
 	if !complete {
-		// The rest does not wait for the next heartbeat.
+		// The remaining commands should not wait for the next heartbeat.
 		m.urgent = true
 		return commands
 	}
 	return m.appendUnassignedCommands(commands, limit, settled)
 }
 
-// assignmentCommands returns the starts and halts that assignments need, at most limit, and whether
-// these are all.
+// assignmentCommands returns the starts and halts that assignments need, at most limit. It returns
+// complete as false if there are more.
 func (m *Machine) assignmentCommands(token uint64, limit int, now time.Time) (commands []Command, complete bool) {
 	for _, assignment := range m.assignmentsNeedingCommand(token) {
 		if len(commands) == limit {
@@ -43,14 +45,14 @@
 	return commands, true
 }
 
-// assignmentsNeedingCommand returns, in the order of SortedAssignments, the assignments to be
-// started or halted.
+// assignmentsNeedingCommand returns the assignments to be started or halted, in the order of
+// SortedAssignments.
 func (m *Machine) assignmentsNeedingCommand(token uint64) []*Assignment {
 	var needing []*Assignment
 	for id, assignment := range m.Assignments {
 		_, listed := m.Reported[id]
 		if assignment.Stopping {
-			// One that was never sent and is not there needs no halt.
+			// A start that was never sent and is not listed needs no halt.
 			if listed || !assignment.FirstSent.IsZero() {
 				needing = append(needing, assignment)
 			}
@@ -62,17 +64,18 @@
 	return needing
 }
 
-// mayStart reports whether the start of an assigned attempt may be sent under the given token. A
-// start recorded under an earlier token is never sent again: once the agent has seen a higher one,
-// its heartbeats prove the attempt gone, which a copy sent later would make untrue.
+// mayStart reports whether the start of an assigned attempt may be sent under the given token. Guards
+// against running an attempt that has been proven gone: once the agent has seen a higher token, its
+// heartbeats prove the attempts of earlier terms gone, and a start sent later would run one of them. A
+// start of an earlier term is therefore never sent.
 func (m *Machine) mayStart(assignment *Assignment, token uint64) bool {
 	return assignment.Dispatchable() &&
 		assignment.Incarnation == m.Incarnation &&
 		assignment.ID().Term() == token
 }
 
-// appendUnassignedCommands appends the commands for reported attempts that are not assigned, up to
-// limit commands in all.
+// appendUnassignedCommands appends the commands for reported attempts that are not assigned, until there
+// are limit commands in total.
 func (m *Machine) appendUnassignedCommands(commands []Command, limit int, settled func(task string) bool) []Command {
 	for id, state := range m.Reported {
 		if len(commands) == limit {
@@ -82,12 +85,13 @@
 			continue
 		}
 		if state.Status != StatusExited {
-			// On the machine but in no record: it must not run, and has nothing worth a grace period.
+			// The attempt is in no record, so it must not run. It has no result worth a grace period.
 			noGracePeriod := 0.0
 			commands = append(commands, Command{VerbHalt, id.Task, id.Number, &noGracePeriod})
 			continue
 		}
-		// Under an equal token a late copy of the start could run the attempt again.
+		// Guards against a second run: under an equal token the agent would still execute a late copy
+		// of the start.
 		if id.Term() < m.FencingToken && settled(id.Task) {
 			commands = append(commands, Command{Verb: VerbForget, Task: id.Task, Attempt: id.Number})
 		}
@@ -95,8 +99,8 @@
 	return commands
 }
 
-// HaltCommands returns the commands that halt the tasks of cancelled jobs, at most limit. They may
-// be sent whoever leads by now: a job that is cancelled stays so.
+// HaltCommands returns the requested halts of attempts of cancelled jobs, at most limit. They may be
+// sent even if another controller leads meanwhile, because a cancellation is never revoked.
 func (m *Machine) HaltCommands(limit int) []Command {
 	var commands []Command
 	for _, assignment := range m.SortedAssignments() {
@@ -113,17 +117,18 @@
 	return commands
 }
 
-// haltCommand returns a command that points into the assignment: only the leader's event loop may
-// encode it.
+// haltCommand returns the halt of an assigned attempt. The command contains a pointer into the
+// assignment: only the leader's event loop may encode it.
 func haltCommand(assignment *Assignment) Command {
 	return Command{VerbHalt, assignment.TaskName(), assignment.Number, &assignment.GracePeriodS}
 }
 
-// MarkUrgent records that commands wait that are to be sent before the next heartbeat.
+// MarkUrgent records that pending commands should be sent before the next heartbeat.
 func (m *Machine) MarkUrgent() { m.urgent = true }
 
-// Urgent reports whether the leader should send the machine its commands directly now: some wait
-// that are urgent, and the machine can take a direct request.
+// Urgent reports whether the leader should send commands to the machine directly now. That is the case
+// if commands are marked as urgent, the machine is registered, neither gone nor relayed, and no direct
+// request to it is in flight.
 func (m *Machine) Urgent() bool {
 	if !m.urgent {
 		return false
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Where more commands are needed than may be sent at once, the rest is urgent; a machine that cannot
-// take a direct request is not asked to.
+// PendingCommands leaves the machine urgent if the limit cuts off commands, which would otherwise wait for
+// the next heartbeat. Urgent returns false while the machine cannot be sent a direct request.
 func TestPendingCommandsLimit(t *testing.T) {
 	const term, incarnation = 2, 1
 	replayer := newTraceReplayer(t)
@@ -14,14 +14,14 @@
 	}
 	settled := func(string) bool { return true }
 	if commands := machine.PendingCommands(term, 2, settled, now); len(commands) != 2 || !machine.Urgent() {
-		t.Errorf("%v, urgent %v", commands, machine.Urgent())
+		t.Errorf("got commands %v, urgent %v; want 2, urgent", commands, machine.Urgent())
 	}
 	if commands := machine.PendingCommands(term, 3, settled, now); len(commands) != 3 || machine.Urgent() {
-		t.Errorf("%v, urgent %v", commands, machine.Urgent())
+		t.Errorf("got commands %v, urgent %v; want 3, not urgent", commands, machine.Urgent())
 	}
 	for _, assignment := range machine.SortedAssignments() {
 		if !assignment.FirstSent.Equal(now) {
-			t.Errorf("task %d first sent %v", assignment.Task, assignment.FirstSent)
+			t.Errorf("task %d first sent at %v, want %v", assignment.Task, assignment.FirstSent, now)
 		}
 	}
 	machine.MarkUrgent()
@@ -31,15 +31,16 @@
 		"gone":              func(value bool) { machine.Gone = value },
 	} {
 		if set(true); machine.Urgent() {
-			t.Errorf("urgent though %s", name)
+			t.Errorf("Urgent is true in state %q", name)
 		}
 		if set(false); !machine.Urgent() {
-			t.Errorf("not urgent though no longer %s", name)
+			t.Errorf("Urgent is false after state %q has ended", name)
 		}
 	}
 }
 
-// Of a cancelled job's tasks only those are halted without a valid term for which it is wanted.
+// HaltCommands, which is used without a valid term, halts only tasks of cancelled jobs for which a halt
+// was requested.
 func TestHaltCommands(t *testing.T) {
 	const term, incarnation = 2, 1
 	replayer := newTraceReplayer(t)
@@ -52,14 +53,14 @@
 	machine.Stop(assignments[0], 5)
 	machine.Stop(assignments[2], 5)
 	machine.Stop(assignments[2], 2)
-	machine.Stop(assignments[2], 9) // a halt that is wanted sooner stays
+	machine.Stop(assignments[2], 9) // the shorter grace period stays
 	if commands := machine.HaltCommands(10); len(commands) != 0 {
-		t.Errorf("%v before the job is cancelled", commands)
+		t.Errorf("commands before the job is cancelled: %v", commands)
 	}
 	replayer.job.Cancelled = true
 	commands := machine.HaltCommands(10)
 	if len(commands) != 2 {
-		t.Fatalf("%v", commands)
+		t.Fatalf("got commands %v, want 2", commands)
 	}
 	for i, want := range []struct {
 		task         string
@@ -67,10 +68,10 @@
 	}{{traceJob + "/0", 5}, {traceJob + "/2", 2}} {
 		got := commands[i]
 		if got.Verb != VerbHalt || got.Task != want.task || *got.GracePeriodS != want.gracePeriodS {
-			t.Errorf("%+v, grace period %v", got, *got.GracePeriodS)
+			t.Errorf("got %+v with grace period %v, want halt with %+v", got, *got.GracePeriodS, want)
 		}
 	}
 	if commands := machine.HaltCommands(1); len(commands) != 1 {
-		t.Errorf("%v beyond the limit", commands)
+		t.Errorf("got commands %v, want 1", commands)
 	}
 }
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,9 +1,8 @@
-// Package agent holds what a leader knows of the worker agents, one on each rented machine: the
-// registry of machines, what their heartbeats prove about attempts, whether commands reach them,
-// and the commands that they are to get next. It performs no I/O of its own but for Call.
+// Package agent keeps a leader's state of the worker agents, of which one runs on each rented machine.
+// It holds the registry of machines, determines from heartbeats which attempts have ended and whether
+// commands reach a machine, and computes the commands to send next. Only Call performs I/O.
 //
-// A Registry, its machines, their assignments and their image caches have no locks. They belong to
-// the event loop of the leader that made them, and only functions running on that loop may read
-// or change them. The messages (Heartbeat, Command and others) are plain values; Call may be used
-// from any goroutine.
+// A Registry, its machines, their assignments and their image caches have no locks. Only the event loop
+// of the leader that created them may read or change them. The messages (Heartbeat, Command and others)
+// are plain values. Call is safe for concurrent use.
 package agent
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -1,13 +1,13 @@
 package agent
 
-// Heartbeats: taking one over into the machine, and what it proves about the attempts assigned there.
+// Heartbeats: applying one to its machine, and what it proves about the attempts assigned there.
 
 import (
 	"slices"
 	"time"
 )
 
-// TaskState is what the newest heartbeat says of one attempt.
+// TaskState is the state of one attempt in the newest heartbeat.
 type TaskState struct {
 	Status TaskStatus
 	Cause  ExitCause // meaningful once Status is StatusExited
@@ -19,16 +19,16 @@
 	Cause      ExitCause
 }
 
-// heartbeatState is what a machine's heartbeats had shown before the one that is being applied.
+// heartbeatState is the part of a machine's state before the heartbeat that is being applied.
 type heartbeatState struct {
 	registered   bool
 	incarnation  uint64
 	fencingToken uint64
 }
 
-// ApplyHeartbeat takes over a heartbeat and returns what it proves, in the order of
-// SortedAssignments; the assignments that have ended are removed. It returns fresh as false, and
-// changes nothing, for a heartbeat that is older than one already applied. The lease is the time
+// ApplyHeartbeat applies a heartbeat to the machine. It removes the assignments that the heartbeat
+// proves gone and returns their outcomes in the order of SortedAssignments. If the heartbeat is not
+// newer than the last one applied, it returns fresh as false and changes nothing. The lease is the time
 // for which an agent keeps its tasks without a response.
 func (m *Machine) ApplyHeartbeat(heartbeat *Heartbeat, lease time.Duration, now time.Time) (outcomes []Outcome, fresh bool) {
 	if m.supersedes(heartbeat) {
@@ -43,7 +43,7 @@
 	return outcomes, true
 }
 
-// supersedes reports whether a heartbeat at least as new as this one has been applied.
+// supersedes reports whether the machine has applied a heartbeat that is at least as new as this one.
 func (m *Machine) supersedes(heartbeat *Heartbeat) bool {
 	if heartbeat.Incarnation != m.Incarnation {
 		return heartbeat.Incarnation < m.Incarnation
@@ -51,7 +51,7 @@
 	return heartbeat.Sequence <= m.Sequence
 }
 
-// recordHeartbeat takes over the content of a heartbeat.
+// recordHeartbeat copies the content of a heartbeat into the machine.
 func (m *Machine) recordHeartbeat(heartbeat *Heartbeat, now time.Time) {
 	m.Addr = heartbeat.Addr
 	m.Spot = heartbeat.Spot
@@ -73,8 +73,8 @@
 	}
 }
 
-// removeEnded removes the assignments that the newest heartbeat proves gone and returns their
-// outcomes, and records the progress of the others.
+// removeEnded removes the assignments that the newest heartbeat proves gone and returns their outcomes
+// in arbitrary order. It updates the progress of the other assignments.
 func (m *Machine) removeEnded(now time.Time) []Outcome {
 	var outcomes []Outcome
 	for id, assignment := range m.Assignments {
@@ -94,15 +94,16 @@
 	return outcomes
 }
 
-// endOf reports whether the newest heartbeat, which lists the attempt in a state or does not list
-// it, proves that it has ended, and why. Three things prove that:
+// endOf reports whether the newest heartbeat proves that an assigned attempt has ended, and the cause.
+// The state is that of the attempt in the heartbeat and is meaningful only if listed is true. Any of the
+// following is a proof:
 //
-//   - a newer incarnation of the agent, which has none of the tasks of the one before,
+//   - a newer incarnation of the agent, which has no tasks of the previous one,
 //   - the attempt's exit,
-//   - its absence from a heartbeat of an agent that has seen a higher token than the attempt's:
-//     such an agent executes no late copy of the start.
+//   - the attempt's absence, if the agent has seen a higher token than the term of the attempt: such an
+//     agent does not execute a late copy of the start.
 //
-// Absence under the same token proves nothing, since the start may still be on its way.
+// Absence under the same token proves nothing, because the start may still be in transit.
 // Heartbeat.ConfirmsGone applies the same rule to one heartbeat alone.
 func (m *Machine) endOf(assignment *Assignment, state TaskState, listed bool) (cause ExitCause, ended bool) {
 	switch {
@@ -115,7 +116,7 @@
 	}
 }
 
-// recordProgress takes over the status of an attempt that the newest heartbeat lists as live.
+// recordProgress updates an assignment whose attempt the newest heartbeat lists as live.
 func (a *Assignment) recordProgress(status TaskStatus, now time.Time) {
 	a.MissedHeartbeats = 0
 	preparing := status == StatusPulling || status == StatusWaiting
@@ -124,7 +125,7 @@
 	}
 }
 
-// updateUnknownTask recomputes whether a live attempt is reported that is not assigned.
+// updateUnknownTask recomputes whether the newest heartbeat lists a live attempt that is not assigned.
 func (m *Machine) updateUnknownTask() {
 	unknown := false
 	for id, state := range m.Reported {
@@ -139,8 +140,8 @@
 	}
 }
 
-// LatestHeartbeat returns the newest heartbeat without its type, zone and termination notice. The
-// order of its tasks is arbitrary.
+// LatestHeartbeat returns the newest heartbeat without type, zone and termination notice. The order of
+// its tasks is arbitrary.
 func (m *Machine) LatestHeartbeat() Heartbeat {
 	heartbeat := Heartbeat{
 		Machine:      m.Name,
--- a/internal/agent/image_cache.go
+++ b/internal/agent/image_cache.go
@@ -1,20 +1,20 @@
 package agent
 
-// The image cache: which container images a machine is thought to have on its disk.
+// The image cache: an estimate of the container images on a machine's disk.
 
 import "time"
 
-// ImageCache is what a machine's image cache is thought to hold: agents do not report it, but keep the
-// images used most recently. The zero value is an empty cache. The event loop that owns the machine
-// alone uses it.
+// ImageCache is the leader's estimate of the container images on a machine's disk. Agents do not report
+// their images, but keep the most recently used ones. The zero value is an empty cache. Only the event
+// loop that owns the machine uses it.
 type ImageCache struct {
 	sizeGB   map[string]float64
 	lastUsed map[string]time.Time
-	fetched  map[string]bool // a task that needs the image has run here
+	fetched  map[string]bool // images with which a task has run on the machine
 }
 
-// Use records that a task with the image is, or soon will be, on the machine, and evicts the images
-// used least recently until the rest fit into capacityGB. The image itself stays in any case.
+// Use records that a task with the image is, or soon will be, on the machine. It evicts the least
+// recently used images until the rest fit into capacityGB. The given image itself is never evicted.
 func (c *ImageCache) Use(image string, sizeGB, capacityGB float64, now time.Time) {
 	if c.sizeGB == nil {
 		c.sizeGB, c.lastUsed = map[string]float64{}, map[string]time.Time{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// usage returns the size of all images and the one used least recently; newest is the one used
-// last.
+// usage returns the total size of all images and the least recently used image. It returns newest, which
+// must be the most recently used image, if no other image was used before it.
 func (c *ImageCache) usage(newest string) (totalGB float64, oldest string) {
 	oldest = newest
 	for image, sizeGB := range c.sizeGB {
@@ -49,8 +49,8 @@
 	delete(c.fetched, image)
 }
 
-// Fetched records that a task with the image has come past pulling it. It has no effect on an image
-// that Use has not recorded.
+// Fetched records that the machine has finished pulling the image, because a task with it has run. It
+// has no effect on an image that is not in the cache.
 func (c *ImageCache) Fetched(image string) {
 	if !c.Has(image) || c.fetched[image] {
 		return
@@ -61,12 +61,12 @@
 	c.fetched[image] = true
 }
 
-// Has reports whether the machine is thought to have the image, or to be fetching it.
+// Has reports whether the cache contains the image, completely fetched or not.
 func (c *ImageCache) Has(image string) bool {
 	_, ok := c.sizeGB[image]
 	return ok
 }
 
-// Ready reports whether the machine is thought to have fetched the image, so that a task with it
-// starts at once.
+// Ready reports whether the image is completely fetched, so that a task with it starts without pulling
+// it.
 func (c *ImageCache) Ready(image string) bool { return c.fetched[image] }
--- a/internal/agent/image_cache_test.go
+++ b/internal/agent/image_cache_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Where images exceed the disk, the one used least recently is evicted.
+// If the images exceed the disk's capacity, the least recently used one is evicted.
 func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	var images ImageCache
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
@@ -14,6 +14,6 @@
 	images.Use("a", 4, 10, at(3))
 	images.Use("c", 4, 10, at(4))
 	if !images.Has("a") || images.Has("b") || !images.Has("c") {
-		t.Errorf("a %v, b %v, c %v", images.Has("a"), images.Has("b"), images.Has("c"))
+		t.Errorf("cached: a %v, b %v, c %v; want all but b", images.Has("a"), images.Has("b"), images.Has("c"))
 	}
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -1,6 +1,6 @@
 package agent
 
-// Machine: all that is known of one rented machine.
+// Machine: the leader's state of one rented machine.
 
 import (
 	"time"
@@ -8,71 +8,73 @@
 	"tulipshelf/internal/job"
 )
 
-// Machine is one rented machine and the worker agent on it. The leader's event loop alone reads and
-// writes it; the groups below name which of the loop's inputs a field comes from. Fields are
-// written elsewhere in the loop only where their comment says so.
+// Machine is one rented machine and the worker agent on it. Only the leader's event loop reads and
+// writes it. The fields are grouped by the input that sets them; comments name the other places in the
+// loop that set a field too.
 type Machine struct {
 	// Identity, given by Registry.Add.
 
-	Index   int       // dense; the index of a machine that is gone is reused
-	Name    string    // never given to another machine
-	Created time.Time // when this leader first knew of it
+	Index   int       // dense index; reused once the machine is gone
+	Name    string    // never reused for another machine
+	Created time.Time // creation time as given to Registry.Add
 
-	// What the newest heartbeat says, written by ApplyHeartbeat. Addr and Spot are also taken from
-	// the cloud's list; Type and Zone are filled in by the caller from either.
+	// Content of the newest heartbeat, set by ApplyHeartbeat. Addr and Spot are also set from the
+	// cloud's list; Type and Zone are set by the caller, from either source. After the response to a
+	// direct request the caller restores the previous LastHeartbeat, if there was one.
 
 	Addr          string    // IPv4 address and port of the agent
 	Type          int       // index into the leader's machine types; -1: unknown
 	Zone          int       // index into the leader's zones; -1: unknown
-	Spot          bool      // a spot instance: the cloud may take it back
-	Registered    bool      // a heartbeat has reached this leader
-	Incarnation   uint64    // grows with each start of the agent
-	Sequence      uint64    // grows with each heartbeat of an incarnation
-	FencingToken  uint64    // the highest token that the agent has seen
-	LastHeartbeat time.Time // kept by the caller when what it applies is the response to a direct request
-	TerminationAt time.Time // when the cloud takes the machine away; zero: no termination notice
+	Spot          bool      // spot instance, which the cloud may reclaim
+	Registered    bool      // a heartbeat was applied by this leader
+	Incarnation   uint64    // number that increases with each start of the agent
+	Sequence      uint64    // increasing number within the incarnation
+	FencingToken  uint64    // highest token that the agent has seen
+	LastHeartbeat time.Time // when the newest heartbeat was applied
+	TerminationAt time.Time // when the cloud reclaims the machine; zero: no termination notice
 	Reported      map[job.AttemptID]TaskState
 
 	hasUnknownTask bool
 
-	// What the cloud's list says, written by the caller that reads the list.
+	// State in the cloud, set by the caller that rents machines and reads the cloud's list.
 
-	Listed  bool // the cloud has named it to this leader, as rented or running
-	Booting bool // listed as starting and not yet registered; a heartbeat ends it
+	Listed  bool // reported to this leader by the cloud, as rented or running
+	Booting bool // starting and not yet registered; cleared by a heartbeat
 	Failed  bool // listed as failed
 
-	// What the leader has decided or observed, written by the caller and by the methods of
-	// assignment.go.
+	// Decisions and observations of the leader, set by the caller and by the methods in assignment.go.
+	// ApplyHeartbeat also removes assignments that have ended.
 
 	Assignments    map[job.AttemptID]*Assignment
-	Version        uint64 // raised by every change of what is on the machine
+	Version        uint64 // incremented when assignments, their halts or HasUnknownTask change
 	Images         ImageCache
-	IdleSince      time.Time           // when something was last seen assigned to it; at first, Created
-	FailedAttempts int                 // attempts that failed since the last that was done
-	FailedJobs     map[string]struct{} // IDs of the jobs whose attempts failed since then
-	Quarantined    bool                // nothing more is placed on it
-	RetireReason   RetireReason        // why it is being returned; NotRetired: it is not
-	Gone           bool                // returned: nothing on it runs any more
+	IdleSince      time.Time           // when the caller last saw an assignment on it; initially Created
+	FailedAttempts int                 // failures attributed to the machine since the last success on it
+	FailedJobs     map[string]struct{} // IDs of the jobs with such failures
+	Quarantined    bool                // excluded from placement
+	RetireReason   RetireReason        // reason for its return; NotRetired: not being returned
+	Gone           bool                // returned to the cloud; no attempt runs on it any longer
 
-	// How commands reach it: written by the caller, by responsiveness.go and by commands.go. The flag
-	// urgent lies beside Gone, as the leader looks at both of each machine after each few events.
+	// Delivery of commands, set by the caller and by the methods in responsiveness.go and commands.go.
+	// The flag urgent is adjacent to Gone in memory because the leader reads both flags of every machine
+	// after every few events.
 
-	urgent bool // commands wait that are to be sent before the next heartbeat
+	urgent bool // commands are pending that should be sent before the next heartbeat
 
-	RelayedBy         string    // node that forwards its heartbeats and commands; "": none
-	RequestInFlight   bool      // a direct request to it has not been answered yet
-	LastProbe         time.Time // when the leader last asked the silent machine directly
-	ProbeFailed       bool      // it did not answer the probe; a heartbeat ends it
-	UnresponsiveSince time.Time // since when nothing seems to reach it; zero: it is responsive
+	RelayedBy         string    // node that relays its heartbeats and commands; "": none
+	RequestInFlight   bool      // a direct request to it is in flight
+	LastProbe         time.Time // when the leader last sent it a probe
+	ProbeFailed       bool      // the last probe failed; cleared by a heartbeat
+	UnresponsiveSince time.Time // when it was found unresponsive; zero: responsive
 
 	responses responseHistory
 }
 
-// HasUnknownTask reports whether the newest heartbeat listed a live attempt that is not assigned
-// to the machine: it takes room all the same.
+// HasUnknownTask reports whether the newest heartbeat lists a live attempt that is not assigned to the
+// machine. Such an attempt uses resources that no assignment accounts for.
 func (m *Machine) HasUnknownTask() bool { return m.hasUnknownTask }
 
-// remove marks the machine as gone and returns the outcomes of all attempts on it.
+// remove marks the machine as gone, clears its assignments and returns their outcomes, all CauseLost.
 func (m *Machine) remove() []Outcome {
 	var outcomes []Outcome
 	for _, assignment := range m.SortedAssignments() {
--- a/internal/agent/messages_test.go
+++ b/internal/agent/messages_test.go
@@ -7,8 +7,8 @@
 )
 
 // A heartbeat proves an attempt gone by a newer incarnation, by the attempt's exit, or by its absence
-// once the agent has seen a higher token. Absence under the same token proves nothing: the start may
-// still be on its way.
+// once the agent has seen a higher token. Absence under the same token proves nothing, because the start
+// may still be in transit.
 func TestConfirmsGone(t *testing.T) {
 	const incarnation, term = 4, 7
 	attempt := job.AttemptID{Task: "wk-000001/0", Number: job.AttemptNumber(term, 1)}
@@ -30,7 +30,7 @@
 			Tasks: []ReportedTask{{Task: attempt.Task, Attempt: attempt.Number + 1, Status: StatusExited}}}, false},
 	} {
 		if gone := test.heartbeat.ConfirmsGone(attempt, incarnation); gone != test.gone {
-			t.Errorf("%s: %v", test.name, gone)
+			t.Errorf("%s: gone is %v, want %v", test.name, gone, test.gone)
 		}
 	}
 }
--- a/internal/agent/protocol.go
+++ b/internal/agent/protocol.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Paths that worker agents serve for direct requests.
+// Paths that worker agents serve to direct requests.
 const (
 	StatusPath   = "/status"
 	CommandsPath = "/commands"
 )
 
-// RequestTimeout bounds a direct request to an agent.
+// RequestTimeout is the time limit of a direct request to an agent.
 const RequestTimeout = 1500 * time.Millisecond
 
-// MaxCommands is how many commands one answer or request carries: far below the protocol's 64 KiB.
+// MaxCommands is the largest number of commands in one response or request. It keeps the body far below
+// the protocol's limit of 64 KiB.
 const MaxCommands = 40
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -1,6 +1,6 @@
 package agent
 
-// The registry: all machines that this leader knows, by name and by dense index.
+// The registry of the machines of a leader, by name and by dense index.
 
 import (
 	"time"
@@ -8,22 +8,23 @@
 	"tulipshelf/internal/job"
 )
 
-// Registry is all machines that this leader knows. The leader's event loop alone uses it.
+// Registry holds all machines of a leader. Only the leader's event loop uses it.
 type Registry struct {
 	byName  map[string]*Machine
-	byIndex []*Machine // a machine that is gone stays until its index is given to another
-	minFree int        // no index below it is free
+	byIndex []*Machine // a machine that is gone stays until its index is reused
+	minFree int        // lower bound of the free indexes
 
-	returned  map[string]time.Time // names of machines that are gone, and when they were returned
-	lastPrune time.Time            // when old entries of returned were last dropped
+	returned  map[string]time.Time // times of return, by name of machine
+	lastPrune time.Time            // when expired entries of returned were last removed
 }
 
 const (
-	// returnedRetention is far longer than a list of the cloud or a heartbeat of a machine that is
-	// gone may be late: after it the machine's name need not be remembered.
+	// returnedRetention is the retention period of the names of returned machines. It is far longer
+	// than the delay of lists of the cloud and of heartbeats; a delayed one would add the machine again.
 	returnedRetention = 30 * time.Minute
 
-	// pruneInterval keeps Remove from walking all returned names each time.
+	// pruneInterval is the shortest time between two scans of all returned names. Without it each
+	// call of Remove would scan them.
 	pruneInterval = time.Minute
 )
 
@@ -32,18 +33,18 @@
 	return &Registry{byName: map[string]*Machine{}, returned: map[string]time.Time{}}
 }
 
-// Machine returns the machine of that name, or nil if there is none or it is gone.
+// Machine returns the machine with the given name, or nil if there is none or it is gone.
 func (r *Registry) Machine(name string) *Machine { return r.byName[name] }
 
-// At returns the machine with a dense index below Size. It may be gone.
+// At returns the machine with the given dense index, which must be below Size. It may be gone.
 func (r *Registry) At(index int) *Machine { return r.byIndex[index] }
 
-// Size returns one more than the largest dense index in use so far: the length of a slice with an
-// element for each machine.
+// Size returns one more than the largest dense index used so far, which is the length of a slice that is
+// indexed by machine.
 func (r *Registry) Size() int { return len(r.byIndex) }
 
-// Each calls visit for each machine that is not gone, in order of index. Machines that visit adds may
-// be left out.
+// Each calls visit for each machine that is not gone, in order of index. Machines that are added during
+// the call may be skipped.
 func (r *Registry) Each(visit func(*Machine)) {
 	for _, machine := range r.byIndex {
 		if !machine.Gone {
@@ -52,9 +53,10 @@
 	}
 }
 
-// Add returns the machine of that name and creates it if it is new. It returns nil for a machine
-// that has been returned: names are never given twice, but lists of the cloud and heartbeats lag,
-// and would bring it back.
+// Add returns the machine with the given name and creates it if it does not exist. It returns nil if the
+// machine has been returned. Guards against adding a returned machine again: lists of the cloud and
+// heartbeats lag and may still name it. The cloud never reuses a name. The time now becomes Created and
+// IdleSince of a new machine.
 func (r *Registry) Add(name string, now time.Time) *Machine {
 	if machine := r.byName[name]; machine != nil {
 		return machine
@@ -80,7 +82,8 @@
 	return machine
 }
 
-// takeIndex returns the lowest free index, which may be the one behind the last.
+// takeIndex returns the lowest free index, which is len(byIndex) if no machine in it is gone, and marks
+// it as used.
 func (r *Registry) takeIndex() int {
 	index := r.minFree
 	for index < len(r.byIndex) && !r.byIndex[index].Gone {
@@ -90,15 +93,16 @@
 	return index
 }
 
-// WasReturned reports whether the machine of that name has been returned to the cloud.
+// WasReturned reports whether the machine with the given name was returned to the cloud. It may
+// report false once returnedRetention has passed since the return.
 func (r *Registry) WasReturned(name string) bool {
 	_, returned := r.returned[name]
 	return returned
 }
 
-// Remove records that a machine and all attempts on it are gone, which only the cloud's success
-// response to a return proves. It returns an outcome for each attempt assigned there, in the order
-// of SortedAssignments, and none if the machine is not known.
+// Remove records that a machine and all attempts on it are gone. Only the cloud's success response to a
+// return proves that. Remove returns an outcome for each attempt assigned to the machine, in the order
+// of SortedAssignments, and nil if the machine is not in the registry.
 func (r *Registry) Remove(name string, now time.Time) []Outcome {
 	r.returned[name] = now
 	r.pruneReturned(now)
@@ -111,7 +115,8 @@
 	return machine.remove()
 }
 
-// pruneReturned drops the names of machines that have been gone for long.
+// pruneReturned removes the names of machines that were returned more than returnedRetention ago. It
+// scans the names at most once per pruneInterval.
 func (r *Registry) pruneReturned(now time.Time) {
 	if now.Sub(r.lastPrune) < pruneInterval {
 		return
--- a/internal/agent/responsiveness.go
+++ b/internal/agent/responsiveness.go
@@ -1,31 +1,34 @@
 package agent
 
-// Responsiveness: whether what the leader sends to a machine arrives there.
+// Responsiveness: whether responses and commands of the leader reach a machine.
 //
-// A machine whose heartbeats arrive while nothing gets back to it looks healthy, takes up no start,
-// and loses its tasks with each expired lease. Three signs give it away: the token that its
-// heartbeats carry does not rise, starts sent to it do not appear, or its incarnation ended although
-// its heartbeats had been answered all the time.
+// A machine whose heartbeats arrive but which receives nothing looks healthy. It executes no start and
+// loses its tasks each time its lease expires. Any of three signs reveals it:
+//
+//   - its heartbeats carry a token below that of the responses,
+//   - its heartbeats do not list attempts whose start was sent,
+//   - its incarnation ended although its heartbeats had been answered throughout.
 
 import "time"
 
-// A machine is unresponsive once so many heartbeats in a row show no effect of what was sent.
+// unresponsiveHeartbeats is the number of consecutive heartbeats with too low a token, or without an
+// attempt whose start was sent, from which a machine counts as unresponsive.
 const unresponsiveHeartbeats = 3
 
-// missingStartDelay is for how long a start has to have been sent before its absence from
-// heartbeats is a sign: it may be on its way.
+// missingStartDelay is the least time from the first sending of a start until its absence from
+// heartbeats counts. Before that the start may be in transit.
 const missingStartDelay = 8 * time.Second
 
-// responseHistory is what was responded to a machine's heartbeats, and what they show of it.
+// responseHistory records the responses to a machine's heartbeats and how many heartbeats ignored them.
 type responseHistory struct {
-	steadySince   time.Time // since when responses follow each other without a long gap
-	last          time.Time // when the last response was sent
-	token         uint64    // fencing token that it carried
-	ignoredTokens int       // heartbeats in a row that carry a lower token than that
+	steadySince   time.Time // start of the current series of responses without a long gap
+	last          time.Time // time of the last response
+	token         uint64    // fencing token of the last response
+	ignoredTokens int       // consecutive heartbeats with a lower token
 }
 
-// HeartbeatAnswered records that a heartbeat is answered under the given token. After a gap of half
-// the lease the time of steady responses starts again.
+// HeartbeatAnswered records that a heartbeat is answered under the given token. A gap of half the lease
+// or more since the previous response starts a new series of responses.
 func (m *Machine) HeartbeatAnswered(token uint64, lease time.Duration, now time.Time) {
 	if now.Sub(m.responses.last) >= lease/2 {
 		m.responses.steadySince = now
@@ -34,23 +37,23 @@
 	m.responses.token = token
 }
 
-// MarkResponsive records that something sent to the machine has arrived. It is also for a machine
-// whose incarnation ended although its heartbeats were answered, but which answers a probe: it was
-// restarted and back at once.
+// MarkResponsive records that a response or request has reached the machine. It also clears the mark of
+// a machine whose incarnation ended although its heartbeats were answered, once the machine answers a
+// probe: its agent was restarted and was back at once.
 func (m *Machine) MarkResponsive() {
 	m.UnresponsiveSince = time.Time{}
 	m.responses.ignoredTokens = 0
 }
 
-// detectUnresponsive judges from a heartbeat that has just been applied whether responses and
-// commands reach the machine. A token that rises shows that they do; otherwise any of the three
-// signs marks the machine.
+// detectUnresponsive updates UnresponsiveSince from a heartbeat that has just been applied. A higher
+// token than before shows that responses and commands reach the machine. Otherwise any of the three
+// signs above marks the machine as unresponsive.
 func (m *Machine) detectUnresponsive(heartbeat *Heartbeat, previous heartbeatState, lease time.Duration, now time.Time) {
 	if heartbeat.FencingToken > previous.fencingToken {
 		m.MarkResponsive()
 		return
 	}
-	// Evaluated first whatever the others say, as it counts.
+	// Called for every heartbeat, outside of the || below, because the call counts.
 	ignoresTokens := m.countIgnoredToken(heartbeat)
 	unresponsive := ignoresTokens ||
 		m.restartedDespiteResponses(heartbeat, previous, lease, now) ||
@@ -60,8 +63,8 @@
 	}
 }
 
-// countIgnoredToken counts a heartbeat that carries a lower token than the last response did, and
-// reports whether it is one of too many in a row.
+// countIgnoredToken counts a heartbeat whose token is lower than that of the last response. It reports
+// whether this is at least the unresponsiveHeartbeats-th consecutive one.
 func (m *Machine) countIgnoredToken(heartbeat *Heartbeat) bool {
 	if heartbeat.FencingToken >= m.responses.token {
 		return false
@@ -71,11 +74,11 @@
 }
 
 // restartedDespiteResponses reports whether an incarnation ended although its heartbeats had been
-// answered for a whole lease: the responses cannot have arrived.
+// answered for at least one lease. The responses cannot have arrived then.
 //
-// Responses that have only just begun again prove nothing. The end of a network partition delivers
-// the heartbeats that it held back and, behind them, those of the next incarnation; without the
-// guard hundreds of sound machines are given up at once.
+// Responses that have only just resumed prove nothing. Guards against hundreds of healthy machines being
+// returned at once: the end of a network partition delivers the heartbeats that it delayed and, right
+// after them, those of the next incarnation.
 func (m *Machine) restartedDespiteResponses(heartbeat *Heartbeat, previous heartbeatState, lease time.Duration, now time.Time) bool {
 	restarted := previous.registered && heartbeat.Incarnation > previous.incarnation
 	recentlyAnswered := now.Sub(m.responses.last) < lease/2
@@ -83,8 +86,8 @@
 	return restarted && recentlyAnswered && steadilyAnswered
 }
 
-// hasMissingStart reports whether a start was sent directly, long enough ago, that heartbeats still
-// do not list.
+// hasMissingStart reports whether the newest heartbeat does not list an assigned attempt whose start is
+// overdue. It returns false for a machine that another controller relays.
 func (m *Machine) hasMissingStart(now time.Time) bool {
 	if m.RelayedBy != "" {
 		return false
@@ -99,8 +102,8 @@
 	return false
 }
 
-// startOverdue reports whether the start was sent long enough ago, and heartbeats enough have come
-// without the attempt, for it to be a sign that the start did not arrive.
+// startOverdue reports whether the start was first sent at least missingStartDelay ago and at least
+// unresponsiveHeartbeats consecutive heartbeats have not listed the attempt.
 func (a *Assignment) startOverdue(now time.Time) bool {
 	if a.MissedHeartbeats < unresponsiveHeartbeats || a.FirstSent.IsZero() {
 		return false
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -37,14 +37,14 @@
 	return golden.Replay(trace, replayer.line)
 }
 
-// traceReplayer plays a trace on one machine with an array of nine tasks.
+// traceReplayer replays a trace on one machine. The job is an array of nine tasks.
 type traceReplayer struct {
 	t        *testing.T
 	now      time.Time
 	machine  *Machine
 	jobs     *jobstore.Store
 	job      *jobstore.Job
-	attempts map[string]uint64 // newest attempt number by the trace's name of the task
+	attempts map[string]uint64 // newest attempt number, by index of the task as text
 }
 
 func newTraceReplayer(t *testing.T) *traceReplayer {
@@ -94,7 +94,7 @@
 	case "orders":
 		r.commands(out, number(1))
 	default:
-		r.t.Fatalf("%q", line)
+		r.t.Fatalf("unknown command in line %q", line)
 	}
 }
 
@@ -106,7 +106,7 @@
 	return attempt
 }
 
-// reportedTask reads TASK=STATE[/CAUSE].
+// reportedTask parses TASK=STATUS[/CAUSE].
 func (r *traceReplayer) reportedTask(word string) ReportedTask {
 	task, state, _ := strings.Cut(word, "=")
 	status, cause, _ := strings.Cut(state, "/")
