--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -14,16 +14,18 @@
 	"tulipshelf/internal/wire"
 )
 
-// Each line of a trace's input is
+// TestTraces replays the traces on a Machine. The input lines of a trace are
 //
-//	start TASK TERM SESSION       an attempt is recorded under the term, for an incarnation
-//	decide TASK TERM SESSION      the same, but the record is not yet durable
-//	stop TASK                     its halt is wanted
-//	report SESSION TICK TOKEN [TASK=STATE[/CAUSE]]...
-//	                              a heartbeat with its incarnation and sequence number
-//	orders TOKEN                  the commands that would be sent
-//	answer TOKEN                  the last heartbeat is answered
-//	pass SECONDS                  time passes, besides the second before each line
+//	assign TASK TERM INCARNATION             assign an attempt of the term, made for the incarnation
+//	assign-unrecorded TASK TERM INCARNATION  the same, but the attempt's record is not yet durable
+//	stop TASK                                request the halt of the newest attempt of the task
+//	heartbeat INCARNATION SEQUENCE TOKEN [TASK=STATUS[/CAUSE]]...
+//	                                         apply a heartbeat
+//	commands TOKEN                           print the pending commands, as if they were sent
+//	answer TOKEN                             answer the last heartbeat
+//	sleep SECONDS                            advance the time, in addition to one second before each line
+//
+// The output line "seems deaf" says that the machine is unresponsive.
 func TestTraces(t *testing.T) { golden.Run(t, replay) }
 
 const (
@@ -75,13 +77,13 @@
 		return n
 	}
 	switch words[0] {
-	case "start", "decide":
+	case "assign", "assign-unrecorded":
 		attempt := r.assign(int(number(1)), number(2), number(3))
-		attempt.Recorded = words[0] == "start"
+		attempt.Recorded = words[0] == "assign"
 	case "stop":
 		id := job.AttemptID{Task: traceJob + "/" + words[1], Number: r.attempts[words[1]]}
 		r.machine.Stop(r.machine.Assignments[id], 0)
-	case "report":
+	case "heartbeat":
 		heartbeat := &Heartbeat{Machine: r.machine.Name, Incarnation: number(1), Sequence: number(2), FencingToken: number(3)}
 		for _, task := range words[4:] {
 			heartbeat.Tasks = append(heartbeat.Tasks, r.reportedTask(task))
@@ -89,9 +91,9 @@
 		r.heartbeat(out, heartbeat)
 	case "answer":
 		r.machine.HeartbeatAnswered(number(1), traceLease, r.now)
-	case "pass":
+	case "sleep":
 		r.now = r.now.Add(time.Duration(number(1)) * time.Second)
-	case "orders":
+	case "commands":
 		r.commands(out, number(1))
 	default:
 		r.t.Fatalf("unknown command in line %q", line)
