--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -16,32 +16,32 @@
 	WaitingCPUSeconds float64 // of these, of tasks that wait and that their team may run
 }
 
-// lateSpreadInRuns is over how many run times of a task, from when machines are up, work is spread that new
+// lateDrainTimeInRuns is over how many run times of a task, from when machines are up, work is spread that new
 // machines come too late for: so many of them are of use beyond their first tasks.
-const lateSpreadInRuns = 1.5
+const lateDrainTimeInRuns = 1.5
 
 // CPUsForDueTimes returns how many CPUs the works should have at once, given how many they have and how many seconds a
 // machine takes to boot. It takes the works in order of their due time, to which it sorts them, and compares
 // what is to be done by each with what can be done by then. New machines help only once they have booted;
 // where they come too late for the due time, they are asked for only as far as the work would outlast their
 // first tasks.
-func CPUsForDueTimes(works []ArrayWork, have, boot float64) float64 {
-	sort.Slice(works, func(x, y int) bool { return works[x].DueSeconds < works[y].DueSeconds })
+func CPUsForDueTimes(arrays []ArrayWork, availableCPUs, bootSeconds float64) float64 {
+	sort.Slice(arrays, func(x, y int) bool { return arrays[x].DueSeconds < arrays[y].DueSeconds })
 	needed, total := 0.0, 0.0
-	for _, work := range works {
+	for _, work := range arrays {
 		total += work.CPUSeconds
 		due := math.Max(work.DueSeconds, work.RunSeconds) // no task ends sooner
-		needed = math.Max(needed, math.Min(total/due, have))
-		doneInTime := total-have*due <= 0
+		needed = math.Max(needed, math.Min(total/due, availableCPUs))
+		doneInTime := total-availableCPUs*due <= 0
 		if doneInTime {
 			continue
 		}
-		helpTime := due - boot
-		if helpTime < work.RunSeconds {
-			helpTime = lateSpreadInRuns * work.RunSeconds
+		usefulTime := due - bootSeconds
+		if usefulTime < work.RunSeconds {
+			usefulTime = lateDrainTimeInRuns * work.RunSeconds
 		}
-		if missing := total - have*(boot+helpTime); missing > 0 {
-			needed = math.Max(needed, have+missing/helpTime)
+		if missing := total - availableCPUs*(bootSeconds+usefulTime); missing > 0 {
+			needed = math.Max(needed, availableCPUs+missing/usefulTime)
 		}
 	}
 	return needed
@@ -58,16 +58,16 @@
 //
 // It guards against a queue that never empties: machines for the usual load alone keep up with arrivals, but
 // a backlog once formed stays, and arrays behind it are late though more machines could be rented.
-func CPUsForBacklog(works []ArrayWork, have, usual, boot float64) float64 {
+func CPUsForBacklog(arrays []ArrayWork, availableCPUs, averageLoad, bootSeconds float64) float64 {
 	waitingSeconds, waitingCPUs := 0.0, 0.0
-	for _, work := range works {
+	for _, work := range arrays {
 		waitingSeconds += work.WaitingCPUSeconds
 		waitingCPUs += work.WaitingCPUSeconds / work.RunSeconds
 	}
-	backlog := waitingSeconds + boot*(usual-have)
+	backlog := waitingSeconds + bootSeconds*(averageLoad-availableCPUs)
 	if waitingCPUs == 0 || backlog <= 0 {
 		return 0
 	}
 	meanRun := waitingSeconds / waitingCPUs
-	return usual + backlog/math.Max(drainTimeInBoots*boot, meanRun)
+	return averageLoad + backlog/math.Max(drainTimeInBoots*bootSeconds, meanRun)
 }
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -20,14 +20,14 @@
 	free      []placement.Amounts // by machine
 	used      []bool              // by machine: the demand needs it
 
-	rented            []rentedMachine
-	rentedByPool      []int       // number of machines
-	poolsByImportance []int       // pools of which machines are rented, for the most important demand first
-	machinesByZone    map[int]int // number of machines, those to be rented included
+	planned        []plannedMachine
+	plannedByPool  []int       // number of machines
+	plannedPools   []int       // pools of which machines are rented, for the most important demand first
+	machinesByZone map[int]int // number of machines, those to be rented included
 }
 
-// rentedMachine is a machine that is to be rented.
-type rentedMachine struct {
+// plannedMachine is a machine that is to be rented.
+type plannedMachine struct {
 	pool int
 	free placement.Amounts
 }
@@ -39,7 +39,7 @@
 		fillOrder:      make([]int, 0, len(machines)),
 		free:           make([]placement.Amounts, len(machines)),
 		used:           make([]bool, len(machines)),
-		rentedByPool:   make([]int, len(pools)),
+		plannedByPool:  make([]int, len(pools)),
 		machinesByZone: map[int]int{},
 	}
 	for machineIndex := range machines {
@@ -71,7 +71,7 @@
 		demand.Zone = p.bestZone(&demand)
 	}
 	// Room only shrinks, so a machine that has none for one task has none for the next.
-	next, nextRented := 0, 0
+	next, nextPlanned := 0, 0
 	for range demand.Tasks {
 		next = p.nextMachine(&demand, next)
 		if next < len(p.fillOrder) {
@@ -80,12 +80,12 @@
 			p.used[machineIndex] = true
 			continue
 		}
-		nextRented = p.nextRented(&demand, nextRented)
-		if nextRented == len(p.rented) && !p.rent(&demand) {
+		nextPlanned = p.nextPlanned(&demand, nextPlanned)
+		if nextPlanned == len(p.planned) && !p.planRental(&demand) {
 			return
 		}
-		rented := &p.rented[nextRented]
-		rented.free = rented.free.Add(demand.Need, -1)
+		planned := &p.planned[nextPlanned]
+		planned.free = planned.free.Add(demand.Need, -1)
 	}
 }
 
@@ -101,41 +101,41 @@
 	return len(p.fillOrder)
 }
 
-// nextRented returns the position, at or after the one given, of a rented machine with room for a task;
+// nextPlanned returns the position, at or after the one given, of a rented machine with room for a task;
 // len(p.rented) if there is none.
-func (p *packing) nextRented(demand *Demand, from int) int {
-	for position := from; position < len(p.rented); position++ {
-		rented := &p.rented[position]
-		if rented.free.Fits(demand.Need) && demand.allowsPool(&p.pools[rented.pool]) {
+func (p *packing) nextPlanned(demand *Demand, from int) int {
+	for position := from; position < len(p.planned); position++ {
+		planned := &p.planned[position]
+		if planned.free.Fits(demand.Need) && demand.allowsPool(&p.pools[planned.pool]) {
 			return position
 		}
 	}
-	return len(p.rented)
+	return len(p.planned)
 }
 
-// rent rents the cheapest machine for a task and reports whether one can be had.
-func (p *packing) rent(demand *Demand) bool {
+// planRental rents the cheapest machine for a task and reports whether one can be had.
+func (p *packing) planRental(demand *Demand) bool {
 	poolIndex := p.cheapestPool(demand)
 	if poolIndex == noPool {
 		return false
 	}
-	if p.rentedByPool[poolIndex] == 0 {
-		p.poolsByImportance = append(p.poolsByImportance, poolIndex)
+	if p.plannedByPool[poolIndex] == 0 {
+		p.plannedPools = append(p.plannedPools, poolIndex)
 	}
 	pool := &p.pools[poolIndex]
-	p.rentedByPool[poolIndex]++
+	p.plannedByPool[poolIndex]++
 	p.machinesByZone[pool.Zone]++
-	p.rented = append(p.rented, rentedMachine{pool: poolIndex, free: pool.Capacity})
+	p.planned = append(p.planned, plannedMachine{pool: poolIndex, free: pool.Capacity})
 	return true
 }
 
 // scaleOut returns what is to be rented.
 func (p *packing) scaleOut() []RentRequest {
-	var rents []RentRequest
-	for _, poolIndex := range p.poolsByImportance {
-		rents = append(rents, RentRequest{Pool: poolIndex, Count: p.rentedByPool[poolIndex]})
+	var requests []RentRequest
+	for _, poolIndex := range p.plannedPools {
+		requests = append(requests, RentRequest{Pool: poolIndex, Count: p.plannedByPool[poolIndex]})
 	}
-	return rents
+	return requests
 }
 
 // scaleIn returns the machines that the demand does not use and that have been empty for long enough.
--- a/internal/autoscaler/demand_history.go
+++ b/internal/autoscaler/demand_history.go
@@ -20,17 +20,17 @@
 }
 
 const (
-	// chanceIntervals is how many mean intervals without an arrival are taken for chance. A longer silence
+	// maxSilenceIntervals is how many mean intervals without an arrival are taken for chance. A longer silence
 	// means that arrivals have ceased, long before Memory has passed.
-	chanceIntervals = 3
+	maxSilenceIntervals = 3
 
 	// intervalSmoothing gives how far the mean moves with each new interval: one part in so many of the
 	// difference, so that one long silence does not pass for the usual pace.
 	intervalSmoothing = 8
 
-	// minShareSeen bounds by how much an estimate is raised for the part of Memory that it has not lived
+	// minObservedShare bounds by how much an estimate is raised for the part of Memory that it has not lived
 	// to see: the first arrivals alone would stand for a load many times as high.
-	minShareSeen = 0.6
+	minObservedShare = 0.6
 )
 
 // Add counts work that arrived at a time, in seconds of run time. The time may be past: a new leader reads
@@ -69,11 +69,11 @@
 	}
 	h.decay(now)
 	memory := h.Memory.Seconds()
-	shareSeen := 1 - math.Exp(-now.Sub(h.firstArrival).Seconds()/memory)
-	rate := h.decayedSeconds / (memory * math.Max(shareSeen, minShareSeen))
+	observedShare := 1 - math.Exp(-now.Sub(h.firstArrival).Seconds()/memory)
+	rate := h.decayedSeconds / (memory * math.Max(observedShare, minObservedShare))
 	silence := now.Sub(h.lastArrival).Seconds()
-	if h.meanInterval > 0 && silence > chanceIntervals*h.meanInterval {
-		rate *= chanceIntervals * h.meanInterval / silence
+	if h.meanInterval > 0 && silence > maxSilenceIntervals*h.meanInterval {
+		rate *= maxSilenceIntervals * h.meanInterval / silence
 	}
 	return rate
 }
@@ -83,8 +83,8 @@
 	if h.firstArrival.IsZero() {
 		h.firstArrival, h.decayedAt = now, now
 	}
-	if passed := now.Sub(h.decayedAt); passed > 0 {
-		h.decayedSeconds *= math.Exp(-passed.Seconds() / h.Memory.Seconds())
+	if elapsed := now.Sub(h.decayedAt); elapsed > 0 {
+		h.decayedSeconds *= math.Exp(-elapsed.Seconds() / h.Memory.Seconds())
 		h.decayedAt = now
 	}
 }
--- a/internal/autoscaler/demand_history_test.go
+++ b/internal/autoscaler/demand_history_test.go
@@ -11,8 +11,8 @@
 	testLoad   = 20.0 // seconds of run time that arrive each second
 )
 
-// steadyArrivals counts an arrival a second and returns the time behind the last.
-func steadyArrivals(history *DemandHistory, start time.Time, seconds int) time.Time {
+// addSteadyArrivals counts an arrival a second and returns the time behind the last.
+func addSteadyArrivals(history *DemandHistory, start time.Time, seconds int) time.Time {
 	now := start
 	for range seconds {
 		history.Add(testLoad, now)
@@ -29,7 +29,7 @@
 	if history.Rate(start) != 0 {
 		t.Error("load before any arrival")
 	}
-	now := steadyArrivals(&history, start, 1000)
+	now := addSteadyArrivals(&history, start, 1000)
 	if got := history.Rate(now); math.Abs(got-testLoad) > 0.5 {
 		t.Errorf("steady load %v, want %v", got, testLoad)
 	}
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestFirstArrivalIsNoFlood fails if a history that has just begun takes its first arrivals for a load that
+// TestFirstArrivalIsNotSteadyLoad fails if a history that has just begun takes its first arrivals for a load that
 // has gone on for as long as it can remember, many times as high.
-func TestFirstArrivalIsNoFlood(t *testing.T) {
+func TestFirstArrivalIsNotSteadyLoad(t *testing.T) {
 	history := DemandHistory{Memory: testMemory}
 	if !history.Empty() {
 		t.Error("not empty before any arrival")
 	}
-	now := steadyArrivals(&history, time.Unix(0, 0), 1)
+	now := addSteadyArrivals(&history, time.Unix(0, 0), 1)
 	if history.Empty() {
 		t.Error("empty after an arrival")
 	}
@@ -62,8 +62,8 @@
 func TestOneLongSilenceIsNotTheUsualPace(t *testing.T) {
 	const silence = 20 * time.Second
 	history := DemandHistory{Memory: testMemory}
-	now := steadyArrivals(&history, time.Unix(0, 0), 100)
-	now = steadyArrivals(&history, now.Add(silence), 1)
+	now := addSteadyArrivals(&history, time.Unix(0, 0), 100)
+	now = addSteadyArrivals(&history, now.Add(silence), 1)
 	if got := history.meanInterval; got > 5 {
 		t.Errorf("mean interval %v s after one of %v among intervals of 1 s", got, silence)
 	}
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -40,8 +40,8 @@
 	history.decayedAt = time.UnixMilli(e.DecayedAtMS)
 	history.lastArrival = time.UnixMilli(e.LastArrivalMS)
 	estimator.sumsByClass = map[string]*runTimeSums{}
-	for class, learned := range e.RunTimes {
-		if actual, expected := learned[0], learned[1]; expected > 0 {
+	for class, sums := range e.RunTimes {
+		if actual, expected := sums[0], sums[1]; expected > 0 {
 			estimator.sumsByClass[class] = &runTimeSums{actual: actual, expected: expected}
 		}
 	}
--- a/internal/autoscaler/estimates_test.go
+++ b/internal/autoscaler/estimates_test.go
@@ -11,7 +11,7 @@
 func TestEstimatesSurviveChangeOfLeader(t *testing.T) {
 	var estimator, restoredEstimator RuntimeEstimator
 	history, restoredHistory := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
-	now := steadyArrivals(&history, time.Unix(1000, 0), 200)
+	now := addSteadyArrivals(&history, time.Unix(1000, 0), 200)
 	for range 200 {
 		estimator.Add("class", 10, 20)
 	}
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -27,7 +27,7 @@
 	best, bestPrice := noPool, math.Inf(1)
 	for poolIndex := range p.pools {
 		pool := &p.pools[poolIndex]
-		if p.rentedByPool[poolIndex] >= maxMachinesPerRequest || !pool.canHold(demand) {
+		if p.plannedByPool[poolIndex] >= maxMachinesPerRequest || !pool.rentableFor(demand) {
 			continue
 		}
 		price := pool.pricePerTask(demand)
@@ -59,16 +59,16 @@
 // can be rented for the rest; negative if there is none.
 func (p *packing) bestZone(demand *Demand) int {
 	rentable := p.rentableZones(demand)
-	room := p.roomByZone(demand)
+	fittingTasks := p.fittingTasksByZone(demand)
 	for zone := range rentable {
-		room[zone] += 0 // a zone without machines is looked at as well
+		fittingTasks[zone] += 0 // a zone without machines is looked at as well
 	}
 	best := -1
-	for _, zone := range slices.Sorted(maps.Keys(room)) {
-		if !rentable[zone] && room[zone] < demand.Tasks {
+	for _, zone := range slices.Sorted(maps.Keys(fittingTasks)) {
+		if !rentable[zone] && fittingTasks[zone] < demand.Tasks {
 			continue
 		}
-		if best < 0 || min(room[zone], demand.Tasks) > min(room[best], demand.Tasks) {
+		if best < 0 || min(fittingTasks[zone], demand.Tasks) > min(fittingTasks[best], demand.Tasks) {
 			best = zone
 		}
 	}
@@ -79,20 +79,20 @@
 func (p *packing) rentableZones(demand *Demand) map[int]bool {
 	zones := map[int]bool{}
 	for poolIndex := range p.pools {
-		if pool := &p.pools[poolIndex]; pool.canHold(demand) {
+		if pool := &p.pools[poolIndex]; pool.rentableFor(demand) {
 			zones[pool.Zone] = true
 		}
 	}
 	return zones
 }
 
-// roomByZone returns for how many tasks the machines of each zone have room.
-func (p *packing) roomByZone(demand *Demand) map[int]int {
-	room := map[int]int{}
+// fittingTasksByZone returns for how many tasks the machines of each zone have room.
+func (p *packing) fittingTasksByZone(demand *Demand) map[int]int {
+	fittingTasks := map[int]int{}
 	for _, machineIndex := range p.fillOrder {
 		if machine := &p.machines[machineIndex]; demand.allowsMachine(machine) {
-			room[machine.Zone] += p.free[machineIndex].FittingCount(demand.Need)
+			fittingTasks[machine.Zone] += p.free[machineIndex].FittingCount(demand.Need)
 		}
 	}
-	return room
+	return fittingTasks
 }
--- a/internal/autoscaler/runtime_estimator.go
+++ b/internal/autoscaler/runtime_estimator.go
@@ -20,8 +20,8 @@
 	// it the first task to end would decide for its whole class.
 	priorSeconds = 300
 
-	// pastWeight is the weight that the past keeps with each task, so that estimates follow a change.
-	pastWeight = 0.98
+	// decayFactor is the weight that the past keeps with each task, so that estimates follow a change.
+	decayFactor = 0.98
 )
 
 // Add counts a task of the class that was expected to take some seconds and took others. Tasks of which
@@ -38,8 +38,8 @@
 		sums = &runTimeSums{actual: priorSeconds, expected: priorSeconds}
 		e.sumsByClass[class] = sums
 	}
-	sums.actual = sums.actual*pastWeight + actual
-	sums.expected = sums.expected*pastWeight + expected
+	sums.actual = sums.actual*decayFactor + actual
+	sums.expected = sums.expected*decayFactor + expected
 }
 
 // Factor returns what to multiply estimates of the class with; 1 for a class of which nothing is known.
--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -57,7 +57,7 @@
 	Capacity placement.Amounts // of an empty machine
 }
 
-// canHold reports whether the tasks may run on machines of a pool that can be rented now.
-func (p *Pool) canHold(d *Demand) bool {
+// rentableFor reports whether the tasks may run on machines of a pool that can be rented now.
+func (p *Pool) rentableFor(d *Demand) bool {
 	return !p.Blocked && p.Capacity.Fits(d.Need) && d.allowsPool(p)
 }
