--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -1,36 +1,40 @@
 package autoscaler
 
-// Sizing for arrays: how many CPUs their tasks should have together. Arrays are counted in CPUs, not in
-// tasks, as their tasks take turns on a machine (TestSmallTasksDoNotOverprovision in package controller).
+// Sizing for arrays: the total number of CPUs that their tasks should get. Arrays are sized in CPUs, not
+// in tasks, because their tasks run one after another on the same machines
+// (TestSmallTasksDoNotOverprovision in package controller).
 
 import (
 	"math"
 	"sort"
 )
 
-// ArrayWork is what is left of one array. All times are in seconds.
+// ArrayWork is the unfinished work of one array. All times are in seconds.
 type ArrayWork struct {
-	DueSeconds        float64 // until it is due; negative if that is past
-	RunSeconds        float64 // run time of one task
-	CPUSeconds        float64 // CPU seconds left in all
-	WaitingCPUSeconds float64 // of these, of tasks that wait and that their team may run
+	DueSeconds        float64 // time until the array is due; negative once it is overdue
+	RunSeconds        float64 // run time of one task; must be positive
+	CPUSeconds        float64 // total CPU time left
+	WaitingCPUSeconds float64 // part of CPUSeconds for waiting tasks within their team's limit
 }
 
-// lateDrainTimeInRuns is over how many run times of a task, from when machines are up, work is spread that new
-// machines come too late for: so many of them are of use beyond their first tasks.
+// lateDrainTimeInRuns is the period over which work is spread that new machines come too late for. It is
+// counted in run times of a task and begins when the machines have booted. It limits new machines to
+// those that are of use beyond their first tasks.
 const lateDrainTimeInRuns = 1.5
 
-// CPUsForDueTimes returns how many CPUs the works should have at once, given how many they have and how many seconds a
-// machine takes to boot. It takes the works in order of their due time, to which it sorts them, and compares
-// what is to be done by each with what can be done by then. New machines help only once they have booted;
-// where they come too late for the due time, they are asked for only as far as the work would outlast their
-// first tasks.
+// CPUsForDueTimes returns how many CPUs the arrays need at once to finish by their due times; 0 if there
+// are no arrays. availableCPUs is the number of CPUs that arrays use or can use without new machines,
+// bootSeconds the time that a new machine takes to boot. The function sorts arrays by due time.
+//
+// For each due time, the work due by then is compared with what the available CPUs can do by then. New
+// machines help only once they have booted. If they come too late for the due time, they are requested
+// only as far as the work would outlast their first tasks.
 func CPUsForDueTimes(arrays []ArrayWork, availableCPUs, bootSeconds float64) float64 {
 	sort.Slice(arrays, func(x, y int) bool { return arrays[x].DueSeconds < arrays[y].DueSeconds })
 	needed, total := 0.0, 0.0
 	for _, work := range arrays {
 		total += work.CPUSeconds
-		due := math.Max(work.DueSeconds, work.RunSeconds) // no task ends sooner
+		due := math.Max(work.DueSeconds, work.RunSeconds) // no task finishes before its run time has passed
 		needed = math.Max(needed, math.Min(total/due, availableCPUs))
 		doneInTime := total-availableCPUs*due <= 0
 		if doneInTime {
@@ -47,17 +51,20 @@
 	return needed
 }
 
-// drainTimeInBoots is over how many boot times a backlog is spread: machines that are of use for less cost
-// more to boot than the wait costs (figures for two to four: docs/placement.md, "Sizing the fleet").
+// drainTimeInBoots is the period over which a backlog is spread, in boot times of a machine. Machines
+// that are of use for a shorter time cost more to boot than the waiting costs (figures for two to four:
+// docs/placement.md, "Sizing the fleet").
 const drainTimeInBoots = 4
 
-// CPUsForBacklog returns how many CPUs arrays should have so that what waits is done soon, beside the usual load: what
-// will still wait once machines rented now are up is spread over drainTimeInBoots, or over a task's run time
-// where that is longer. It is given how many CPUs arrays have, how many the usual load takes, and how many
-// seconds a machine takes to boot; 0 if nothing will wait.
+// CPUsForBacklog returns how many CPUs arrays need to drain their backlog in addition to serving the
+// average load; 0 if no tasks wait or the backlog is empty. The backlog is the work that will still wait
+// when machines rented now have booted. It is spread over drainTimeInBoots, or over the mean run time of
+// a waiting task if that is longer. availableCPUs is the number of CPUs that arrays use or can use
+// without new machines, averageLoad the number that arrivals use on average, bootSeconds the time that a
+// new machine takes to boot.
 //
-// It guards against a queue that never empties: machines for the usual load alone keep up with arrivals, but
-// a backlog once formed stays, and arrays behind it are late though more machines could be rented.
+// Guards against a backlog that never drains: machines for the average load alone keep up with arrivals,
+// but an existing backlog stays. Arrays behind it are late although more machines could be rented.
 func CPUsForBacklog(arrays []ArrayWork, availableCPUs, averageLoad, bootSeconds float64) float64 {
 	waitingSeconds, waitingCPUs := 0.0, 0.0
 	for _, work := range arrays {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,26 +1,27 @@
-// Package autoscaler decides which machines to rent and which to return. It is pure and deterministic: it is
-// given demand, machines and prices, and returns decisions, which the controller carries out. The estimates
-// that the demand is made from, demand history and run times, are kept here as well. docs/placement.md
-// ("Sizing the fleet") gives reasons and figures.
+// Package autoscaler decides which machines to rent and which to return. Plan is a pure, deterministic
+// function of demand, machines and prices; the controller carries out its decisions. The package also
+// holds the estimators that demand is derived from: demand history and run times. For reasons and
+// figures see docs/placement.md ("Sizing the fleet").
 package autoscaler
 
 import "time"
 
-// Decision is the outcome of Plan.
+// Decision is the result of Plan.
 type Decision struct {
-	ScaleOut []RentRequest // for the most important demand first
-	ScaleIn  []int         // positions of machines to return
+	ScaleOut []RentRequest // in the order of the demand that they serve, most important first
+	ScaleIn  []int         // indexes of machines to return, in the list given to Plan
 }
 
-// RentRequest asks for machines of a pool.
+// RentRequest is a request for machines of one pool.
 type RentRequest struct {
-	Pool  int // position in the list of pools
-	Count int // at most what one request may ask for
+	Pool  int // index in the list of pools given to Plan
+	Count int // number of machines; at most maxMachinesPerRequest
 }
 
-// Plan fits the demand into the machines that are paid for, rents the cheapest that fit for the rest, and
-// returns machines that have been empty for idleReturn and that the demand does not use. Demand comes in
-// order of importance.
+// Plan packs the demand into the machines that are already paid for and decides which machines to rent
+// and which to return. Tasks that do not fit get machines of the pool with the lowest price per task.
+// Machines are returned that have been empty for at least idleReturn and that the demand does not need.
+// The demand is given in descending order of importance.
 func Plan(demand []Demand, machines []Machine, pools []Pool, idleReturn time.Duration) Decision {
 	p := newPacking(machines, pools)
 	for _, d := range demand {
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -1,8 +1,8 @@
 package autoscaler
 
-// Bin packing: demand is fitted into machines first-fit, with rented machines added as they are needed. The
-// placement pass will put the tasks elsewhere, by load index; what counts here is how many machines it
-// takes.
+// Bin packing: demand is packed first-fit into the machines, and machines to rent are added as needed.
+// Only the number of machines matters here: the placement pass later chooses machines for the tasks by
+// load index, independently of this packing.
 
 import (
 	"sort"
@@ -11,22 +11,23 @@
 	"tulipshelf/internal/placement"
 )
 
-// packing is demand being fitted into machines. Machines and pools are named by their positions.
+// packing is the state of one call of Plan: the demand packed so far. Machines and pools are identified
+// by their indexes.
 type packing struct {
 	machines []Machine
 	pools    []Pool
 
-	fillOrder []int               // usable machines in the order in which they are filled
-	free      []placement.Amounts // by machine
-	used      []bool              // by machine: the demand needs it
+	fillOrder []int               // usable machines, in the order in which they are filled
+	free      []placement.Amounts // by machine: capacity left
+	used      []bool              // by machine: needed by the demand
 
 	planned        []plannedMachine
-	plannedByPool  []int       // number of machines
-	plannedPools   []int       // pools of which machines are rented, for the most important demand first
-	machinesByZone map[int]int // number of machines, those to be rented included
+	plannedByPool  []int       // by pool: number of planned machines
+	plannedPools   []int       // pools with planned machines, in the order of the demand, most important first
+	machinesByZone map[int]int // by zone: number of machines, planned ones included
 }
 
-// plannedMachine is a machine that is to be rented.
+// plannedMachine is a machine to rent.
 type plannedMachine struct {
 	pool int
 	free placement.Amounts
@@ -56,8 +57,9 @@
 	return p
 }
 
-// filledBefore reports whether a is filled before b: machines in use first, as what stays empty is what can
-// be returned, and of equals spot machines, which are cheaper.
+// filledBefore reports whether the first machine is filled before the second. Machines in use come
+// first, so that empty ones stay empty and can be returned. Among equals, spot machines come first, as
+// they are cheaper.
 func filledBefore(a, b *Machine) bool {
 	if a.Empty != b.Empty {
 		return !a.Empty
@@ -65,12 +67,14 @@
 	return a.Spot && !b.Spot
 }
 
-// place fits in as many tasks of the demand as there is room for, or as machines can be rented for.
+// place packs as many tasks of the demand as fit on the machines, or on machines that can be rented. The
+// others are left out.
 func (p *packing) place(demand Demand) {
 	if demand.OneZone && demand.Zone < 0 {
 		demand.Zone = p.bestZone(&demand)
 	}
-	// Room only shrinks, so a machine that has none for one task has none for the next.
+	// Free capacity only shrinks: a machine without room for one task has none for the next, so each
+	// search resumes where the last one ended.
 	next, nextPlanned := 0, 0
 	for range demand.Tasks {
 		next = p.nextMachine(&demand, next)
@@ -89,8 +93,8 @@
 	}
 }
 
-// nextMachine returns the first position in the fill order, at or after the one given, of a machine with
-// room for a task; len(p.fillOrder) if there is none.
+// nextMachine returns the first position in fillOrder, at or after from, of a machine with room for a
+// task; len(p.fillOrder) if there is none.
 func (p *packing) nextMachine(demand *Demand, from int) int {
 	for position := from; position < len(p.fillOrder); position++ {
 		machineIndex := p.fillOrder[position]
@@ -101,8 +105,8 @@
 	return len(p.fillOrder)
 }
 
-// nextPlanned returns the position, at or after the one given, of a rented machine with room for a task;
-// len(p.rented) if there is none.
+// nextPlanned returns the first index in p.planned, at or after from, of a machine with room for a task;
+// len(p.planned) if there is none.
 func (p *packing) nextPlanned(demand *Demand, from int) int {
 	for position := from; position < len(p.planned); position++ {
 		planned := &p.planned[position]
@@ -113,7 +117,7 @@
 	return len(p.planned)
 }
 
-// planRental rents the cheapest machine for a task and reports whether one can be had.
+// planRental adds a machine of the cheapest pool for a task and reports whether there is such a pool.
 func (p *packing) planRental(demand *Demand) bool {
 	poolIndex := p.cheapestPool(demand)
 	if poolIndex == noPool {
@@ -129,7 +133,7 @@
 	return true
 }
 
-// scaleOut returns what is to be rented.
+// scaleOut returns one rent request per pool with planned machines.
 func (p *packing) scaleOut() []RentRequest {
 	var requests []RentRequest
 	for _, poolIndex := range p.plannedPools {
@@ -138,7 +142,8 @@
 	return requests
 }
 
-// scaleIn returns the machines that the demand does not use and that have been empty for long enough.
+// scaleIn returns the machines that the demand does not need and that have been empty for at least
+// idleReturn.
 func (p *packing) scaleIn(idleReturn time.Duration) []int {
 	var unneeded []int
 	for machineIndex := range p.machines {
--- a/internal/autoscaler/bin_packing_test.go
+++ b/internal/autoscaler/bin_packing_test.go
@@ -8,8 +8,8 @@
 	"tulipshelf/internal/placement"
 )
 
-// TestPackingLeavesReturnableMachinesEmpty fails if demand is fitted into machines that could be returned
-// while others have room, or into those that cost more.
+// TestPackingLeavesReturnableMachinesEmpty guards against packing demand into machines that could be
+// returned, or that cost more, while others have room.
 func TestPackingLeavesReturnableMachinesEmpty(t *testing.T) {
 	empty := Machine{Free: cpus(4), Usable: true, Empty: true, Idle: time.Hour}
 	emptySpot := empty
@@ -28,14 +28,14 @@
 			demand := []Demand{{Need: cpus(1), Zone: placement.AnyZone, Spot: true, Tasks: 4}}
 			decision := Plan(demand, test.machines, nil, time.Minute)
 			if !reflect.DeepEqual(decision.ScaleIn, test.want) {
-				t.Errorf("return %v, want %v", decision.ScaleIn, test.want)
+				t.Errorf("machines to return %v, want %v", decision.ScaleIn, test.want)
 			}
 		})
 	}
 }
 
-// TestPackingKeepsTasksOffMachinesTheyMayNotUse fails if a demand is taken for met by machines that its tasks
-// may not run on.
+// TestPackingKeepsTasksOffMachinesTheyMayNotUse guards against counting a demand as met by machines that
+// its tasks may not run on.
 func TestPackingKeepsTasksOffMachinesTheyMayNotUse(t *testing.T) {
 	service := Demand{Need: cpus(1), Zone: placement.AnyZone, Tasks: 1}
 	array := Demand{Need: cpus(1), Zone: placement.AnyZone, Spot: true, Tasks: 1}
@@ -47,6 +47,6 @@
 		{"unknown type", []Demand{service}, []Machine{unknownType}, testPools(), []RentRequest{{secondZonePool, 1}}},
 		{"spot machine", []Demand{service}, []Machine{spot}, testPools(), []RentRequest{{secondZonePool, 1}}},
 		{"not usable", []Demand{service}, []Machine{notUsable}, testPools(), []RentRequest{{secondZonePool, 1}}},
-		{"spot machine that is to be rented", []Demand{array, service}, []Machine{notUsable}, testPools(), []RentRequest{{spotPool, 1}, {secondZonePool, 1}}},
+		{"planned spot machine", []Demand{array, service}, []Machine{notUsable}, testPools(), []RentRequest{{spotPool, 1}, {secondZonePool, 1}}},
 	})
 }
--- a/internal/autoscaler/demand_history.go
+++ b/internal/autoscaler/demand_history.go
@@ -1,40 +1,42 @@
 package autoscaler
 
-// Demand history: the load that arrivals usually bring, for which machines are kept before it comes.
+// Demand history: the average load caused by arrivals, for which machines are kept in advance.
 
 import (
 	"math"
 	"time"
 )
 
-// DemandHistory estimates the load that arrivals bring: run time that arrives in a second, which is the
-// number of tasks that run at once on average. The caller sets Memory before the first use and guards it.
+// DemandHistory estimates the load caused by arrivals, in seconds of run time that arrive per second.
+// This equals the average number of tasks that run at once. The caller sets Memory before the first use
+// and guards the history against concurrent use.
 type DemandHistory struct {
-	Memory time.Duration // the past loses all but 1/e of its weight in this time
+	Memory time.Duration // time in which the weight of an arrival falls to 1/e; must be positive
 
-	decayedSeconds float64   // run time that arrived, each arrival weighted by its age at decayedAt
-	firstArrival   time.Time // zero: nothing has arrived
+	decayedSeconds float64   // run time that arrived, in seconds, each arrival weighted by its age at decayedAt
+	firstArrival   time.Time // zero if nothing has arrived
 	decayedAt      time.Time
 	lastArrival    time.Time
-	meanInterval   float64 // smoothed seconds between arrivals; zero: not known
+	meanInterval   float64 // smoothed interval between arrivals, in seconds; zero if unknown
 }
 
 const (
-	// maxSilenceIntervals is how many mean intervals without an arrival are taken for chance. A longer silence
-	// means that arrivals have ceased, long before Memory has passed.
+	// maxSilenceIntervals is the longest time without an arrival that is attributed to chance, in mean
+	// intervals. After a longer one arrivals count as ceased, long before Memory has passed.
 	maxSilenceIntervals = 3
 
-	// intervalSmoothing gives how far the mean moves with each new interval: one part in so many of the
-	// difference, so that one long silence does not pass for the usual pace.
+	// intervalSmoothing is the inverse of the weight of a new interval in the smoothed mean. Guards
+	// against a single long silence that counts as the usual interval.
 	intervalSmoothing = 8
 
-	// minObservedShare bounds by how much an estimate is raised for the part of Memory that it has not lived
-	// to see: the first arrivals alone would stand for a load many times as high.
+	// minObservedShare is the lower bound of the observed share: the part of all weight that the age of
+	// the history covers. Rates are divided by this share to make up for the part not observed. Without
+	// the bound the first arrivals alone would count as a load many times as high.
 	minObservedShare = 0.6
 )
 
-// Add counts work that arrived at a time, in seconds of run time. The time may be past: a new leader reads
-// of jobs that arrived before it led.
+// Add records the arrival of work, in seconds of run time, at the given time. The time may be in the
+// past: a new leader reads jobs that arrived before its term.
 func (h *DemandHistory) Add(seconds float64, at time.Time) {
 	h.decay(at)
 	if at.Before(h.firstArrival) {
@@ -48,7 +50,8 @@
 	}
 }
 
-// addInterval counts the seconds since the last arrival, if there was one before.
+// addInterval updates the mean interval with the seconds since the last arrival. It ignores the first
+// arrival and those that are not later than the last.
 func (h *DemandHistory) addInterval(seconds float64) {
 	if h.lastArrival.IsZero() || seconds <= 0 {
 		return
@@ -59,10 +62,12 @@
 	h.meanInterval += (seconds - h.meanInterval) / intervalSmoothing
 }
 
-// Empty reports whether nothing has been counted.
+// Empty reports whether no arrival has been recorded.
 func (h *DemandHistory) Empty() bool { return h.lastArrival.IsZero() }
 
-// Rate returns the estimate, in seconds of run time that arrive in a second.
+// Rate returns the estimated load, in seconds of run time that arrive per second; 0 if nothing has
+// arrived. After a silence of more than maxSilenceIntervals mean intervals, it is also lowered in
+// inverse proportion to the silence.
 func (h *DemandHistory) Rate(now time.Time) float64 {
 	if h.firstArrival.IsZero() {
 		return 0
@@ -78,7 +83,8 @@
 	return rate
 }
 
-// decay lowers the weight of past arrivals to what it is now; a time that is past changes nothing.
+// decay lowers the weights of past arrivals to those at now. The first call starts the history. A time
+// before decayedAt leaves the weights as they are.
 func (h *DemandHistory) decay(now time.Time) {
 	if h.firstArrival.IsZero() {
 		h.firstArrival, h.decayedAt = now, now
--- a/internal/autoscaler/demand_history_test.go
+++ b/internal/autoscaler/demand_history_test.go
@@ -8,10 +8,11 @@
 
 const (
 	testMemory = 100 * time.Second
-	testLoad   = 20.0 // seconds of run time that arrive each second
+	testLoad   = 20.0 // seconds of run time that arrive per second
 )
 
-// addSteadyArrivals counts an arrival a second and returns the time behind the last.
+// addSteadyArrivals adds an arrival of testLoad every second, beginning at start, for the given number of
+// seconds. It returns the time one second after the last arrival.
 func addSteadyArrivals(history *DemandHistory, start time.Time, seconds int) time.Time {
 	now := start
 	for range seconds {
@@ -21,28 +22,29 @@
 	return now
 }
 
-// TestRateFollowsArrivals fails if the rate is other than what arrives, drops at a silence like others, or
-// keeps machines long after arrivals have ceased.
+// TestRateFollowsArrivals guards against a rate that differs from the load that arrives, that drops
+// during a silence of ordinary length, or that stays high and so keeps machines long after arrivals have
+// ceased.
 func TestRateFollowsArrivals(t *testing.T) {
 	history := DemandHistory{Memory: testMemory}
 	start := time.Unix(0, 0)
 	if history.Rate(start) != 0 {
-		t.Error("load before any arrival")
+		t.Error("rate is not 0 before any arrival")
 	}
 	now := addSteadyArrivals(&history, start, 1000)
 	if got := history.Rate(now); math.Abs(got-testLoad) > 0.5 {
-		t.Errorf("steady load %v, want %v", got, testLoad)
+		t.Errorf("rate %v under steady load, want %v", got, testLoad)
 	}
 	if got := history.Rate(now.Add(2 * time.Second)); got < 19 {
-		t.Errorf("after a silence like others %v", got)
+		t.Errorf("rate %v after a silence of 2 s, want at least 19", got)
 	}
 	if got := history.Rate(now.Add(100 * time.Second)); got > 1 {
-		t.Errorf("long after the last arrival %v", got)
+		t.Errorf("rate %v 100 s after the last arrival, want at most 1", got)
 	}
 }
 
-// TestFirstArrivalIsNotSteadyLoad fails if a history that has just begun takes its first arrivals for a load that
-// has gone on for as long as it can remember, many times as high.
+// TestFirstArrivalIsNotSteadyLoad guards against a new history that treats its first arrivals as a load
+// that has lasted for all of Memory, which would be many times as high.
 func TestFirstArrivalIsNotSteadyLoad(t *testing.T) {
 	history := DemandHistory{Memory: testMemory}
 	if !history.Empty() {
@@ -53,12 +55,13 @@
 		t.Error("empty after an arrival")
 	}
 	if got := history.Rate(now); got > 1 {
-		t.Errorf("load %v after a single arrival of %v", got, testLoad)
+		t.Errorf("rate %v after a single arrival of %v, want at most 1", got, testLoad)
 	}
 }
 
-// TestOneLongSilenceIsNotTheUsualPace fails if a single long interval between arrivals makes the history take
-// a second one for usual, and so keep machines for arrivals that have ceased.
+// TestOneLongSilenceIsNotTheUsualPace guards against a single long interval between arrivals after which
+// a second one counts as ordinary: the rate would stay high and keep machines for arrivals that have
+// ceased.
 func TestOneLongSilenceIsNotTheUsualPace(t *testing.T) {
 	const silence = 20 * time.Second
 	history := DemandHistory{Memory: testMemory}
@@ -72,7 +75,8 @@
 	}
 }
 
-// TestOldWorkCountsLess fails if what a new leader reads of jobs that arrived before counts as if it came now.
+// TestOldWorkCountsLess guards against counting old work as if it had just arrived, when a new leader
+// reads jobs that arrived before its term.
 func TestOldWorkCountsLess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fresh, aged := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
@@ -81,6 +85,6 @@
 	fresh.Add(1000, now)
 	aged.Add(1000, now.Add(-testMemory))
 	if freshRate, agedRate := fresh.Rate(now), aged.Rate(now); agedRate > 0.8*freshRate {
-		t.Errorf("work of %v ago counts %v, of now %v", testMemory, agedRate, freshRate)
+		t.Errorf("rate %v with work from %v ago, %v with current work", agedRate, testMemory, freshRate)
 	}
 }
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -1,21 +1,22 @@
 package autoscaler
 
-// Stored estimates: without them each new leader would begin with no history and rent too little.
+// Stored estimates. Without them each new leader would start without history and rent too few machines.
 
 import "time"
 
-// Estimates is what is stored of a DemandHistory and a RuntimeEstimator for the next leader. The codec tags
-// are those of stored records and never change.
+// Estimates is the state of a DemandHistory and a RuntimeEstimator that is stored for the next leader.
+// The codec tags are part of the stored format and must not change. Fields that end in MS are
+// milliseconds of Unix time.
 type Estimates struct {
-	DecayedSeconds float64               `cbor:"sum"`      // weighted seconds of run time that arrived
-	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival, in milliseconds of Unix time
-	DecayedAtMS    int64                 `cbor:"last_ms"`  // time of the weights
+	DecayedSeconds float64               `cbor:"sum"`      // run time that arrived, in weighted seconds
+	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival
+	DecayedAtMS    int64                 `cbor:"last_ms"`  // time at which the weights apply
 	LastArrivalMS  int64                 `cbor:"came_ms"`  // last arrival
-	MeanInterval   float64               `cbor:"gap"`      // mean seconds between arrivals
+	MeanInterval   float64               `cbor:"gap"`      // mean interval, in seconds; zero if unknown
 	RunTimes       map[string][2]float64 `cbor:"learned"`  // by class: actual and expected run time, in weighted seconds
 }
 
-// NewEstimates returns the estimates to store.
+// NewEstimates returns the state of history and estimator to store.
 func NewEstimates(history *DemandHistory, estimator *RuntimeEstimator) Estimates {
 	estimates := Estimates{
 		DecayedSeconds: history.decayedSeconds,
@@ -31,8 +32,9 @@
 	return estimates
 }
 
-// Restore replaces what history and estimator hold by what an earlier leader has stored. A class of which
-// nothing was expected, which only a damaged record has, is left out: its factor would be no number.
+// Restore replaces the state of history and estimator with the estimates that an earlier leader has
+// stored. history.Memory is not changed. A class without a positive expected run time, which only a
+// damaged record has, is left out: its factor would be infinite, negative or not a number.
 func (e *Estimates) Restore(history *DemandHistory, estimator *RuntimeEstimator) {
 	history.decayedSeconds = e.DecayedSeconds
 	history.meanInterval = e.MeanInterval
--- a/internal/autoscaler/estimates_test.go
+++ b/internal/autoscaler/estimates_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEstimatesSurviveChangeOfLeader fails if a new leader begins with other estimates than the earlier one
-// has stored.
+// TestEstimatesSurviveChangeOfLeader guards against a new leader that starts with other estimates than
+// the earlier one has stored.
 func TestEstimatesSurviveChangeOfLeader(t *testing.T) {
 	var estimator, restoredEstimator RuntimeEstimator
 	history, restoredHistory := DemandHistory{Memory: testMemory}, DemandHistory{Memory: testMemory}
@@ -19,15 +19,15 @@
 	stored.Restore(&restoredHistory, &restoredEstimator)
 	later := now.Add(3 * time.Second)
 	if rate, restored := history.Rate(later), restoredHistory.Rate(later); math.Abs(rate-restored) > 0.01 {
-		t.Errorf("rate %v, was %v", restored, rate)
+		t.Errorf("restored rate %v, want %v", restored, rate)
 	}
 	if factor, restored := estimator.Factor("class"), restoredEstimator.Factor("class"); factor != restored {
-		t.Errorf("factor %v, was %v", restored, factor)
+		t.Errorf("restored factor %v, want %v", restored, factor)
 	}
 }
 
-// TestDamagedEstimateIsLeftOut fails if a stored class of which nothing was expected gives a factor that is no
-// number.
+// TestDamagedEstimateIsLeftOut guards against an infinite factor from a damaged record in which the
+// expected run time of a class is 0.
 func TestDamagedEstimateIsLeftOut(t *testing.T) {
 	stored := Estimates{RunTimes: map[string][2]float64{"class": {20, 0}}}
 	var history DemandHistory
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -1,6 +1,6 @@
 package autoscaler
 
-// Pool selection: from which pool, and in which zone, machines are rented for a demand.
+// Pool selection: the choice of pool and zone for machines that are rented for a demand.
 
 import (
 	"maps"
@@ -12,17 +12,19 @@
 	// maxMachinesPerRequest is the most machines of a pool that one request to the cloud may ask for.
 	maxMachinesPerRequest = 50
 
-	// noPool is returned in place of a pool's position where there is none.
+	// noPool is returned instead of a pool's index if no pool qualifies.
 	noPool = -1
 
-	// countTolerance and priceTolerance absorb the rounding of quotients: without them a machine of 0.3
-	// would seem to hold two tasks of 0.1, and one of two equal prices would seem the lower.
+	// countTolerance and priceTolerance absorb the rounding of quotients. Without them a machine with
+	// 0.3 of a resource would count as holding only two tasks of 0.1, and one of two equal prices would
+	// count as lower.
 	countTolerance = 1e-9
 	priceTolerance = 1e-12
 )
 
-// cheapestPool returns the pool with the lowest price for one task, of equals the one in the zone with the
-// fewest machines, so that they are spread over zones; noPool if nothing can be rented.
+// cheapestPool returns the pool with the lowest price per task, or noPool if nothing can be rented. Of
+// pools with equal prices it returns the one in the zone with the fewest machines, to spread machines
+// over zones. Pools that already have maxMachinesPerRequest planned machines are skipped.
 func (p *packing) cheapestPool(demand *Demand) int {
 	best, bestPrice := noPool, math.Inf(1)
 	for poolIndex := range p.pools {
@@ -40,8 +42,8 @@
 	return best
 }
 
-// pricePerTask returns the price of a machine of the pool, shared by as many tasks as it holds. Tasks that
-// need nothing share no price.
+// pricePerTask returns the hourly price of a machine of the pool divided by the number of whole tasks
+// that it holds. For tasks that need no resources it returns the price of the machine.
 func (p *Pool) pricePerTask(demand *Demand) float64 {
 	tasks := math.Inf(1)
 	for resource, need := range demand.Need {
@@ -55,13 +57,15 @@
 	return p.Price / tasks
 }
 
-// bestZone returns the zone that has room for most of the tasks now, of equals the first, and where machines
-// can be rented for the rest; negative if there is none.
+// bestZone returns the zone whose machines have room for the most tasks of the demand; of equal zones,
+// the one with the lowest index. Room for more tasks than demanded does not count. A zone qualifies if
+// it has room for all tasks or if machines for the rest can be rented there. The result is negative if
+// no zone qualifies.
 func (p *packing) bestZone(demand *Demand) int {
 	rentable := p.rentableZones(demand)
 	fittingTasks := p.fittingTasksByZone(demand)
 	for zone := range rentable {
-		fittingTasks[zone] += 0 // a zone without machines is looked at as well
+		fittingTasks[zone] += 0 // includes zones without usable machines
 	}
 	best := -1
 	for _, zone := range slices.Sorted(maps.Keys(fittingTasks)) {
@@ -75,7 +79,7 @@
 	return best
 }
 
-// rentableZones returns the zones in which machines for the tasks can be rented.
+// rentableZones returns the zones in which machines for the demand's tasks can be rented.
 func (p *packing) rentableZones(demand *Demand) map[int]bool {
 	zones := map[int]bool{}
 	for poolIndex := range p.pools {
@@ -86,7 +90,8 @@
 	return zones
 }
 
-// fittingTasksByZone returns for how many tasks the machines of each zone have room.
+// fittingTasksByZone returns, by zone, the number of such tasks that fit on usable machines. Zones are
+// left out in which the tasks may not run on any usable machine.
 func (p *packing) fittingTasksByZone(demand *Demand) map[int]int {
 	fittingTasks := map[int]int{}
 	for _, machineIndex := range p.fillOrder {
--- a/internal/autoscaler/runtime_estimator.go
+++ b/internal/autoscaler/runtime_estimator.go
@@ -1,31 +1,34 @@
 package autoscaler
 
-// Run-time estimator: how long tasks take, by what tasks of their class have taken.
+// Run-time estimator: correction of expected run times by the actual run times of tasks of the same
+// class.
 
-// RuntimeEstimator corrects the owners' estimates of run times by what tasks of the same class have taken:
-// estimates are often wrong, and on some days mostly to the same side. The zero value corrects nothing. The
-// caller guards it.
+// RuntimeEstimator corrects the job owners' estimates of run times by the actual run times of tasks of
+// the same class. Owners' estimates are often wrong, and on some days most of them err in the same
+// direction. The zero value is ready to use and corrects nothing yet. The caller guards it against
+// concurrent use.
 type RuntimeEstimator struct {
 	sumsByClass map[string]*runTimeSums
 }
 
-// runTimeSums is what tasks of a class have taken and were expected to take, in weighted seconds.
+// runTimeSums holds the actual and expected run times of tasks of a class, in weighted seconds.
 type runTimeSums struct {
 	actual   float64
 	expected float64
 }
 
 const (
-	// priorSeconds is how many seconds of estimates count as borne out before any task has ended: without
-	// it the first task to end would decide for its whole class.
+	// priorSeconds is the run time, in seconds, that each class starts with, both as expected and as
+	// actual. Without it the first task to end would determine the factor of its whole class.
 	priorSeconds = 300
 
-	// decayFactor is the weight that the past keeps with each task, so that estimates follow a change.
+	// decayFactor is the share of their weight that earlier tasks keep with each new task, so that the
+	// factors follow a change.
 	decayFactor = 0.98
 )
 
-// Add counts a task of the class that was expected to take some seconds and took others. Tasks of which
-// nothing was expected are left out.
+// Add records a task of the class with its expected and actual run time, in seconds. Tasks without a
+// positive expected run time are ignored.
 func (e *RuntimeEstimator) Add(class string, expected, actual float64) {
 	if expected <= 0 {
 		return
@@ -42,7 +45,7 @@
 	sums.expected = sums.expected*decayFactor + expected
 }
 
-// Factor returns what to multiply estimates of the class with; 1 for a class of which nothing is known.
+// Factor returns the factor by which to multiply expected run times of the class; 1 if none are recorded.
 func (e *RuntimeEstimator) Factor(class string) float64 {
 	if sums := e.sumsByClass[class]; sums != nil {
 		return sums.actual / sums.expected
--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -1,6 +1,6 @@
 package autoscaler
 
-// The snapshot that Plan is given.
+// The input of Plan: a snapshot of demand, machines and pools.
 
 import (
 	"time"
@@ -8,17 +8,18 @@
 	"tulipshelf/internal/placement"
 )
 
-// Demand is a number of tasks of one kind that should have a machine. Tasks that run already are left out.
+// Demand is a group of identical tasks to provide machines for. Running tasks are not included.
 type Demand struct {
-	Need    placement.Amounts // of one task
-	Types   []bool            // allowed machine types, by dense index; nil: any
-	Zone    int               // dense index; negative: any
+	Need    placement.Amounts // resources of one task
+	Types   []bool            // allowed machine types, by dense index; nil allows any
+	Zone    int               // required zone, by dense index; negative allows any
 	Spot    bool              // may run on spot machines
-	Tasks   int
-	OneZone bool // all in one zone, whichever
+	Tasks   int               // number of tasks
+	OneZone bool              // all tasks must run in the same zone
 }
 
-// allows reports whether the tasks may run on machines of a type in a zone.
+// allows reports whether the tasks may run on machines of this type in this zone. Machines of an unknown
+// (negative) type run no tasks.
 func (d *Demand) allows(machineType, zone int, spot bool) bool {
 	if machineType < 0 {
 		return false
@@ -36,28 +37,29 @@
 
 func (d *Demand) allowsPool(pool *Pool) bool { return d.allows(pool.Type, pool.Zone, pool.Spot) }
 
-// Machine is a machine that is paid for. Its position in the list is its name.
+// Machine is a machine that is paid for. It is identified by its index in the list given to Plan.
 type Machine struct {
-	Type   int // dense index of the machine type; negative: unknown, holds no tasks
-	Zone   int // dense index
+	Type   int // dense index of the machine type; negative if unknown: such a machine gets no tasks
+	Zone   int // dense index of the zone
 	Spot   bool
-	Free   placement.Amounts // not booked; all of it while the machine boots
-	Usable bool              // takes tasks now or once it is up
-	Empty  bool              // can be returned without loss
-	Idle   time.Duration     // for how long it has been empty
+	Free   placement.Amounts // capacity not assigned to tasks; all of it while the machine boots
+	Usable bool              // accepts tasks now or is expected to once it has booted
+	Empty  bool              // can be returned without losing work
+	Idle   time.Duration     // time that it has been empty, as counted towards idleReturn; ignored unless Empty
 }
 
-// Pool is a kind of machine that can be rented. Its position in the list is its name.
+// Pool is a kind of machine that can be rented. It is identified by its index in the list given to Plan.
 type Pool struct {
 	Type     int // dense index of the machine type
-	Zone     int // dense index
+	Zone     int // dense index of the zone
 	Spot     bool
-	Price    float64           // of a machine, an hour
-	Blocked  bool              // the cloud has refused machines lately: none are asked for
-	Capacity placement.Amounts // of an empty machine
+	Price    float64           // price of one machine per hour
+	Blocked  bool              // the cloud has recently refused machines, so none are requested
+	Capacity placement.Amounts // capacity of an empty machine
 }
 
-// rentableFor reports whether the tasks may run on machines of a pool that can be rented now.
+// rentableFor reports whether machines of the pool can be rented now and whether the demand's tasks fit
+// on them and may run there.
 func (p *Pool) rentableFor(d *Demand) bool {
 	return !p.Blocked && p.Capacity.Fits(d.Need) && d.allowsPool(p)
 }
