--- a/internal/autoscaler/demand_history_test.go
+++ b/internal/autoscaler/demand_history_test.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	testMemory = 100 * time.Second
-	testLoad   = 20.0 // seconds of run time that arrive each second
+	testTimeConstant = 100 * time.Second
+	testLoad         = 20.0 // seconds of run time that arrive per second
 )
 
-// steadyArrivals counts an arrival a second and returns the time behind the last.
-func steadyArrivals(history *DemandHistory, start time.Time, seconds int) time.Time {
+// addSteadyArrivals adds an arrival of testLoad every second, beginning at start, for the given number of
+// seconds. It returns the time one second after the last arrival.
+func addSteadyArrivals(history *DemandHistory, start time.Time, seconds int) time.Time {
 	now := start
 	for range seconds {
 		history.Add(testLoad, now)
@@ -21,49 +22,51 @@
 	return now
 }
 
-// TestRateFollowsArrivals fails if the rate is other than what arrives, drops at a silence like others, or
-// keeps machines long after arrivals have ceased.
+// TestRateFollowsArrivals guards against a rate that differs from the load that arrives, that drops
+// during a silence of ordinary length, or that stays high and so keeps machines long after arrivals have
+// ceased.
 func TestRateFollowsArrivals(t *testing.T) {
-	history := DemandHistory{TimeConstant: testMemory}
+	history := DemandHistory{TimeConstant: testTimeConstant}
 	start := time.Unix(0, 0)
 	if history.Rate(start) != 0 {
-		t.Error("load before any arrival")
+		t.Error("rate is not 0 before any arrival")
 	}
-	now := steadyArrivals(&history, start, 1000)
+	now := addSteadyArrivals(&history, start, 1000)
 	if got := history.Rate(now); math.Abs(got-testLoad) > 0.5 {
-		t.Errorf("steady load %v, want %v", got, testLoad)
+		t.Errorf("rate %v under steady load, want %v", got, testLoad)
 	}
 	if got := history.Rate(now.Add(2 * time.Second)); got < 19 {
-		t.Errorf("after a silence like others %v", got)
+		t.Errorf("rate %v after a silence of 2 s, want at least 19", got)
 	}
 	if got := history.Rate(now.Add(100 * time.Second)); got > 1 {
-		t.Errorf("long after the last arrival %v", got)
+		t.Errorf("rate %v 100 s after the last arrival, want at most 1", got)
 	}
 }
 
-// TestFirstArrivalIsNoFlood fails if a history that has just begun takes its first arrivals for a load that
-// has gone on for as long as it can remember, many times as high.
-func TestFirstArrivalIsNoFlood(t *testing.T) {
-	history := DemandHistory{TimeConstant: testMemory}
+// TestFirstArrivalIsNotSteadyLoad guards against a new history that treats its first arrivals as a load
+// that has lasted for all of TimeConstant, which would be many times as high.
+func TestFirstArrivalIsNotSteadyLoad(t *testing.T) {
+	history := DemandHistory{TimeConstant: testTimeConstant}
 	if !history.Empty() {
 		t.Error("not empty before any arrival")
 	}
-	now := steadyArrivals(&history, time.Unix(0, 0), 1)
+	now := addSteadyArrivals(&history, time.Unix(0, 0), 1)
 	if history.Empty() {
 		t.Error("empty after an arrival")
 	}
 	if got := history.Rate(now); got > 1 {
-		t.Errorf("load %v after a single arrival of %v", got, testLoad)
+		t.Errorf("rate %v after a single arrival of %v, want at most 1", got, testLoad)
 	}
 }
 
-// TestOneLongSilenceIsNotTheUsualPace fails if a single long interval between arrivals makes the history take
-// a second one for usual, and so keep machines for arrivals that have ceased.
+// TestOneLongSilenceIsNotTheUsualPace guards against a single long interval between arrivals after which
+// a second one counts as ordinary: the rate would stay high and keep machines for arrivals that have
+// ceased.
 func TestOneLongSilenceIsNotTheUsualPace(t *testing.T) {
 	const silence = 20 * time.Second
-	history := DemandHistory{TimeConstant: testMemory}
-	now := steadyArrivals(&history, time.Unix(0, 0), 100)
-	now = steadyArrivals(&history, now.Add(silence), 1)
+	history := DemandHistory{TimeConstant: testTimeConstant}
+	now := addSteadyArrivals(&history, time.Unix(0, 0), 100)
+	now = addSteadyArrivals(&history, now.Add(silence), 1)
 	if got := history.meanInterval; got > 5 {
 		t.Errorf("mean interval %v s after one of %v among intervals of 1 s", got, silence)
 	}
@@ -72,15 +75,16 @@
 	}
 }
 
-// TestOldWorkCountsLess fails if what a new leader reads of jobs that arrived before counts as if it came now.
+// TestOldWorkCountsLess guards against counting old work as if it had just arrived, when a new leader
+// reads jobs that arrived before its term.
 func TestOldWorkCountsLess(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fresh, aged := DemandHistory{TimeConstant: testMemory}, DemandHistory{TimeConstant: testMemory}
+	fresh, aged := DemandHistory{TimeConstant: testTimeConstant}, DemandHistory{TimeConstant: testTimeConstant}
 	fresh.Add(1000, now)
 	aged.Add(1000, now)
 	fresh.Add(1000, now)
-	aged.Add(1000, now.Add(-testMemory))
+	aged.Add(1000, now.Add(-testTimeConstant))
 	if freshRate, agedRate := fresh.Rate(now), aged.Rate(now); agedRate > 0.8*freshRate {
-		t.Errorf("work of %v ago counts %v, of now %v", testMemory, agedRate, freshRate)
+		t.Errorf("rate %v with work from %v ago, %v with current work", agedRate, testTimeConstant, freshRate)
 	}
 }
