--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -19,8 +19,8 @@
 
 const cloudAddr = "cloud:1"
 
-// manyRequests is a rate that no test but those of the rate comes near.
-const manyRequests = 1000.0
+// ampleRate is a rate that no test but those of the rate comes near.
+const ampleRate = 1000.0
 
 // withCloud runs a test in simulated time against a cloud that responds by the handler.
 func withCloud(t *testing.T, requestsPerSecond float64, handler func(*wire.Request) wire.Response, test func(context.Context, *cloud.Client)) {
@@ -57,7 +57,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			respond := func(*wire.Request) wire.Response { return test.response }
-			withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
+			withCloud(t, ampleRate, respond, func(ctx context.Context, client *cloud.Client) {
 				names, err := client.Rent(ctx, cloud.Rental{Name: "r-1", Count: 1})
 				if err == nil || len(names) > 0 {
 					t.Fatalf("%q, %v", names, err)
@@ -100,7 +100,7 @@
 		}
 		return success(map[string]any{"shelves": names})
 	}
-	withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
+	withCloud(t, ampleRate, respond, func(ctx context.Context, client *cloud.Client) {
 		rental := cloud.Rental{Name: "r-1", Type: "g8", Zone: "north", Count: 2}
 		start := time.Now()
 		if names, err := client.Rent(ctx, rental); !errors.Is(err, os.ErrDeadlineExceeded) || names != nil {
@@ -132,7 +132,7 @@
 		}
 		return success(page)
 	}
-	withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
+	withCloud(t, ampleRate, respond, func(ctx context.Context, client *cloud.Client) {
 		machines, err := client.List(ctx)
 		want := []cloud.Machine{
 			{Name: "vm-1", Status: cloud.MachineStarting},
@@ -154,7 +154,7 @@
 		}
 		return success(map[string]any{"shelves": []cloud.Machine{{Name: "vm-1"}}, "has_next": true})
 	}
-	withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
+	withCloud(t, ampleRate, respond, func(ctx context.Context, client *cloud.Client) {
 		machines, err := client.List(ctx)
 		var status cloud.StatusError
 		if !errors.As(err, &status) || status.Status != 503 || machines != nil {
@@ -210,8 +210,8 @@
 func TestListEvery(t *testing.T) {
 	client := cloud.New(nil, cloudAddr, 5)
 	for machines, want := range map[int]time.Duration{0: 500 * time.Millisecond, 499: 500 * time.Millisecond, 6000: 6500 * time.Millisecond} {
-		if every := client.ListInterval(machines); every != want {
-			t.Errorf("%d machines: %v, not %v", machines, every, want)
+		if interval := client.ListInterval(machines); interval != want {
+			t.Errorf("%d machines: %v, not %v", machines, interval, want)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		}
 		return wire.Response{Status: wire.StatusOK}
 	}
-	withCloud(t, manyRequests, respond, func(ctx context.Context, client *cloud.Client) {
+	withCloud(t, ampleRate, respond, func(ctx context.Context, client *cloud.Client) {
 		names := []string{"vm-2", "vm-1"}
 		if err := client.Return(ctx, names); err != nil || !slices.Equal(got.Machines, names) {
 			t.Errorf("%q, %v", got.Machines, err)
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -9,7 +9,7 @@
 )
 
 // write spends n changes, and reports whether the client's own rate left as many.
-func (s *service) write(n int, priority kvstore.Priority) bool {
+func (s *storeTest) write(n int, priority kvstore.Priority) bool {
 	s.t.Helper()
 	_, err := s.client.Txn(s.ctx, nil, puts(n, "job/1"), priority)
 	if err != nil && !errors.Is(err, kvstore.ErrRateLimited) {
@@ -21,7 +21,7 @@
 // Each priority leaves a part of a second's rate to the more urgent, and leases are never
 // held back.
 func TestBudgetByPriority(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		for _, test := range []struct {
 			priority kvstore.Priority
 			want     int
@@ -60,7 +60,7 @@
 
 // What is over the client's own rate is never sent, so it is refused for certain.
 func TestRateLimitedIsRefused(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		before := s.store.Requests()
 		_, err := s.client.Txn(s.ctx, nil, puts(101, "job/1"), kvstore.PriorityUser)
 		if !errors.Is(err, kvstore.ErrRateLimited) || !errors.Is(err, kvstore.ErrRefused) {
@@ -74,7 +74,7 @@
 
 // Requests have a rate of their own, whatever they ask for.
 func TestRequestBudget(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		s.client.SetRates(10, 100)
 		requests := map[string]func() error{
 			"get": func() error {
@@ -115,7 +115,7 @@
 }
 
 func TestSetRates(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		s.client.SetRates(100, 20)
 		time.Sleep(time.Second)
 		if got := s.client.WriteBudget(kvstore.PriorityScheduling); got != 15 {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -13,8 +13,8 @@
 
 const storeAddr = "10.0.0.1:2379"
 
-// service is a key-value store with one client of it, in simulated time.
-type service struct {
+// storeTest is a key-value store with one client of it, in simulated time.
+type storeTest struct {
 	t       *testing.T
 	ctx     context.Context // that everything runs under
 	network *fake.Network
@@ -23,7 +23,7 @@
 }
 
 // simulate runs a test whose client may use 100 requests and 100 changes a second.
-func simulate(t *testing.T, test func(s *service)) {
+func simulate(t *testing.T, test func(s *storeTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer func() {
@@ -33,7 +33,7 @@
 		network, store := fake.NewNetwork(ctx), fake.NewStore()
 		go network.Serve(ctx, storeAddr, store.Handle)
 		synctest.Wait()
-		test(&service{t, ctx, network, store, kvstore.New(network.Dial("client"), storeAddr, 100, 100)})
+		test(&storeTest{t, ctx, network, store, kvstore.New(network.Dial("client"), storeAddr, 100, 100)})
 	})
 }
 
@@ -50,7 +50,7 @@
 }
 
 // mustPut writes a key whatever it held, and returns the revision.
-func (s *service) mustPut(key string, value any) uint64 {
+func (s *storeTest) mustPut(key string, value any) uint64 {
 	s.t.Helper()
 	revision, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{put(key, value)}, kvstore.PriorityUser)
 	if err != nil {
@@ -60,4 +60,4 @@
 }
 
 // exists reports whether the store has the key, without a request of the client.
-func (s *service) exists(key string) bool { return len(s.store.Keys(key)) > 0 }
+func (s *storeTest) exists(key string) bool { return len(s.store.Keys(key)) > 0 }
--- a/internal/kvstore/lease_test.go
+++ b/internal/kvstore/lease_test.go
@@ -10,7 +10,7 @@
 )
 
 // grant returns a lease with a key on it.
-func (s *service) grant(ttl time.Duration, key string) uint64 {
+func (s *storeTest) grant(ttl time.Duration, key string) uint64 {
 	s.t.Helper()
 	lease, err := s.client.Grant(s.ctx, ttl)
 	if err != nil {
@@ -24,7 +24,7 @@
 }
 
 func TestLeaseExpiry(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		lease := s.grant(2*time.Second, "lead/holder")
 		for range 5 {
 			time.Sleep(time.Second)
@@ -47,7 +47,7 @@
 }
 
 func TestRevoke(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		lease := s.grant(time.Minute, "lead/holder")
 		if err := s.client.Revoke(s.ctx, lease); err != nil {
 			t.Fatal(err)
--- a/internal/kvstore/requests_test.go
+++ b/internal/kvstore/requests_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestCompareAndSwap(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		absent := []kvstore.Compare{{Key: "job/1"}}
 		created, err := s.client.Txn(s.ctx, absent, []kvstore.Mutation{put("job/1", "first")}, kvstore.PriorityUser)
 		if err != nil {
@@ -50,7 +50,7 @@
 }
 
 func TestList(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		var last uint64
 		for i := range 5 {
 			last = s.mustPut(fmt.Sprintf("job/%d", i), i)
@@ -80,20 +80,20 @@
 func TestRefusedOrUnknown(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		fault   func(s *service)
+		fault   func(s *storeTest)
 		want    error
 		applied bool
 	}{
-		{"the answer is lost", func(s *service) { s.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1}) }, kvstore.ErrUnknown, true},
-		{"the request is delayed", func(s *service) { s.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "job/"}) }, kvstore.ErrUnknown, false},
-		{"the answer comes too late", func(s *service) { s.store.SetFaults(fake.StoreFaults{Delay: 2 * time.Second}) }, kvstore.ErrUnknown, false},
-		{"the service is down", func(s *service) { s.store.SetFaults(fake.StoreFaults{Down: true}) }, kvstore.ErrRefused, false},
-		{"the service cannot be reached", func(s *service) {
+		{"the answer is lost", func(s *storeTest) { s.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1}) }, kvstore.ErrUnknown, true},
+		{"the request is delayed", func(s *storeTest) { s.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "job/"}) }, kvstore.ErrUnknown, false},
+		{"the answer comes too late", func(s *storeTest) { s.store.SetFaults(fake.StoreFaults{Delay: 2 * time.Second}) }, kvstore.ErrUnknown, false},
+		{"the service is down", func(s *storeTest) { s.store.SetFaults(fake.StoreFaults{Down: true}) }, kvstore.ErrRefused, false},
+		{"the service cannot be reached", func(s *storeTest) {
 			s.network.SetFaults(fake.NetworkFaults{Partition: func(string, string) bool { return true }})
 		}, kvstore.ErrRefused, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			simulate(t, func(s *service) {
+			simulate(t, func(s *storeTest) {
 				test.fault(s)
 				_, err := s.client.Txn(s.ctx, nil, puts(1, "job/1"), kvstore.PriorityUser)
 				if !errors.Is(err, test.want) {
@@ -111,7 +111,7 @@
 }
 
 func TestServedWithin(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		if s.client.ServedWithin(time.Hour) {
 			t.Error("served before the first request")
 		}
@@ -136,7 +136,7 @@
 
 // The service's limits show by transactions that it refuses.
 func TestOnRefused(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		var tooLarge, tooMany int
 		s.client.OnRefused = func(large bool) {
 			if large {
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWatch(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		start := s.mustPut("job/1", "first")
 		time.AfterFunc(time.Second, func() {
 			s.mustPut("machine/1", "of no interest")
@@ -36,7 +36,7 @@
 }
 
 func TestChanges(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		start := s.mustPut("job/1", 0)
 		if _, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{{Delete: "job/1"}}, kvstore.PriorityUser); err != nil {
 			t.Fatal(err)
@@ -65,7 +65,7 @@
 		{"more than a response may carry", 100, strings.Repeat("x", 50_000)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			simulate(t, func(s *service) {
+			simulate(t, func(s *storeTest) {
 				start := s.mustPut("job/1", 0)
 				for range test.writes {
 					time.Sleep(20 * time.Millisecond)
