--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -1,4 +1,4 @@
-// The share of the store's rates that one node uses, and who goes first when it runs short.
+// Rate budgets: the node's share of the store's rate limits, divided by priority.
 
 package kvstore
 
@@ -8,23 +8,24 @@
 	"golang.org/x/time/rate"
 )
 
-// Priority orders requests when the budget runs short.
+// Priority determines which requests are refused first when the rate budget runs short.
 type Priority int
 
-// Priorities, the most urgent first.
+// Priorities, in descending order.
 const (
-	PriorityLease      Priority = iota // leadership: never refused by the client, it overdraws the budget
-	PriorityUser                       // submissions, cancellations, polls: may use all of the budget
+	PriorityLease      Priority = iota // leadership, watches: never refused by the client, may overdraw
+	PriorityUser                       // submissions, cancellations, polls: may use the whole budget
 	PriorityScheduling                 // starts and ends of jobs
 	PriorityBackground                 // everything else
 )
 
-// reservedShare is the part of a second's rate that a priority leaves to the more urgent
-// ones. Without it starts alone use up the rate while a few job arrays run, and users are
-// refused at the node that leads (docs/records.md).
+// reservedShare is the fraction of one second's rate that each priority leaves to higher
+// priorities. Guards against refused user requests on the leader: starts alone use up the rate
+// while a few job arrays run (docs/records.md).
 var reservedShare = [...]float64{PriorityScheduling: 0.25, PriorityBackground: 0.5}
 
-// rateBudget is a token bucket that holds one second's worth. It is safe for concurrent use.
+// rateBudget is a token bucket that holds one second's rate, but at least one token. It is safe
+// for concurrent use.
 type rateBudget struct {
 	limiter *rate.Limiter
 }
@@ -33,7 +34,8 @@
 	return rateBudget{rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))}
 }
 
-// burst returns how many tokens the bucket of a rate holds. One request at least has to fit.
+// burst returns the capacity of the bucket for a rate, in tokens. It is at least one, so that a
+// rate below one a second still allows a request.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
 func (b rateBudget) setRate(perSecond float64) {
@@ -41,7 +43,8 @@
 	b.limiter.SetBurst(burst(perSecond))
 }
 
-// take takes n tokens and reports whether the priority may have them.
+// take takes n tokens and returns true, or takes none and returns false if fewer are available to
+// the priority. It always returns true for PriorityLease.
 func (b rateBudget) take(n int, priority Priority) bool {
 	now := time.Now()
 	if priority == PriorityLease {
@@ -51,7 +54,7 @@
 	return n <= b.available(priority) && b.limiter.AllowN(now, n)
 }
 
-// available returns how many tokens the priority may take now.
+// available returns the number of tokens that the priority may take now.
 func (b rateBudget) available(priority Priority) int {
 	reserved := reservedShare[priority] * float64(b.limiter.Burst())
 	return max(0, int(b.limiter.Tokens()-reserved))
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -8,7 +8,8 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// write spends n changes, and reports whether the client's own rate left as many.
+// write sends a transaction with n mutations, and reports whether the client's rate budget allowed
+// it. Any other error ends the test.
 func (s *storeTest) write(n int, priority kvstore.Priority) bool {
 	s.t.Helper()
 	_, err := s.client.Txn(s.ctx, nil, puts(n, "job/1"), priority)
@@ -18,8 +19,9 @@
 	return err == nil
 }
 
-// Each priority leaves a part of a second's rate to the more urgent, and leases are never
-// held back.
+// Each priority leaves a part of one second's rate to higher priorities. Without that, lower
+// priorities would use up the rate and user requests would be refused. PriorityLease is never
+// refused.
 func TestBudgetByPriority(t *testing.T) {
 	simulate(t, func(s *storeTest) {
 		for _, test := range []struct {
@@ -32,47 +34,49 @@
 			{kvstore.PriorityBackground, 50},
 		} {
 			if got := s.client.WriteBudget(test.priority); got != test.want {
-				t.Errorf("priority %d: %d changes, want %d", test.priority, got, test.want)
+				t.Errorf("priority %d: %d mutations available, want %d", test.priority, got, test.want)
 			}
 		}
-		// With 5 ms a request next to nothing comes back meanwhile.
+		// A request takes 5 ms, during which next to nothing is refilled.
 		if s.write(51, kvstore.PriorityBackground) || !s.write(50, kvstore.PriorityBackground) {
-			t.Error("background work may not use half of the rate")
+			t.Error("background work cannot use exactly half of the rate")
 		}
 		if s.write(2, kvstore.PriorityBackground) || !s.write(24, kvstore.PriorityScheduling) {
-			t.Error("scheduling may not use what background work leaves")
+			t.Error("scheduling cannot use exactly what background work leaves, up to three quarters of the rate")
 		}
 		if s.write(3, kvstore.PriorityScheduling) || !s.write(24, kvstore.PriorityUser) {
-			t.Error("users may not use what scheduling leaves")
+			t.Error("users cannot use exactly what scheduling leaves")
 		}
 		if s.write(10, kvstore.PriorityUser) || !s.write(10, kvstore.PriorityLease) {
-			t.Error("leases may not overdraw the rate")
+			t.Error("over the rate: want users refused and leases allowed")
 		}
 		if got := s.client.WriteBudget(kvstore.PriorityUser); got != 0 {
-			t.Errorf("%d changes left of an overdrawn rate", got)
+			t.Errorf("%d mutations available of an overdrawn rate, want 0", got)
 		}
 		time.Sleep(2 * time.Second)
 		if got := s.client.WriteBudget(kvstore.PriorityUser); got != 100 {
-			t.Errorf("%d changes after a pause, want one second's worth", got)
+			t.Errorf("%d mutations available after a pause, want 100, one second's rate", got)
 		}
 	})
 }
 
-// What is over the client's own rate is never sent, so it is refused for certain.
+// A request over the client's own rate is never sent. Its error wraps ErrRefused as well, which says
+// that the request was not executed.
 func TestRateLimitedIsRefused(t *testing.T) {
 	simulate(t, func(s *storeTest) {
 		before := s.store.Requests()
 		_, err := s.client.Txn(s.ctx, nil, puts(101, "job/1"), kvstore.PriorityUser)
 		if !errors.Is(err, kvstore.ErrRateLimited) || !errors.Is(err, kvstore.ErrRefused) {
-			t.Errorf("%v, want ErrRateLimited, which is a refusal", err)
+			t.Errorf("transaction over the rate: error %v, want ErrRateLimited, wrapping ErrRefused", err)
 		}
 		if sent := s.store.Requests() - before; sent != 0 {
-			t.Errorf("%d requests sent", sent)
+			t.Errorf("%d requests sent, want 0", sent)
 		}
 	})
 }
 
-// Requests have a rate of their own, whatever they ask for.
+// Requests of every kind count against the rate of requests, apart from that of mutations. Lease
+// requests are exempt.
 func TestRequestBudget(t *testing.T) {
 	simulate(t, func(s *storeTest) {
 		s.client.SetRates(10, 100)
@@ -96,19 +100,19 @@
 		}
 		s.mustPut("job/1", 0)
 		for name, request := range requests {
-			time.Sleep(2 * time.Second) // one second's worth is there again
+			time.Sleep(2 * time.Second) // refills the bucket
 			done := 0
 			for request() == nil {
 				done++
 			}
 			if done < 10 || done > 11 {
-				t.Errorf("%s: %d requests at 10 a second", name, done)
+				t.Errorf("%s: %d requests allowed at 10 a second, want 10 or 11", name, done)
 			}
 			if err := request(); !errors.Is(err, kvstore.ErrRateLimited) {
-				t.Errorf("%s: %v, want ErrRateLimited", name, err)
+				t.Errorf("%s over the rate: error %v, want ErrRateLimited", name, err)
 			}
 			if _, err := s.client.Grant(s.ctx, time.Second); err != nil {
-				t.Errorf("a lease is held back: %v", err)
+				t.Errorf("grant of a lease over the rate: %v", err)
 			}
 		}
 	})
@@ -119,7 +123,7 @@
 		s.client.SetRates(100, 20)
 		time.Sleep(time.Second)
 		if got := s.client.WriteBudget(kvstore.PriorityScheduling); got != 15 {
-			t.Errorf("%d changes, want three quarters of 20", got)
+			t.Errorf("%d mutations available, want 15, three quarters of 20", got)
 		}
 	})
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -13,22 +13,23 @@
 
 const storeAddr = "10.0.0.1:2379"
 
-// storeTest is a key-value store with one client of it, in simulated time.
+// storeTest is the environment of one test: a fake key-value store and one client of it, in
+// simulated time.
 type storeTest struct {
 	t       *testing.T
-	ctx     context.Context // that everything runs under
+	ctx     context.Context // cancelled at the end of the test
 	network *fake.Network
 	store   *fake.Store
 	client  *kvstore.Client
 }
 
-// simulate runs a test whose client may use 100 requests and 100 changes a second.
+// simulate runs a test in simulated time. Its client may use 100 requests and 100 mutations a second.
 func simulate(t *testing.T, test func(s *storeTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer func() {
 			stop()
-			time.Sleep(time.Minute) // for requests that are still on their way
+			time.Sleep(time.Minute) // lets requests in flight end
 		}()
 		network, store := fake.NewNetwork(ctx), fake.NewStore()
 		go network.Serve(ctx, storeAddr, store.Handle)
@@ -41,6 +42,7 @@
 	return kvstore.Mutation{Put: key, Value: wire.Marshal(value)}
 }
 
+// puts returns n mutations that write the same key.
 func puts(n int, key string) []kvstore.Mutation {
 	var all []kvstore.Mutation
 	for range n {
@@ -49,7 +51,7 @@
 	return all
 }
 
-// mustPut writes a key whatever it held, and returns the revision.
+// mustPut writes a key without any compare, and returns the revision.
 func (s *storeTest) mustPut(key string, value any) uint64 {
 	s.t.Helper()
 	revision, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{put(key, value)}, kvstore.PriorityUser)
@@ -59,5 +61,5 @@
 	return revision
 }
 
-// exists reports whether the store has the key, without a request of the client.
+// exists reports whether the store has a key with this prefix, without a request of the client.
 func (s *storeTest) exists(key string) bool { return len(s.store.Keys(key)) > 0 }
--- a/internal/kvstore/doc.go
+++ b/internal/kvstore/doc.go
@@ -2,9 +2,10 @@
 // records of the service: keys with revisions, compare-and-swap transactions, leases and
 // watches.
 //
-// Every node has one Client, whose requests stay within the node's share of the store's
-// limits. What is over that share is refused at once and never waits.
+// Every node has one Client, which keeps the node's requests within its share of the store's
+// rate limits. A request over that share fails at once with ErrRateLimited; it is never
+// queued. Requests of PriorityLease are exempt.
 //
-// An error says what has become of a request as far as that can be known: see ErrRefused
-// and ErrUnknown. docs/records.md lists the keys and the budget.
+// An error tells whether the request was executed, as far as the client can determine it: see
+// ErrRefused and ErrUnknown. docs/records.md lists the keys and the budget.
 package kvstore
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -9,46 +9,51 @@
 	"tulipshelf/internal/wire"
 )
 
-// Errors that callers distinguish, by errors.Is. After ErrUnknown, as after any error that is
-// not one of these, a transaction may have been applied, or may yet be: read the keys to
-// find out.
+// Errors that callers distinguish with errors.Is. After ErrUnknown, and after any error that is
+// neither listed here nor a *ConflictError, a transaction may have been applied or may still be
+// applied later. Reading the keys shows which.
 var (
-	// ErrRefused says that the request was not executed and never will be: nothing was
-	// sent, or the store does not serve at present (503) or is asked too much (429).
+	// ErrRefused is returned for a request that was not executed and never will be: nothing
+	// was sent, or the store responded that it is unavailable (status 503) or that the request
+	// exceeds its rate limits (status 429).
 	ErrRefused = errors.New("kvstore: not executed")
 
-	// ErrRateLimited is an ErrRefused by this client: the request is over the node's own
-	// rate. Nothing was sent.
+	// ErrRateLimited is returned for a request that exceeds the client's own rate budget.
+	// Nothing was sent. It wraps ErrRefused.
 	ErrRateLimited = fmt.Errorf("%w: over this node's own rate", ErrRefused)
 
-	// ErrUnknown says that no answer came, or none that can be understood.
+	// ErrUnknown is returned for a request that may have been executed or may still be: no
+	// response was received, or its status or body could not be interpreted.
 	ErrUnknown = errors.New("kvstore: outcome unknown")
 
-	// ErrRejected says that the store does not take the request: it is malformed, or larger
-	// than the store's limits allow.
+	// ErrRejected is returned for a request that the store rejected with status 400: it is
+	// malformed or exceeds the store's size limits.
 	ErrRejected = errors.New("kvstore: request rejected")
 
-	// ErrNotFound says that the key or the lease does not exist (any more).
+	// ErrNotFound is returned by Get for a key that does not exist, and by Extend and Revoke for
+	// a lease that has expired or was revoked.
 	ErrNotFound = errors.New("kvstore: not found")
 
-	// ErrNoSuchLease says that a transaction was not applied, as a lease that it names has
-	// expired or was revoked.
+	// ErrNoSuchLease is returned for a transaction that was not applied because a lease in one
+	// of its mutations has expired or was revoked.
 	ErrNoSuchLease = errors.New("kvstore: no such lease")
 
-	// ErrCompacted says that changes since the revision can no longer be had one by one:
-	// the keys have to be read again, by pages.
+	// ErrCompacted is returned by Watch and Changes if the store cannot return the changes
+	// since a revision: it no longer keeps them, or they exceed one response. The caller has
+	// to list the keys again, page by page.
 	ErrCompacted = errors.New("kvstore: revision too old")
 )
 
 var (
-	errConflict  = errors.New("kvstore: conflict") // callers get a ConflictError
+	errConflict  = errors.New("kvstore: conflict") // Txn returns a ConflictError instead
 	errThrottled = fmt.Errorf("%w: status %d", ErrRefused, wire.StatusTooManyRequests)
 )
 
-// ConflictError says that a transaction was not applied, as compares of it failed.
+// ConflictError is returned for a transaction that was not applied because some of its compares
+// failed.
 type ConflictError struct {
-	Keys []string // of the compares that failed
+	Keys []string // keys of the compares that failed
 }
 
-// Error implements error.
+// Error returns the keys of the compares that failed.
 func (e *ConflictError) Error() string { return fmt.Sprintf("kvstore: conflict on %v", e.Keys) }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -1,4 +1,4 @@
-// Leases. Their requests have PriorityLease, as leadership hangs on them.
+// Leases. Their requests have PriorityLease, as leadership depends on them.
 
 package kvstore
 
@@ -10,8 +10,9 @@
 	"tulipshelf/internal/wire"
 )
 
-// Grant opens a lease that expires after ttl, in whole milliseconds, unless it is extended.
-// The keys that are put on it end with it.
+// Grant creates a lease that expires after ttl, truncated to whole milliseconds, unless it is
+// extended. It returns the lease's ID. The store deletes the keys attached to the lease
+// (Mutation.Lease) when the lease ends.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	c.requestBudget.take(1, PriorityLease)
 	body := wire.Marshal(grantRequest{TTLMS: ttl.Milliseconds()})
@@ -20,15 +21,15 @@
 	return out.Lease, err
 }
 
-// Extend gives a lease its full time again. The error is ErrNotFound if it has expired or was
-// revoked.
+// Extend renews a lease for its full time-to-live. The error is ErrNotFound if the lease has
+// expired or was revoked.
 func (c *Client) Extend(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
 	return c.do(ctx, request{method: wire.MethodPost, target: leasePath(lease) + "/extend"}, nil)
 }
 
-// Revoke ends a lease at once, with its keys. The error is ErrNotFound if it has ended
-// already.
+// Revoke ends a lease at once and deletes the keys attached to it. The error is ErrNotFound if the
+// lease has already ended.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	c.requestBudget.take(1, PriorityLease)
 	return c.do(ctx, request{method: wire.MethodDelete, target: leasePath(lease)}, nil)
--- a/internal/kvstore/lease_test.go
+++ b/internal/kvstore/lease_test.go
@@ -9,7 +9,7 @@
 	"tulipshelf/internal/wire"
 )
 
-// grant returns a lease with a key on it.
+// grant returns a lease with a key attached to it.
 func (s *storeTest) grant(ttl time.Duration, key string) uint64 {
 	s.t.Helper()
 	lease, err := s.client.Grant(s.ctx, ttl)
@@ -34,14 +34,14 @@
 		}
 		time.Sleep(1900 * time.Millisecond)
 		if !s.exists("lead/holder") {
-			t.Error("expired before its time")
+			t.Error("the key was deleted 1.9 s after the last extension of a 2 s lease")
 		}
 		time.Sleep(200 * time.Millisecond)
 		if s.exists("lead/holder") {
-			t.Error("the key has outlasted its lease")
+			t.Error("the key still exists 2.1 s after the last extension of a 2 s lease")
 		}
 		if err := s.client.Extend(s.ctx, lease); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("extension of an expired lease: %v, want ErrNotFound", err)
+			t.Errorf("extension of an expired lease: error %v, want ErrNotFound", err)
 		}
 	})
 }
@@ -53,10 +53,10 @@
 			t.Fatal(err)
 		}
 		if s.exists("lead/holder") {
-			t.Error("the key has outlasted its lease")
+			t.Error("the key still exists after its lease was revoked")
 		}
 		if err := s.client.Revoke(s.ctx, lease); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("revoked twice: %v, want ErrNotFound", err)
+			t.Errorf("second revocation: error %v, want ErrNotFound", err)
 		}
 	})
 }
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -10,7 +10,7 @@
 	"tulipshelf/internal/wire"
 )
 
-// Get reads one key. The error is ErrNotFound if it does not exist.
+// Get reads one key. The error is ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string, priority Priority) (Item, error) {
 	if !c.requestBudget.take(1, priority) {
 		return Item{}, ErrRateLimited
@@ -22,8 +22,8 @@
 	return item, nil
 }
 
-// List reads up to limit keys that begin with prefix and come after the key named after; ""
-// begins with the first.
+// List reads up to limit keys that begin with prefix and sort after the key given as after. If
+// after is "", it starts at the first key.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (Page, error) {
 	if !c.requestBudget.take(1, priority) {
 		return Page{}, ErrRateLimited
@@ -39,9 +39,10 @@
 	return page, nil
 }
 
-// Txn applies all mutations if all compares hold, and none else. It returns the revision that
-// the keys have by it. If compares fail the error is a *ConflictError. After ErrUnknown the
-// transaction may be applied yet, unless a key that it compares has changed.
+// Txn applies all mutations if all compares hold, and otherwise none. It returns the revision of
+// the transaction, which becomes the revision of the keys that it put. If compares fail the error
+// is a *ConflictError. After ErrUnknown the transaction may have been applied. If not, it may
+// still be applied later, unless a key that it compares has changed.
 func (c *Client) Txn(ctx context.Context, compares []Compare, mutations []Mutation, priority Priority) (uint64, error) {
 	if !c.requestBudget.take(1, priority) || !c.writeBudget.take(len(mutations), priority) {
 		return 0, ErrRateLimited
@@ -62,6 +63,7 @@
 	return 0, err
 }
 
+// reportRefusal calls OnRefused, unless that is nil.
 func (c *Client) reportRefusal(tooLarge bool) {
 	if c.OnRefused != nil {
 		c.OnRefused(tooLarge)
--- a/internal/kvstore/requests_test.go
+++ b/internal/kvstore/requests_test.go
@@ -23,17 +23,17 @@
 		item, err := s.client.Get(s.ctx, "job/1", kvstore.PriorityUser)
 		var value string
 		if err != nil || wire.UnmarshalValue(item.Value, &value) != nil {
-			t.Fatalf("get: %+v, %v", item, err)
+			t.Fatalf("get: item %+v, error %v", item, err)
 		}
 		if item.Key != "job/1" || value != "first" || item.Revision != created {
-			t.Errorf("got %q = %q of revision %d, want job/1 = first of revision %d", item.Key, value, item.Revision, created)
+			t.Errorf("got %q = %q at revision %d, want job/1 = first at revision %d", item.Key, value, item.Revision, created)
 		}
 
 		var conflict *kvstore.ConflictError
 		both := []kvstore.Compare{{Key: "job/1"}, {Key: "job/2"}}
 		_, err = s.client.Txn(s.ctx, both, []kvstore.Mutation{put("job/2", "second")}, kvstore.PriorityUser)
 		if !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"job/1"}) {
-			t.Errorf("create of a key that exists: %v, want a conflict on job/1 alone", err)
+			t.Errorf("create of a key that exists: error %v, want a conflict on job/1 alone", err)
 		}
 		if s.exists("job/2") {
 			t.Error("a transaction whose compare failed was applied in part")
@@ -44,7 +44,7 @@
 			t.Error(err)
 		}
 		if _, err := s.client.Get(s.ctx, "job/1", kvstore.PriorityUser); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("get of a deleted key: %v, want ErrNotFound", err)
+			t.Errorf("get of a deleted key: error %v, want ErrNotFound", err)
 		}
 	})
 }
@@ -63,7 +63,7 @@
 				t.Fatal(err)
 			}
 			if len(page.Items) > 2 || page.Revision <= last {
-				t.Fatalf("a page of %d keys at revision %d", len(page.Items), page.Revision)
+				t.Fatalf("page of %d keys at revision %d, want at most 2 after revision %d", len(page.Items), page.Revision, last)
 			}
 			for _, item := range page.Items {
 				keys = append(keys, item.Key)
@@ -76,7 +76,8 @@
 	})
 }
 
-// A request that was refused has no effect and never will; one that went unanswered may.
+// A transaction that fails with ErrRefused must not have been applied. One that was sent and got no
+// response may have been, so it must fail with ErrUnknown and not with ErrRefused.
 func TestRefusedOrUnknown(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -97,10 +98,10 @@
 				test.fault(s)
 				_, err := s.client.Txn(s.ctx, nil, puts(1, "job/1"), kvstore.PriorityUser)
 				if !errors.Is(err, test.want) {
-					t.Errorf("%v, want %v", err, test.want)
+					t.Errorf("error %v, want %v", err, test.want)
 				}
 				if errors.Is(err, kvstore.ErrRefused) && errors.Is(err, kvstore.ErrUnknown) {
-					t.Errorf("both refused and unknown: %v", err)
+					t.Errorf("error is both ErrRefused and ErrUnknown: %v", err)
 				}
 				if s.exists("job/1") != test.applied {
 					t.Errorf("applied: %v, want %v", !test.applied, test.applied)
@@ -119,14 +120,14 @@
 		time.Sleep(3 * time.Second)
 		s.store.SetFaults(fake.StoreFaults{Down: true})
 		if _, err := s.client.Get(s.ctx, "job/1", kvstore.PriorityUser); !errors.Is(err, kvstore.ErrRefused) {
-			t.Errorf("get in an outage: %v, want ErrRefused", err)
+			t.Errorf("get in an outage: error %v, want ErrRefused", err)
 		}
 		if s.client.ServedWithin(2*time.Second) || !s.client.ServedWithin(4*time.Second) {
 			t.Error("a request that was refused counts as served")
 		}
 		s.store.SetFaults(fake.StoreFaults{})
 		if _, err := s.client.Get(s.ctx, "job/2", kvstore.PriorityUser); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("get of an absent key: %v, want ErrNotFound", err)
+			t.Errorf("get of an absent key: error %v, want ErrNotFound", err)
 		}
 		if !s.client.ServedWithin(time.Second) {
 			t.Error("a request that was carried out does not count as served")
@@ -134,7 +135,8 @@
 	})
 }
 
-// The service's limits show by transactions that it refuses.
+// OnRefused tells a transaction over the size limits from one over the rate limits. It is not called for
+// an ended lease or an outage, which say nothing about the limits.
 func TestOnRefused(t *testing.T) {
 	simulate(t, func(s *storeTest) {
 		var tooLarge, tooMany int
@@ -148,26 +150,26 @@
 		want := func(what string, wantLarge, wantMany int) {
 			t.Helper()
 			if tooLarge != wantLarge || tooMany != wantMany {
-				t.Errorf("%s: %d too large and %d too many, want %d and %d", what, tooLarge, tooMany, wantLarge, wantMany)
+				t.Errorf("after %s: OnRefused called %d times for size and %d times for rate, want %d and %d", what, tooLarge, tooMany, wantLarge, wantMany)
 			}
 		}
 		s.store.SetLimits(fake.StoreLimits{ValueBytes: 100, TxnOps: 10, WriteRPS: 2})
 		if _, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{put("job/1", strings.Repeat("x", 200))}, kvstore.PriorityUser); err == nil {
-			t.Error("a value over the limit was written")
+			t.Error("a value over the size limit was written")
 		}
 		want("a large value", 1, 0)
 		if _, err := s.client.Txn(s.ctx, nil, puts(3, "job/1"), kvstore.PriorityUser); !errors.Is(err, kvstore.ErrRefused) {
-			t.Errorf("a change over the rate: %v, want ErrRefused", err)
+			t.Errorf("transaction over the write rate: error %v, want ErrRefused", err)
 		}
-		want("three changes at two a second", 1, 1)
+		want("three mutations at two a second", 1, 1)
 		onExpired := kvstore.Mutation{Put: "job/1", Value: wire.Marshal(0), Lease: 99}
 		if _, err := s.client.Txn(s.ctx, nil, []kvstore.Mutation{onExpired}, kvstore.PriorityUser); !errors.Is(err, kvstore.ErrNoSuchLease) {
-			t.Errorf("a put on no lease: %v, want ErrNoSuchLease", err)
+			t.Errorf("put on a lease that does not exist: error %v, want ErrNoSuchLease", err)
 		}
-		want("no such lease", 1, 1)
+		want("a put on a lease that does not exist", 1, 1)
 		s.store.SetFaults(fake.StoreFaults{Down: true})
 		if _, err := s.client.Txn(s.ctx, nil, puts(1, "job/1"), kvstore.PriorityUser); !errors.Is(err, kvstore.ErrRefused) {
-			t.Errorf("a change in an outage: %v, want ErrRefused", err)
+			t.Errorf("transaction in an outage: error %v, want ErrRefused", err)
 		}
 		want("an outage", 1, 1)
 	})
--- a/internal/kvstore/response.go
+++ b/internal/kvstore/response.go
@@ -1,4 +1,4 @@
-// Responses: their statuses, and the errors that they stand for.
+// Responses: the errors that their statuses stand for, and their bodies.
 
 package kvstore
 
@@ -8,13 +8,14 @@
 	"tulipshelf/internal/wire"
 )
 
-// executed reports whether the store has carried a request out, also where the answer is an error.
+// executed reports whether a response with the status means that the store executed the request. A
+// request that was executed and failed counts.
 func executed(status int) bool {
 	return status != wire.StatusTooManyRequests && status != wire.StatusServiceUnavailable
 }
 
-// decodeResponse decodes the answer to a request into out, unless out is nil, and returns the
-// error that the answer stands for.
+// decodeResponse decodes the body of a response into out, unless out is nil, and returns the error
+// that the response's status stands for. After a conflict out is decoded as well.
 func decodeResponse(req request, resp wire.Response, out any) error {
 	switch resp.Status {
 	case wire.StatusOK:
@@ -40,8 +41,8 @@
 	return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
 }
 
-// decodeBody decodes a body into out, unless either is missing. A body that cannot be decoded
-// leaves the outcome unknown.
+// decodeBody decodes a body into out, unless out is nil or the body is empty. The error wraps
+// ErrUnknown.
 func decodeBody(body []byte, out any) error {
 	if out == nil || len(body) == 0 {
 		return nil
@@ -52,10 +53,10 @@
 	return nil
 }
 
-// noSuchLease is the store's text for a transaction with a lease that has ended.
+// noSuchLease is the store's error text for a transaction with a lease that has ended.
 const noSuchLease = "no such lease"
 
-// badRequest returns the error of an answer with status 400.
+// badRequest returns the error for a response with status 400.
 func badRequest(req request, body []byte) error {
 	var problem wire.Problem
 	if wire.Unmarshal(body, &problem) == nil && problem.Error == noSuchLease {
--- a/internal/kvstore/types.go
+++ b/internal/kvstore/types.go
@@ -1,4 +1,4 @@
-// The store's values, as requests and responses carry them.
+// The messages of the store, and their parts.
 
 package kvstore
 
@@ -8,38 +8,38 @@
 type Item struct {
 	Key      string   `cbor:"path"`
 	Value    wire.Raw `cbor:"value"`
-	Revision uint64   `cbor:"stamp"` // of the transaction that wrote the key last
+	Revision uint64   `cbor:"stamp"` // revision of the last transaction that wrote the key
 }
 
-// Page is a part of the keys of a range, in their order, as of one revision.
+// Page is one page of a list of keys, in key order, as of one revision of the store.
 type Page struct {
 	Items    []Item `cbor:"items"`
-	More     bool   `cbor:"has_next"` // there are keys behind the last item
-	Revision uint64 `cbor:"epoch"`    // of the store when it was read: Watch and Changes go on from here
+	More     bool   `cbor:"has_next"` // true if keys follow the last item
+	Revision uint64 `cbor:"epoch"`    // store revision at the read; Watch and Changes continue from it
 }
 
-// Compare is a condition of a transaction: that a key has the revision, or, where that is 0,
-// that it does not exist.
+// Compare is a condition of a transaction: the key has the given revision, or, if that is 0, does
+// not exist.
 type Compare struct {
 	Key      string `cbor:"path"`
 	Revision uint64 `cbor:"stamp"`
 }
 
-// Mutation is a change that a transaction makes: it puts a key, with a value and perhaps a
-// lease, or deletes one.
+// Mutation is one change that a transaction makes: it puts a key, optionally attached to a lease,
+// or deletes a key.
 type Mutation struct {
-	Put    string   `cbor:"put,omitempty"`   // the key to write; "": this is a delete
-	Value  wire.Raw `cbor:"value,omitempty"` // for a put
-	Lease  uint64   `cbor:"hold,omitempty"`  // with which a key that is put ends; 0: none
-	Delete string   `cbor:"drop,omitempty"`  // the key to delete; "": this is a put
+	Put    string   `cbor:"put,omitempty"`   // key to write; "": this is a delete
+	Value  wire.Raw `cbor:"value,omitempty"` // value of a put
+	Lease  uint64   `cbor:"hold,omitempty"`  // lease that the put key is attached to; 0: none
+	Delete string   `cbor:"drop,omitempty"`  // key to delete; "": this is a put
 }
 
-// Event is one change of a key, as a watch reports it.
+// Event is one change of a key, as Watch and Changes return it.
 type Event struct {
-	Put      string   `cbor:"put"`   // the key that was written; "": this is a delete
-	Value    wire.Raw `cbor:"value"` // of a put
-	Revision uint64   `cbor:"stamp"`
-	Delete   string   `cbor:"drop"` // the key that was deleted, or ended with its lease; "": this is a put
+	Put      string   `cbor:"put"`   // key that was written; "": this is a delete
+	Value    wire.Raw `cbor:"value"` // value of a put
+	Revision uint64   `cbor:"stamp"` // revision of the change
+	Delete   string   `cbor:"drop"`  // key that was deleted, also with its lease; "": this is a put
 }
 
 // Bodies of requests and responses.
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -1,4 +1,4 @@
-// Watches: what has changed since a revision.
+// Watches: the changes of keys since a revision.
 
 package kvstore
 
@@ -12,13 +12,13 @@
 	"tulipshelf/internal/wire"
 )
 
-// watchGrace is how much longer than its wait a watch may take to be answered.
+// watchGrace is the time allowed for the response to a watch, beyond the wait that it requests.
 const watchGrace = 2 * time.Second
 
-// Watch waits up to wait for changes of keys that begin with prefix, after the given
-// revision. It returns them, none if none came, with the revision that they reach to, from
-// which the next watch goes on. It never waits for the budget, as the election's watch
-// hangs on it. The error is ErrCompacted if the changes cannot be had any more.
+// Watch waits up to wait for changes of keys that begin with prefix, after the given revision. It
+// returns the changes, or none if there were none, and the revision that they reach, from which
+// the next watch continues. The rate budget never refuses it, as leader election depends on a
+// watch. The error is ErrCompacted if the store cannot return the changes; list the keys again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	c.requestBudget.take(1, PriorityLease)
 	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
@@ -27,10 +27,9 @@
 	return out.Events, out.Revision, err
 }
 
-// Changes returns at once the changes of keys that begin with prefix after the given
-// revision, with the revision that they reach to. It is a linearizable read, as that
-// revision is the store's own. The error is ErrCompacted if the changes cannot be had any
-// more.
+// Changes returns at once the changes of keys that begin with prefix after the given revision, and
+// the revision that they reach. That is the store's own revision, so the read is linearizable. The
+// error is ErrCompacted if the store cannot return the changes; list the keys again.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error) {
 	if !c.requestBudget.take(1, PriorityUser) {
 		return nil, 0, ErrRateLimited
@@ -39,9 +38,10 @@
 	return out.Events, out.Revision, err
 }
 
-// changes asks for changes and waits up to wait for the first. A response that is too large
-// counts as ErrCompacted: a node that has fallen behind would ask for the same changes over
-// and over, until the store no longer keeps them (TestChangesTooOldOrTooMany).
+// changes requests changes and waits up to wait for the first. The error for a response over
+// maxResponseBytes wraps ErrCompacted. Guards against useless retries: a node that has fallen
+// behind would request the same changes again and again, until the store no longer keeps them
+// (TestChangesTooOldOrTooMany).
 func (c *Client) changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (changesResponse, error) {
 	target := "/changes?starts=" + prefix +
 		"&after=" + strconv.FormatUint(after, 10) +
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -19,18 +19,18 @@
 		began := time.Now()
 		events, reached, err := s.client.Watch(s.ctx, "job/", start, 5*time.Second)
 		if err != nil || len(events) != 1 || events[0].Put != "job/1" || events[0].Revision <= start || reached < events[0].Revision {
-			t.Fatalf("events %+v up to %d, %v", events, reached, err)
+			t.Fatalf("watch: events %+v up to revision %d, error %v", events, reached, err)
 		}
 		if waited := time.Since(began); waited < time.Second || waited > 2*time.Second {
-			t.Errorf("answered after %v, want when the change came", waited)
+			t.Errorf("response after %v, want 1 s to 2 s: when the change was made", waited)
 		}
 		began = time.Now()
 		events, again, err := s.client.Watch(s.ctx, "job/", reached, 5*time.Second)
 		if err != nil || len(events) != 0 || again != reached {
-			t.Errorf("without changes: events %+v up to %d, %v", events, again, err)
+			t.Errorf("watch without changes: events %+v up to revision %d, error %v", events, again, err)
 		}
 		if waited := time.Since(began); waited < 5*time.Second {
-			t.Errorf("answered without a change after %v", waited)
+			t.Errorf("response without a change after %v, want at least 5 s", waited)
 		}
 	})
 }
@@ -45,16 +45,17 @@
 		began := time.Now()
 		events, reached, err := s.client.Changes(s.ctx, "job/", start)
 		if err != nil || len(events) != 2 || events[0].Delete != "job/1" || events[1].Put != "job/2" || reached != last {
-			t.Errorf("events %+v up to %d, %v", events, reached, err)
+			t.Errorf("changes: events %+v up to revision %d, error %v", events, reached, err)
 		}
 		if waited := time.Since(began); waited > 100*time.Millisecond {
-			t.Errorf("answered after %v, want at once", waited)
+			t.Errorf("response after %v, want at most 100 ms", waited)
 		}
 	})
 }
 
-// A node that has fallen behind has to read the keys anew, whether the service has dropped
-// the changes or has more of them than one response may carry.
+// A node that has fallen behind has to list the keys again, both when the store has dropped the changes
+// and when they exceed one response. Without ErrCompacted it would request the same changes again
+// and again.
 func TestChangesTooOldOrTooMany(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -72,17 +73,17 @@
 					s.mustPut("job/1", test.value)
 				}
 				if _, _, err := s.client.Changes(s.ctx, "job/", start); !errors.Is(err, kvstore.ErrCompacted) {
-					t.Errorf("changes: %v, want ErrCompacted", err)
+					t.Errorf("changes: error %v, want ErrCompacted", err)
 				}
 				if _, _, err := s.client.Watch(s.ctx, "job/", start, time.Second); !errors.Is(err, kvstore.ErrCompacted) {
-					t.Errorf("watch: %v, want ErrCompacted", err)
+					t.Errorf("watch: error %v, want ErrCompacted", err)
 				}
 				page, err := s.client.List(s.ctx, "job/", "", 10, kvstore.PriorityUser)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if events, _, err := s.client.Changes(s.ctx, "job/", page.Revision); err != nil || len(events) != 0 {
-					t.Errorf("after the keys were read: events %+v, %v", events, err)
+					t.Errorf("changes after the list: events %+v, error %v, want neither", events, err)
 				}
 			})
 		})
