--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that rents machines. It keeps within this node's share
-// of the request rate that the cloud allows.
+// Package cloud is the client of the cloud that rents out machines. It keeps requests within this
+// node's share of the request rate that the cloud allows.
 package cloud
 
 import (
@@ -15,25 +15,28 @@
 )
 
 const (
-	// requestTimeout bounds one request once the rate lets it go. Carrying out a return may take
-	// longer than an ordinary response.
+	// requestTimeout bounds one request, not counting its wait for the rate limiter. It allows for
+	// returns, which may take the cloud longer than other requests.
 	requestTimeout = 4 * time.Second
 
-	// maxResponseBytes is above any page of the list and any catalog.
+	// maxResponseBytes is the maximum size of a response body, in bytes. It is above any page of the
+	// list and any catalog.
 	maxResponseBytes = 4 << 20
 
-	// burstSeconds is for how long unused rate accumulates: the cloud allows as much at once.
+	// burstSeconds is the time over which unused rate accumulates, in seconds. The cloud allows a
+	// burst of the same size.
 	burstSeconds = 2
 
-	// listShare is the part of the rate that may go into lists.
+	// listShare is the fraction of the request rate that lists may use.
 	listShare = 0.4
 )
 
-// ErrNoCapacity says that no machine of the type, zone and kind that were asked for is available.
-// The rental has had no effect.
+// ErrNoCapacity is returned for a rental if no machine of the requested type, zone and kind (spot
+// instance or on demand) is available. The rental has had no effect.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// StatusError is a response with a status that is neither success nor one of the errors above.
+// StatusError is returned for a response whose status is not 200, except for the refusal that
+// ErrNoCapacity stands for.
 type StatusError struct {
 	Method string
 	Target string // path and query
@@ -45,18 +48,18 @@
 	return fmt.Sprintf("cloud: %s %s: status %d", e.Method, e.Target, e.Status)
 }
 
-// Client makes requests to the cloud. All methods may be called from any goroutine; those with a
-// context wait until the rate allows the request, and then for its response, at most for some
-// seconds. Their errors wrap what the rate limiter, the connection (see wire.Client.Do) or the codec
-// reported, or are a StatusError or ErrNoCapacity.
+// Client makes requests to the cloud. It is safe for concurrent use. Methods with a context wait, for
+// each of their requests, until the rate allows it, and then up to 4 s for the response. Their errors
+// are ErrNoCapacity or a StatusError, or wrap the error of the rate limiter, of wire.Client.Do or of
+// the codec.
 type Client struct {
 	http    *wire.Client
 	limiter *rate.Limiter
 }
 
 // New returns a client of the cloud at addr that makes at most the given number of requests a
-// second, and after a quiet time as many at once as two seconds are worth. A nil dial is that of
-// wire.Client.
+// second. After an idle period it sends a burst of up to two seconds' requests, and at least one.
+// A nil dial is wire.Client's default.
 func New(dial wire.DialFunc, addr string, requestsPerSecond float64) *Client {
 	burst := max(1, int(burstSeconds*requestsPerSecond))
 	return &Client{
@@ -65,11 +68,12 @@
 	}
 }
 
-// Ready returns how many requests would be sent without waiting for the rate, but at least one.
+// Ready returns the number of requests that the rate allows without a wait, but at least one.
 func (c *Client) Ready() int { return max(1, int(c.limiter.Tokens())) }
 
-// ListInterval returns how far apart lists of so many machines have to be for most of the rate to be
-// left to rentals and returns: a list takes a request for each page.
+// ListInterval returns the interval at which lists of the given number of machines use listShare of
+// the request rate, which leaves most of it to rentals and returns. A list takes one request for
+// each page.
 func (c *Client) ListInterval(machines int) time.Duration {
 	pages := machines/maxPageSize + 1
 	pagesPerSecond := listShare * float64(c.limiter.Limit())
@@ -83,23 +87,23 @@
 	return resp.Types, err
 }
 
-// Rent asks for machines and returns the names of those rented, which may be fewer. After an error
-// other than ErrNoCapacity it may or may not have been carried out: only the same request, sent
-// again, shows.
+// Rent requests machines and returns the names of those rented, which may be fewer than
+// rental.Count. After an error other than ErrNoCapacity the rental may or may not have been
+// executed; only repeating the same request shows which.
 func (c *Client) Rent(ctx context.Context, rental Rental) ([]string, error) {
 	var resp rentResponse
 	err := c.do(ctx, wire.MethodPost, "/rentals", wire.Marshal(rental), &resp)
 	return resp.Machines, err
 }
 
-// Return gives machines back, at most MaxReturn. After success they and all on them are gone; after
-// an error they may be. To return one again does no harm.
+// Return returns machines to the cloud, at most MaxReturn of them. After success the machines and all
+// that ran on them are gone; after an error they may be. Returning a machine again has no effect.
 func (c *Client) Return(ctx context.Context, names []string) error {
 	return c.do(ctx, wire.MethodPost, "/rentals/return", wire.Marshal(returnRequest{names}), nil)
 }
 
-// List returns all machines, as they were some seconds ago, page by page. An error of one page is
-// one of the whole.
+// List reads all rented machines, page by page, and returns them as they were some seconds ago. If
+// any page fails, it returns that error and no machines.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var machines []Machine
 	target := "/rentals?limit=" + strconv.Itoa(maxPageSize)
@@ -117,7 +121,7 @@
 	}
 }
 
-// do makes one request and decodes the body of a successful response into out, unless it is nil.
+// do makes one request and decodes the body of a successful response into out, unless out is nil.
 func (c *Client) do(ctx context.Context, method, target string, body []byte, out any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: %w", err)
@@ -144,7 +148,8 @@
 	return nil
 }
 
-// refusedForCapacity tells the refusal of a rental apart from an outage, which has the same status.
+// refusedForCapacity reports whether a response refuses a rental for lack of capacity. An outage has
+// the same status, 503, but not the same text.
 func refusedForCapacity(resp wire.Response) bool {
 	if resp.Status != wire.StatusServiceUnavailable {
 		return false
