--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -124,7 +124,7 @@
 // do makes one request and decodes the body of a successful response into out, unless out is nil.
 func (c *Client) do(ctx context.Context, method, target string, body []byte, out any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: %s %s: wait for the request rate: %w", method, target, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 		return nil
 	}
 	if err := wire.Unmarshal(resp.Body, out); err != nil {
-		return fmt.Errorf("cloud: %s %s: %w", method, target, err)
+		return fmt.Errorf("cloud: %s %s: decode response: %w", method, target, err)
 	}
 	return nil
 }
--- a/internal/kvstore/response.go
+++ b/internal/kvstore/response.go
@@ -34,11 +34,11 @@
 	case wire.StatusTooManyRequests:
 		return errThrottled
 	case wire.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
+		return fmt.Errorf("%w: %s %s: status %d", ErrRefused, req.method, req.target, resp.Status)
 	case wire.StatusBadRequest:
 		return badRequest(req, resp.Body)
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+	return fmt.Errorf("%w: %s %s: unexpected status %d", ErrUnknown, req.method, req.target, resp.Status)
 }
 
 // decodeBody decodes a body into out, unless out is nil or the body is empty. The error wraps
