--- a/internal/kvstore/lease_test.go
+++ b/internal/kvstore/lease_test.go
@@ -9,8 +9,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// grant returns a lease with a key on it.
-func (s *service) grant(ttl time.Duration, key string) uint64 {
+// grant returns a lease with a key attached to it.
+func (s *storeTest) grant(ttl time.Duration, key string) uint64 {
 	s.t.Helper()
 	lease, err := s.client.Grant(s.ctx, ttl)
 	if err != nil {
@@ -24,7 +24,7 @@
 }
 
 func TestLeaseExpiry(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		lease := s.grant(2*time.Second, "lead/holder")
 		for range 5 {
 			time.Sleep(time.Second)
@@ -34,29 +34,29 @@
 		}
 		time.Sleep(1900 * time.Millisecond)
 		if !s.exists("lead/holder") {
-			t.Error("expired before its time")
+			t.Error("the key was deleted 1.9 s after the last extension of a 2 s lease")
 		}
 		time.Sleep(200 * time.Millisecond)
 		if s.exists("lead/holder") {
-			t.Error("the key has outlasted its lease")
+			t.Error("the key still exists 2.1 s after the last extension of a 2 s lease")
 		}
 		if err := s.client.Extend(s.ctx, lease); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("extension of an expired lease: %v, want ErrNotFound", err)
+			t.Errorf("extension of an expired lease: error %v, want ErrNotFound", err)
 		}
 	})
 }
 
 func TestRevoke(t *testing.T) {
-	simulate(t, func(s *service) {
+	simulate(t, func(s *storeTest) {
 		lease := s.grant(time.Minute, "lead/holder")
 		if err := s.client.Revoke(s.ctx, lease); err != nil {
 			t.Fatal(err)
 		}
 		if s.exists("lead/holder") {
-			t.Error("the key has outlasted its lease")
+			t.Error("the key still exists after its lease was revoked")
 		}
 		if err := s.client.Revoke(s.ctx, lease); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("revoked twice: %v, want ErrNotFound", err)
+			t.Errorf("second revocation: error %v, want ErrNotFound", err)
 		}
 	})
 }
