--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -36,15 +36,15 @@
 func readChunks(buf []byte, limit int) (messageBody, error) {
 	var body messageBody
 	for {
-		size, err := readChunkSize(buf[body.size:])
+		header, err := readChunkHeader(buf[body.size:])
 		if err != nil {
 			return messageBody{}, err
 		}
-		if len(body.content)+size.content > limit {
+		if len(body.content)+header.dataLength > limit {
 			return messageBody{}, tooLarge(limit)
 		}
-		start := body.size + size.line
-		end := start + size.content
+		start := body.size + header.lineLength
+		end := start + header.dataLength
 		if len(buf) < end+len(lineEnd) {
 			return messageBody{}, ErrIncomplete
 		}
@@ -53,34 +53,34 @@
 		}
 		body.content = append(body.content, buf[start:end]...)
 		body.size = end + len(lineEnd)
-		if size.content == 0 {
+		if header.dataLength == 0 {
 			return body, nil
 		}
 	}
 }
 
-// chunkSize is the line before a chunk.
-type chunkSize struct {
-	line    int // bytes of the line, with its end
-	content int // bytes of the chunk that it announces
+// chunkHeader is the line before a chunk.
+type chunkHeader struct {
+	lineLength int // bytes of the line, with its end
+	dataLength int // bytes of the chunk that it announces
 }
 
 // maxChunkLine bounds the bytes that are searched for the end of the line.
 const maxChunkLine = 64
 
-// readChunkSize reads the line at the start of buf; extensions behind a semicolon are ignored.
-func readChunkSize(buf []byte) (chunkSize, error) {
+// readChunkHeader reads the line at the start of buf; extensions behind a semicolon are ignored.
+func readChunkHeader(buf []byte) (chunkHeader, error) {
 	line, _, ok := bytes.Cut(buf, lineEnd)
 	if !ok {
 		if len(buf) > maxChunkLine {
-			return chunkSize{}, malformed("chunk size line")
+			return chunkHeader{}, malformed("chunk size line")
 		}
-		return chunkSize{}, ErrIncomplete
+		return chunkHeader{}, ErrIncomplete
 	}
 	digits, _, _ := strings.Cut(string(line), ";")
-	content, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
+	dataLength, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil {
-		return chunkSize{}, malformed("chunk size")
+		return chunkHeader{}, malformed("chunk size")
 	}
-	return chunkSize{len(line) + len(lineEnd), int(content)}, nil
+	return chunkHeader{len(line) + len(lineEnd), int(dataLength)}, nil
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -53,8 +53,8 @@
 // never will.
 var ErrNotSent = errors.New("wire: request not sent")
 
-// errSurplus says that the server sent more than the response.
-var errSurplus = malformed("bytes behind a response")
+// errTrailingBytes says that the server sent more than the response.
+var errTrailingBytes = malformed("bytes behind a response")
 
 // Do sends one request and waits for its response until ctx ends. After any error but ErrNotSent the
 // request may have been executed, or may yet be. The error wraps that of dialing or of the
@@ -106,7 +106,7 @@
 		resp, used, err := ParseResponse(buf, limit)
 		switch {
 		case err == nil && used < len(buf):
-			return Response{}, errSurplus
+			return Response{}, errTrailingBytes
 		case err == nil:
 			resp.Body = append([]byte(nil), resp.Body...)
 			c.keepBuffer(buf)
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -117,16 +117,16 @@
 	}
 }
 
-// errNothing says that no byte of a request has arrived.
-var errNothing = errors.New("wire: nothing arrived")
+// errNoData says that no byte of a request has arrived.
+var errNoData = errors.New("wire: nothing arrived")
 
 // takeRequest takes one request from what arrived. The bytes of its body are not used for anything
-// else afterwards. The error is errNothing, or that of ParseRequest.
+// else afterwards. The error is errNoData, or that of ParseRequest.
 func (c *connection) takeRequest() (Request, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.in) == 0 {
-		return Request{}, errNothing
+		return Request{}, errNoData
 	}
 	req, used, err := ParseRequest(c.in)
 	if err != nil {
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -37,13 +37,13 @@
 }
 
 const (
-	// crowdedShare is the part of MaxConns from which on connections that need not last are closed
+	// closeShare is the part of MaxConns from which on connections that need not last are closed
 	// after each response, which leaves room for those that do.
-	crowdedShare = 0.8
+	closeShare = 0.8
 
-	// fullShare is the part from which on all are. Otherwise clients that find every connection taken
+	// closeLastingShare is the part from which on all are. Otherwise clients that find every connection taken
 	// by others are refused until their leases have expired; in turns, each is served (docs/size.md).
-	fullShare = 0.95
+	closeLastingShare = 0.95
 
 	// restartDelay keeps a listener that fails at once from being restarted all the time.
 	restartDelay = 100 * time.Millisecond
@@ -100,7 +100,7 @@
 
 // opened runs on the loop: it starts the goroutine of a new connection, or refuses it.
 func (s *Server) opened(ctx context.Context, conn evio.Conn) evio.Action {
-	if s.open.Add(1) > int64(s.MaxConns) && !s.makeRoom() {
+	if s.open.Add(1) > int64(s.MaxConns) && !s.evictLongestIdle() {
 		return evio.Close
 	}
 	c := s.newConnection(conn)
@@ -141,9 +141,9 @@
 	return c
 }
 
-// makeRoom evicts the connection that has been idle longest, and reports whether there was one that
+// evictLongestIdle evicts the connection that has been idle longest, and reports whether there was one that
 // may be evicted. Otherwise users who hold connections open leave no room for worker agents.
-func (s *Server) makeRoom() bool {
+func (s *Server) evictLongestIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var longest *connection
@@ -162,11 +162,11 @@
 	return true
 }
 
-// crowded reports whether so many connections are open that one is closed after its response.
-func (s *Server) crowded(lasting bool) bool {
-	share := crowdedShare
+// mustClose reports whether so many connections are open that one is closed after its response.
+func (s *Server) mustClose(lasting bool) bool {
+	share := closeShare
 	if lasting {
-		share = fullShare
+		share = closeLastingShare
 	}
 	return float64(s.open.Load()) > share*float64(s.MaxConns)
 }
@@ -195,7 +195,7 @@
 	lasting := s.Lasting != nil && s.Lasting(req)
 	c.markBusy(lasting)
 	resp := s.Handler(ctx, req)
-	resp.Close = resp.Close || req.Close || s.crowded(lasting)
+	resp.Close = resp.Close || req.Close || s.mustClose(lasting)
 	c.markIdle()
 	return resp
 }
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -12,9 +12,9 @@
 	"github.com/tidwall/evio"
 )
 
-// loopConn is a fake of an evio connection: it passes bytes to a connection as the loop does and
+// fakeConn is a fake of an evio connection: it passes bytes to a connection as the loop does and
 // keeps what comes back.
-type loopConn struct {
+type fakeConn struct {
 	connection *connection
 
 	mu     sync.Mutex // guards what follows
@@ -23,19 +23,19 @@
 	woken  int
 }
 
-func (conn *loopConn) Context() any         { return conn.connection }
-func (conn *loopConn) SetContext(any)       {}
-func (conn *loopConn) AddrIndex() int       { return 0 }
-func (conn *loopConn) LocalAddr() net.Addr  { return nil }
-func (conn *loopConn) RemoteAddr() net.Addr { return nil }
-func (conn *loopConn) Wake() {
+func (conn *fakeConn) Context() any         { return conn.connection }
+func (conn *fakeConn) SetContext(any)       {}
+func (conn *fakeConn) AddrIndex() int       { return 0 }
+func (conn *fakeConn) LocalAddr() net.Addr  { return nil }
+func (conn *fakeConn) RemoteAddr() net.Addr { return nil }
+func (conn *fakeConn) Wake() {
 	conn.mu.Lock()
 	conn.woken++
 	conn.mu.Unlock()
-	conn.data("")
+	conn.receive("")
 }
 
-func (conn *loopConn) data(in string) {
+func (conn *fakeConn) receive(in string) {
 	out, action := conn.connection.transfer([]byte(in))
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-func (conn *loopConn) sent() (string, bool) {
+func (conn *fakeConn) sent() (string, bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.out.String(), conn.closed
@@ -54,7 +54,7 @@
 
 // withConnection runs a test in simulated time on a connection whose handler responds with the path and
 // the body.
-func withConnection(t *testing.T, test func(*loopConn)) {
+func withConnection(t *testing.T, test func(*fakeConn)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
 		server := &Server{IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second, Handler: func(ctx context.Context, r *Request) Response {
@@ -66,7 +66,7 @@
 			}
 			return Response{Status: 200, Body: []byte(r.Path + string(r.Body))}
 		}}
-		conn := &loopConn{}
+		conn := &fakeConn{}
 		conn.connection = server.newConnection(conn)
 		ctx, cancel := context.WithCancel(context.Background())
 		go server.serveConnection(ctx, conn.connection)
@@ -78,29 +78,29 @@
 
 // Where connections run out, users' idle ones go first, the longest idle before
 // others; workers' stay.
-func TestMakeRoom(t *testing.T) {
+func TestEvictsLongestIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := &Server{MaxConns: 100, IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second,
 			Handler: func(context.Context, *Request) Response { return Response{Status: 200} },
 			Lasting: func(r *Request) bool { return r.Path == "/report" }}
 		ctx, cancel := context.WithCancel(context.Background())
-		conns := make([]*loopConn, 3)
+		conns := make([]*fakeConn, 3)
 		for i, path := range []string{"/report", "/job", "/job"} {
-			conn := &loopConn{}
+			conn := &fakeConn{}
 			conn.connection = server.newConnection(conn)
 			go server.serveConnection(ctx, conn.connection)
-			conn.data("GET " + path + " HTTP/1.1\r\n\r\n")
+			conn.receive("GET " + path + " HTTP/1.1\r\n\r\n")
 			time.Sleep(time.Second)
 			conns[i] = conn
 		}
-		for i, want := range []struct{ room, first, second bool }{{true, true, false}, {true, true, true}, {false, true, true}} {
-			room := server.makeRoom()
+		for i, want := range []struct{ evicted, first, second bool }{{true, true, false}, {true, true, true}, {false, true, true}} {
+			evicted := server.evictLongestIdle()
 			synctest.Wait()
 			_, worker := conns[0].sent()
 			_, first := conns[1].sent()
 			_, second := conns[2].sent()
-			if room != want.room || worker || first != want.first || second != want.second {
-				t.Errorf("after %d: room %v, closed %v %v %v", i+1, room, worker, first, second)
+			if evicted != want.evicted || worker || first != want.first || second != want.second {
+				t.Errorf("after %d: room %v, closed %v %v %v", i+1, evicted, worker, first, second)
 			}
 		}
 		cancel()
@@ -110,7 +110,7 @@
 
 // Where nearly all connections are taken, workers' are closed after each answer too, so that
 // others find room; below that they stay, and users' are closed.
-func TestClosedWhenCrowded(t *testing.T) {
+func TestClosesNearConnectionLimit(t *testing.T) {
 	for _, test := range []struct {
 		open         int64
 		worker, user bool // whether their connections are closed
@@ -122,10 +122,10 @@
 			server.open.Store(test.open)
 			ctx, cancel := context.WithCancel(context.Background())
 			for path, want := range map[string]bool{"/report": test.worker, "/job": test.user} {
-				conn := &loopConn{}
+				conn := &fakeConn{}
 				conn.connection = server.newConnection(conn)
 				go server.serveConnection(ctx, conn.connection)
-				conn.data("GET " + path + " HTTP/1.1\r\n\r\n")
+				conn.receive("GET " + path + " HTTP/1.1\r\n\r\n")
 				time.Sleep(time.Second)
 				if out, closed := conn.sent(); closed != want || !strings.HasPrefix(out, "HTTP/1.1 200") {
 					t.Errorf("%d open, %s: closed %v, %q", test.open, path, closed, out)
@@ -138,12 +138,12 @@
 }
 
 func TestConnectionAnswersInTurn(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Len")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Len")
 		time.Sleep(time.Second)
-		conn.data("gth: 1\r\n\r\nx")
+		conn.receive("gth: 1\r\n\r\nx")
 		time.Sleep(time.Second)
-		conn.data("GET /c HTTP/1.1\r\nConnection: close\r\n\r\n")
+		conn.receive("GET /c HTTP/1.1\r\nConnection: close\r\n\r\n")
 		time.Sleep(time.Second)
 		out, closed := conn.sent()
 		if strings.Count(out, "200 OK") != 3 || !strings.Contains(out, "/bx") || !closed {
@@ -153,8 +153,8 @@
 }
 
 func TestConnectionMalformed(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("nonsense\r\n\r\nGET /a HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("nonsense\r\n\r\nGET /a HTTP/1.1\r\n\r\n")
 		time.Sleep(time.Second)
 		out, closed := conn.sent()
 		if !strings.HasPrefix(out, "HTTP/1.1 400") || strings.Contains(out, "200 OK") || !closed {
@@ -164,8 +164,8 @@
 }
 
 func TestConnectionSlowAndIdle(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /a HTT")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /a HTT")
 		time.Sleep(9 * time.Second)
 		if _, closed := conn.sent(); closed {
 			t.Error("closed before the time to read is over")
@@ -175,7 +175,7 @@
 			t.Error("a slow peer is kept")
 		}
 	})
-	withConnection(t, func(conn *loopConn) {
+	withConnection(t, func(conn *fakeConn) {
 		time.Sleep(59 * time.Second)
 		if _, closed := conn.sent(); closed {
 			t.Error("closed before the idle time is over")
@@ -188,11 +188,11 @@
 }
 
 func TestConnectionBounded(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /busy HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /busy HTTP/1.1\r\n\r\n")
 		synctest.Wait()
 		for range 100 {
-			conn.data(strings.Repeat("x", 2000))
+			conn.receive(strings.Repeat("x", 2000))
 		}
 		if _, closed := conn.sent(); !closed {
 			t.Error("a peer may send without end")
@@ -202,8 +202,8 @@
 
 // A handler that ends after its connection does not touch the loop any more.
 func TestConnectionGoneIsNotWoken(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /slow HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /slow HTTP/1.1\r\n\r\n")
 		synctest.Wait()
 		close(conn.connection.closed)
 		time.Sleep(2 * time.Second)
