--- a/cmd/tulipshelf/run.go
+++ b/cmd/tulipshelf/run.go
@@ -12,9 +12,9 @@
 	"tulipshelf/internal/controller"
 )
 
-// memoryShare of the memory allowed is where the garbage collector starts to work harder; the rest
+// memoryLimitShare of the memory allowed is where the garbage collector starts to work harder; the rest
 // is for what it does not count: buffers of the system and the binary itself.
-const memoryShare = 0.6
+const memoryLimitShare = 0.6
 
 // run runs the controller until ctx ends.
 func run(ctx context.Context, configuration configuration) error {
@@ -25,7 +25,7 @@
 	settings := configuration.settings
 	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
 	slog.SetDefault(slog.New(handler).With("node", settings.Node))
-	debug.SetMemoryLimit(int64(float64(settings.Resources.MemBytes) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(settings.Resources.MemBytes) * memoryLimitShare))
 	slog.Info("starting", "listen", settings.Listen, "zone", settings.Zone)
 	for _, warning := range settings.Warnings() {
 		slog.Info("unusual setting", "warning", warning)
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -109,34 +109,34 @@
 
 // number requires a number from least to most. These bounds catch values that are meant in another
 // unit or are no values at all; they are wider than any sensible one.
-func (o object) number(name string, least, most float64) float64 {
+func (o object) number(name string, minimum, maximum float64) float64 {
 	number, ok := o.fields[name].(float64)
 	if !ok {
 		o.fault(name, "must be a number")
-		return least
+		return minimum
 	}
-	if math.IsNaN(number) || number < least || number > most {
-		o.fault(name, "%v is not between %v and %v", number, least, most)
+	if math.IsNaN(number) || number < minimum || number > maximum {
+		o.fault(name, "%v is not between %v and %v", number, minimum, maximum)
 	}
 	return number
 }
 
 // optionalNumber returns 0 for a field that is missing.
-func (o object) optionalNumber(name string, least, most float64) float64 {
+func (o object) optionalNumber(name string, minimum, maximum float64) float64 {
 	if !o.has(name) {
 		return 0
 	}
-	return o.number(name, least, most)
+	return o.number(name, minimum, maximum)
 }
 
 // seconds requires a number of seconds, with bounds like number.
-func (o object) seconds(name string, least, most float64) time.Duration {
-	return seconds(o.number(name, least, most))
+func (o object) seconds(name string, minimum, maximum float64) time.Duration {
+	return seconds(o.number(name, minimum, maximum))
 }
 
 // optionalSeconds returns 0 for a field that is missing.
-func (o object) optionalSeconds(name string, least, most float64) time.Duration {
-	return seconds(o.optionalNumber(name, least, most))
+func (o object) optionalSeconds(name string, minimum, maximum float64) time.Duration {
+	return seconds(o.optionalNumber(name, minimum, maximum))
 }
 
 func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
--- a/internal/config/parse_operator.go
+++ b/internal/config/parse_operator.go
@@ -13,8 +13,8 @@
 
 // setting is one entry of the operator file: a number with bounds, and what takes it over.
 type setting struct {
-	least, most float64
-	set         func(number float64)
+	minimum, maximum float64
+	set              func(number float64)
 }
 
 // settingGroups holds the settings by group and name.
@@ -145,8 +145,8 @@
 	if err != nil || math.IsNaN(number) {
 		return fmt.Sprintf("%q is not a number", value)
 	}
-	if number < s.least || number > s.most {
-		return fmt.Sprintf("%v is not between %v and %v", number, s.least, s.most)
+	if number < s.minimum || number > s.maximum {
+		return fmt.Sprintf("%v is not between %v and %v", number, s.minimum, s.maximum)
 	}
 	s.set(number)
 	return ""
--- a/internal/config/parse_settings.go
+++ b/internal/config/parse_settings.go
@@ -147,18 +147,18 @@
 }
 
 // parseNextLimits reads limits to come. What is not named stays as it is now, and none gets higher.
-func parseNextLimits(next object, now StoreLimits) *StoreLimits {
-	lowered := func(name string, least, now float64) float64 {
+func parseNextLimits(next object, current StoreLimits) *StoreLimits {
+	lowered := func(name string, minimum, current float64) float64 {
 		if !next.has(name) {
-			return now
+			return current
 		}
-		return min(now, next.number(name, least, maxAmount))
+		return min(current, next.number(name, minimum, maxAmount))
 	}
 	return &StoreLimits{
-		RPS:        lowered("rps", 1, now.RPS),
-		WriteRPS:   lowered("write_rps", 1, now.WriteRPS),
-		ValueBytes: int(lowered("value_kb", 1, float64(now.ValueBytes)/kilobyte) * kilobyte),
-		TxnOps:     int(lowered("txn_ops", minTxnOps, float64(now.TxnOps))),
+		RPS:        lowered("rps", 1, current.RPS),
+		WriteRPS:   lowered("write_rps", 1, current.WriteRPS),
+		ValueBytes: int(lowered("value_kb", 1, float64(current.ValueBytes)/kilobyte) * kilobyte),
+		TxnOps:     int(lowered("txn_ops", minTxnOps, float64(current.TxnOps))),
 	}
 }
 
