--- a/internal/wire/append.go
+++ b/internal/wire/append.go
@@ -1,12 +1,12 @@
 package wire
 
-// Writing of messages.
+// Serialisation of messages.
 
 import "strconv"
 
 const contentType = "Content-Type: application/cbor\r\n"
 
-// AppendResponse writes resp to dst.
+// AppendResponse appends resp as an HTTP/1.1 message to dst and returns the extended slice.
 func AppendResponse(dst []byte, resp Response) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(resp.Status), 10)
@@ -27,7 +27,8 @@
 	return appendLengthAndBody(dst, resp.Body)
 }
 
-// AppendRequest writes a request with the given target, path and query, to dst.
+// AppendRequest appends an HTTP/1.1 request to dst and returns the extended slice. The target consists
+// of the path and the query.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -41,7 +42,8 @@
 	return appendLengthAndBody(dst, body)
 }
 
-// appendLengthAndBody ends the headers, with the length also of an empty body, and writes the body.
+// appendLengthAndBody appends the Content-Length header, also for an empty body, the blank line that
+// ends the headers, and the body.
 func appendLengthAndBody(dst, body []byte) []byte {
 	dst = append(dst, "Content-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -1,6 +1,6 @@
 package wire
 
-// Bodies, by length or in chunks.
+// Parsing of bodies, framed by Content-Length or by chunked transfer encoding.
 
 import (
 	"bytes"
@@ -8,13 +8,14 @@
 	"strings"
 )
 
-// messageBody is a body with its framing.
+// messageBody is a parsed body.
 type messageBody struct {
 	content []byte
-	size    int // bytes with the framing
+	size    int // length in bytes with the framing
 }
 
-// readBody reads the body at the start of buf. The error is ErrIncomplete, or wraps ErrMalformed.
+// readBody parses the body at the start of buf. A body of more than limit bytes is refused with
+// ErrTooLarge. The error is ErrIncomplete, or wraps ErrMalformed.
 func readBody(buf []byte, headers headers, limit int) (messageBody, error) {
 	if headers.chunked {
 		return readChunks(buf, limit)
@@ -31,8 +32,8 @@
 	return messageBody{buf[:headers.length], headers.length}, nil
 }
 
-// readChunks joins the chunks up to the last, which is empty. Trailers are not understood: no peer
-// uses them.
+// readChunks parses and joins the chunks up to the last one, which is empty. Trailer fields are refused
+// as malformed: no peer sends them.
 func readChunks(buf []byte, limit int) (messageBody, error) {
 	var body messageBody
 	for {
@@ -49,7 +50,7 @@
 			return messageBody{}, ErrIncomplete
 		}
 		if !bytes.HasPrefix(buf[end:], lineEnd) {
-			return messageBody{}, malformed("chunk end")
+			return messageBody{}, malformed("no line end after the data of a chunk")
 		}
 		body.content = append(body.content, buf[start:end]...)
 		body.size = end + len(lineEnd)
@@ -59,28 +60,30 @@
 	}
 }
 
-// chunkHeader is the line before a chunk.
+// chunkHeader is the parsed line before the data of a chunk.
 type chunkHeader struct {
-	lineLength int // bytes of the line, with its end
-	dataLength int // bytes of the chunk that it announces
+	lineLength int // length of the line in bytes, with its line end
+	dataLength int // length in bytes of the data that follows
 }
 
-// maxChunkLine bounds the bytes that are searched for the end of the line.
+// maxChunkLine is the maximum number of received bytes without a line end. After more bytes the line
+// before a chunk is refused as malformed.
 const maxChunkLine = 64
 
-// readChunkHeader reads the line at the start of buf; extensions behind a semicolon are ignored.
+// readChunkHeader parses the line at the start of buf. Chunk extensions, which follow a semicolon, are
+// ignored. The error is ErrIncomplete, or wraps ErrMalformed.
 func readChunkHeader(buf []byte) (chunkHeader, error) {
 	line, _, ok := bytes.Cut(buf, lineEnd)
 	if !ok {
 		if len(buf) > maxChunkLine {
-			return chunkHeader{}, malformed("chunk size line")
+			return chunkHeader{}, malformed("chunk size line over %d bytes", maxChunkLine)
 		}
 		return chunkHeader{}, ErrIncomplete
 	}
 	digits, _, _ := strings.Cut(string(line), ";")
 	dataLength, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil {
-		return chunkHeader{}, malformed("chunk size")
+		return chunkHeader{}, malformed("chunk size %.20q is not a hexadecimal number below 2^31", digits)
 	}
 	return chunkHeader{len(line) + len(lineEnd), int(dataLength)}, nil
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -1,6 +1,6 @@
 package wire
 
-// The client.
+// The HTTP client.
 
 import (
 	"context"
@@ -12,53 +12,55 @@
 	"time"
 )
 
-// DialFunc opens a connection. Tests pass one that leads to fakes.
+// DialFunc opens a connection to addr. Tests use one that connects to fakes.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// Client makes requests to one address and keeps a few connections to it. Its methods may be called
-// from any goroutine; the exported fields are set before and not changed.
+// Client sends requests to one address and keeps idle connections to it. Its methods may be called from
+// any goroutine. The exported fields are set before the first call and not changed afterwards.
 type Client struct {
 	Dial    DialFunc // nil: TCP over IPv4
 	Addr    string
-	Limit   int // largest response body in bytes; 0: MaxBody
-	MaxIdle int // connections kept; at least minIdle are
+	Limit   int // maximum length of a response body in bytes; 0: MaxBody
+	MaxIdle int // maximum number of idle connections; values below minIdle count as minIdle
 
 	mu   sync.Mutex    // guards idle
-	idle []*clientConn // kept connections, those used last at the end
+	idle []*clientConn // idle connections, the most recently used one last
 }
 
-// clientConn belongs to the request that uses it, or to the client's list of kept connections.
+// clientConn is a connection with its read buffer. It belongs to the request that uses it or, while
+// idle, to Client.idle.
 type clientConn struct {
 	net.Conn
-	buf       []byte // empty; kept for the next response
-	idleSince time.Time
+	buf       []byte    // empty buffer, reused for the next response; nil: none
+	idleSince time.Time // time at which the connection was last put into Client.idle
 }
 
 const (
-	// minIdle is how many connections any client keeps.
+	// minIdle is the least value of the maximum number of idle connections.
 	minIdle = 2
 
-	// maxIdleAge is below the idle time-out of the servers met, so that a kept connection is rarely
-	// found closed.
+	// maxIdleAge is the idle time from which on a connection is not used again. It is below the idle
+	// time-out of the servers that are called, so that a connection is rarely found closed by its server.
 	maxIdleAge = 20 * time.Second
 
-	// minRead is the room in bytes for what one read may return.
+	// minRead is the least number of bytes by which a full read buffer grows.
 	minRead = 4 << 10
 
-	// maxKeptBuffer bounds the memory in bytes that an idle connection holds.
+	// maxKeptBuffer is the maximum capacity in bytes of the read buffer of an idle connection.
 	maxKeptBuffer = 16 << 10
 )
 
-// ErrNotSent is wrapped by errors of requests of which no byte was written: they had no effect and
-// never will.
+// ErrNotSent is wrapped by the errors of requests of which no byte was written. Such a request has had
+// no effect and will not have one later.
 var ErrNotSent = errors.New("wire: request not sent")
 
-// errTrailingBytes says that the server sent more than the response.
-var errTrailingBytes = malformed("bytes behind a response")
+// errTrailingBytes reports that the server sent bytes after the end of a response.
+var errTrailingBytes = malformed("bytes after the end of a response")
 
-// Do sends one request and waits for its response until ctx ends. After any error but ErrNotSent the
-// request may have been executed, or may yet be. The error wraps that of dialing or of the
-// connection, or ErrMalformed; a response with any status is no error.
+// Do sends one request and waits for its response until ctx ends. If the error wraps ErrNotSent, the
+// request has no effect. After any other error the request may have been executed, or may still be
+// executed later. The error wraps that of dialing or of the connection, or ErrMalformed. A response is
+// not an error, whatever its status.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (Response, error) {
 	conn, err := c.acquire(ctx)
 	if err != nil {
@@ -77,9 +79,10 @@
 	return resp, nil
 }
 
-// exchange writes a request and reads its response until ctx ends.
+// exchange writes a request and reads its response. When ctx ends, a deadline in the past interrupts
+// both, so that the error wraps os.ErrDeadlineExceeded.
 func (c *Client) exchange(ctx context.Context, conn *clientConn, request []byte) (Response, error) {
-	deadline, _ := ctx.Deadline() // the zero time is none
+	deadline, _ := ctx.Deadline() // zero if ctx has none, which sets no deadline
 	conn.SetDeadline(deadline)
 	past := time.Unix(1, 0)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(past) })
@@ -94,7 +97,8 @@
 	return conn.readResponse(limit)
 }
 
-// readResponse reads one response, whose body is a copy.
+// readResponse reads one response with a body of at most limit bytes. The body is a copy that does not
+// share memory with the read buffer.
 func (c *clientConn) readResponse(limit int) (Response, error) {
 	buf := c.buf[:0]
 	for {
@@ -119,7 +123,7 @@
 	}
 }
 
-// keepBuffer keeps a buffer for the next response unless it is large.
+// keepBuffer keeps buf for the next response unless its capacity is over maxKeptBuffer.
 func (c *clientConn) keepBuffer(buf []byte) {
 	c.buf = nil
 	if cap(buf) <= maxKeptBuffer {
@@ -127,7 +131,7 @@
 	}
 }
 
-// acquire returns the kept connection that was used last, or a new one.
+// acquire returns the most recently used idle connection, or a new one if there is none.
 func (c *Client) acquire(ctx context.Context) (*clientConn, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
@@ -143,8 +147,8 @@
 	return &clientConn{Conn: conn}, nil
 }
 
-// takeIdle removes and returns the kept connection that was used last, or nil if all are too old,
-// which it closes.
+// takeIdle removes and returns the most recently used idle connection. If all have been idle for
+// maxIdleAge or longer, it closes them and returns nil.
 func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +169,7 @@
 	return dialer.DialContext(ctx, "tcp4", addr)
 }
 
-// keep puts a connection back, or closes it if enough are kept.
+// keep adds a connection to the idle ones, or closes it if their maximum number is reached.
 func (c *Client) keep(conn *clientConn) {
 	conn.idleSince = time.Now()
 	c.mu.Lock()
@@ -177,7 +181,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// Trim closes the kept connections that have not been used for so long.
+// Trim closes the connections that have been idle for age or longer.
 func (c *Client) Trim(age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +196,8 @@
 	c.idle = kept
 }
 
-// CloseIdle closes the kept connections. After a failure the others to the same address are as
-// suspect as the one that failed.
+// CloseIdle closes all idle connections. Callers use it after a failed request: the other connections
+// to the same address are as likely to be broken as the one that failed.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// scriptedServer answers each request, which has no body, by the bytes of the next response, over
-// as many connections as are dialed.
+// scriptedServer is a fake server. It answers each request, which must have no body, with the next of
+// its responses, on any number of connections.
 type scriptedServer struct {
-	responses []string
-	dialed    int
+	responses []string // responses that have not been sent
+	dialed    int      // number of connections
 }
 
 func (s *scriptedServer) dial(context.Context, string) (net.Conn, error) {
@@ -25,7 +25,7 @@
 		requests := bufio.NewScanner(server)
 		for requests.Scan() {
 			if requests.Text() != "" {
-				continue // not the end of a head
+				continue // a line before the blank line that ends the request
 			}
 			response := s.responses[0]
 			s.responses = s.responses[1:]
@@ -43,7 +43,8 @@
 	return client.Do(ctx, "GET", "/", nil)
 }
 
-// Connections are kept, unless the server ends them or they have been idle for long.
+// TestClientKeepsConnections guards against a new connection for each request, and against the use of a
+// connection that the server ends or that has been idle for maxIdleAge.
 func TestClientKeepsConnections(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	const last = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
@@ -52,19 +53,20 @@
 		client := &Client{Dial: server.dial}
 		defer client.CloseIdle()
 		for i, step := range []struct {
-			idle   time.Duration // before the request
-			dialed int           // connections so far, with it
+			idle   time.Duration // idle time before the request
+			dialed int           // number of connections up to the request
 		}{{0, 1}, {19 * time.Second, 1}, {0, 1}, {0, 2}, {20 * time.Second, 3}} {
 			time.Sleep(step.idle)
 			resp, err := get(client)
 			if err != nil || string(resp.Body) != "hi" || server.dialed != step.dialed {
-				t.Errorf("request %d: %q, %v, %d connections", i+1, resp.Body, err, server.dialed)
+				t.Errorf("request %d: body %q, error %v, %d connections, want %d", i+1, resp.Body, err, server.dialed, step.dialed)
 			}
 		}
 	})
 }
 
-// An error says whether the request may have been executed.
+// TestClientErrors guards against errors that do not tell whether the request may have been executed: of
+// the errors here, only that of dialing wraps ErrNotSent.
 func TestClientErrors(t *testing.T) {
 	refused := errors.New("refused")
 	for _, test := range []struct {
@@ -73,7 +75,7 @@
 		want     error
 	}{
 		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", ErrTooLarge},
-		{"bytes behind the response", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi!", ErrMalformed},
+		{"bytes after the response", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi!", ErrMalformed},
 		{"not HTTP", "hello\r\n\r\n", ErrMalformed},
 		{"response cut short", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh", os.ErrDeadlineExceeded},
 	} {
@@ -82,13 +84,13 @@
 				server := &scriptedServer{responses: []string{test.response}}
 				_, err := get(&Client{Dial: server.dial, Limit: 8})
 				if !errors.Is(err, test.want) || errors.Is(err, ErrNotSent) {
-					t.Errorf("%v", err)
+					t.Errorf("error %v, want one that wraps %q and not ErrNotSent", err, test.want)
 				}
 			})
 		})
 	}
 	dial := func(context.Context, string) (net.Conn, error) { return nil, refused }
 	if _, err := get(&Client{Dial: dial}); !errors.Is(err, ErrNotSent) || !errors.Is(err, refused) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that wraps ErrNotSent and %q", err, refused)
 	}
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,6 @@
 package wire
 
-// The codec: CBOR bodies and values.
+// Encoding and decoding of CBOR bodies and values.
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Raw is a CBOR value that is decoded later or not at all.
+// Raw is an encoded CBOR value, which is decoded later or not at all.
 type Raw = cbor.RawMessage
 
-// Bounds on what is decoded from any peer, however hostile.
+// Limits on decoded values. They hold for every peer, since any peer may be hostile.
 const (
 	maxNestedLevels  = 16
 	maxArrayElements = 1 << 17 // above job.MaxTasks
@@ -48,13 +48,12 @@
 
 // Problem is the body of a response that refuses a request.
 type Problem struct {
-	Error string `cbor:"error"` // why, for people
+	Error string `cbor:"error"` // human-readable reason of the refusal; some clients match it
 }
 
 var errNotMap = errors.New("wire: body is not a map")
 
-// Marshal encodes v as CBOR. It panics on a type that cannot be encoded, which is a mistake in this
-// program.
+// Marshal encodes v as CBOR. It panics if the type of v cannot be encoded, which is a programming error.
 func Marshal(v any) []byte {
 	data, err := encoder.Marshal(v)
 	if err != nil {
@@ -63,8 +62,9 @@
 	return data
 }
 
-// Unmarshal decodes the CBOR map in data strictly: no repeated keys, bounded depth, nothing behind
-// the value, nothing but a map at the top. The error wraps that of the decoder.
+// Unmarshal decodes data, which must be exactly one CBOR map, into v. It refuses repeated keys, CBOR
+// tags, bytes after the map, and nesting, arrays and maps beyond the limits of this package. The error
+// is errNotMap for a value of another kind, or wraps that of the decoder.
 func Unmarshal(data []byte, v any) error {
 	if !isMap(data) {
 		return errNotMap
@@ -72,7 +72,8 @@
 	return UnmarshalValue(data, v)
 }
 
-// UnmarshalValue decodes one CBOR value of any kind with the same strictness.
+// UnmarshalValue decodes data, which must be exactly one CBOR value of any kind, into v.
+// Otherwise it refuses what Unmarshal refuses. The error wraps that of the decoder.
 func UnmarshalValue(data []byte, v any) error {
 	if err := decoder.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("wire: decode: %w", err)
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// isMap reports whether the first byte of a CBOR value, whose upper three bits are its major type,
-// says that it is a map.
+// isMap reports whether data begins with a CBOR map. The upper three bits of the first byte of a CBOR
+// value are its major type.
 func isMap(data []byte) bool {
 	const (
 		majorTypeShift = 5
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -1,6 +1,6 @@
 package wire
 
-// Connections of a server.
+// Connections of the server.
 
 import (
 	"context"
@@ -11,23 +11,23 @@
 	"github.com/tidwall/evio"
 )
 
-// connection is what the event loop and the goroutine of one connection share.
+// connection is the state of one connection that the event loop and the connection's goroutine share.
 type connection struct {
-	conn     evio.Conn     // of which the goroutine uses Wake alone
-	arrived  chan struct{} // capacity 1: bytes arrived
-	closed   chan struct{} // closed by the loop once the connection is closed
-	evicting chan struct{} // capacity 1: another connection needs the room
-
-	mu        sync.Mutex // guards what follows
-	in        []byte     // arrived, and not yet taken as requests
-	out       []byte     // to be written by the loop
-	closing   bool       // the loop closes the connection once out is written
-	lasting   bool       // whether the last request is one of Server.Lasting
-	idleSince time.Time  // since when it waits for a request; zero: it is answering one
+	conn     evio.Conn     // connection in evio; the goroutine calls only Wake
+	arrived  chan struct{} // signal of new bytes; capacity 1
+	closed   chan struct{} // closed by the event loop after the connection is closed
+	evicting chan struct{} // signal to close the connection in favour of a new one; capacity 1
+
+	mu        sync.Mutex // guards the fields below
+	in        []byte     // received bytes that have not been parsed as requests
+	out       []byte     // bytes that the event loop has yet to write
+	closing   bool       // whether the event loop closes the connection after writing out
+	lasting   bool       // whether the last request satisfies Server.Lasting
+	idleSince time.Time  // start of the wait for the next request; zero: a request is being answered
 }
 
-// maxPending bounds the bytes that one connection may have sent and not yet been read: one whole
-// request and the start of the next.
+// maxPending is the maximum number of received bytes of one connection that have not been parsed: one
+// whole request and the start of the next.
 const maxPending = MaxBody + 2*maxHead
 
 func newConnection(conn evio.Conn) *connection {
@@ -40,7 +40,7 @@
 	}
 }
 
-// signal sends on a channel of capacity 1, unless a signal waits there already.
+// signal sends on a channel of capacity 1. It does nothing if a signal is pending there already.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -48,7 +48,8 @@
 	}
 }
 
-// transfer runs on the loop: it takes what arrived and returns what the goroutine has written.
+// transfer runs on the event loop. It stores the received bytes for the goroutine and returns the bytes
+// that the goroutine has sent. It closes the connection if more than maxPending bytes are not parsed.
 func (c *connection) transfer(in []byte) ([]byte, evio.Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,10 +68,10 @@
 	return out, evio.None
 }
 
-// send hands bytes to the loop, which closes the connection behind them if closing is set.
+// send passes out to the event loop, which writes it and then closes the connection if closing is set.
 //
-// A connection that is closed is not woken: when the loop itself has ended, its wake descriptor may
-// belong to something else by now.
+// A closed connection is not woken. Guards against a write to an unrelated descriptor: after the event
+// loop has ended, the number of its wake descriptor may be in use for another file.
 func (c *connection) send(out []byte, closing bool) {
 	select {
 	case <-c.closed:
@@ -84,20 +85,22 @@
 	c.conn.Wake()
 }
 
-// end closes the connection after an error of nextRequest.
+// end closes the connection after an error of nextRequest. A malformed request is answered with status
+// 400 first.
 func (c *connection) end(err error) {
 	switch {
 	case errors.Is(err, errClosed):
 	case errors.Is(err, ErrMalformed):
-		// The bytes behind a broken message cannot be trusted as a next one.
+		// The bytes after a malformed message cannot be trusted to be the next request.
 		c.send(AppendResponse(nil, Response{Status: StatusBadRequest, Close: true}), true)
 	default:
 		c.send(nil, true)
 	}
 }
 
-// nextRequest waits for a whole request. The error is errClosed, errTimeout, errEvicted or that of
-// ctx, or wraps ErrMalformed.
+// nextRequest waits for a complete request: at most idleTimeout for its first byte, and at most
+// readTimeout from then on. The error is errClosed, errTimeout, errEvicted or that of ctx, or wraps
+// ErrMalformed.
 func (c *connection) nextRequest(ctx context.Context, idleTimeout, readTimeout time.Duration) (Request, error) {
 	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
@@ -117,11 +120,11 @@
 	}
 }
 
-// errNoData says that no byte of a request has arrived.
-var errNoData = errors.New("wire: nothing arrived")
+// errNoData reports that no byte of the next request has arrived.
+var errNoData = errors.New("wire: no byte of a request received")
 
-// takeRequest takes one request from what arrived. The bytes of its body are not used for anything
-// else afterwards. The error is errNoData, or that of ParseRequest.
+// takeRequest parses one request from the received bytes and removes it from them. The memory of its
+// body is not reused afterwards. The error is errNoData, or that of ParseRequest.
 func (c *connection) takeRequest() (Request, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +143,8 @@
 	return req, nil
 }
 
-// wait returns nil once bytes arrived, or the reason to wait no longer.
+// wait returns nil once bytes have arrived. The error is errClosed, errEvicted, errTimeout or that of
+// ctx.
 func (c *connection) wait(ctx context.Context, timer *time.Timer) error {
 	select {
 	case <-c.arrived:
@@ -156,7 +160,7 @@
 	}
 }
 
-// markBusy records that a request is being answered.
+// markBusy records that a request is being answered, and whether it satisfies Server.Lasting.
 func (c *connection) markBusy(lasting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,12 +175,13 @@
 	c.idleSince = time.Now()
 }
 
-// evictableSince returns since when the connection has been idle, and whether it may be evicted.
+// evictableSince returns the start of the idle time and whether the connection may be evicted: it is
+// idle, and its last request does not satisfy Server.Lasting.
 func (c *connection) evictableSince() (idleSince time.Time, evictable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleSince, !c.lasting && !c.idleSince.IsZero()
 }
 
-// evict ends the connection as soon as it waits for a request.
+// evict requests that the goroutine close the connection as soon as it waits for bytes.
 func (c *connection) evict() { signal(c.evicting) }
--- a/internal/wire/header.go
+++ b/internal/wire/header.go
@@ -11,15 +11,16 @@
 // noLength is the length of a message that has no Content-Length.
 const noLength = -1
 
-// headers holds the few header fields that decide how a message is framed or when it is repeated.
+// headers holds the header fields that are evaluated: those on the framing of the message, on the end
+// of the connection and on the time of a retry.
 type headers struct {
-	length     int // bytes of the body, or noLength
+	length     int // length of the body in bytes, or noLength
 	chunked    bool
-	close      bool
-	retryAfter int // seconds; 0: none, or not a positive number
+	close      bool // whether the connection ends after the response
+	retryAfter int  // delay in seconds; 0: none, or not a positive number
 }
 
-// parseHeaders reads header lines. The error wraps ErrMalformed.
+// parseHeaders parses header lines with line ends between them. The error wraps ErrMalformed.
 func parseHeaders(lines []byte) (headers, error) {
 	parsed := headers{length: noLength}
 	for len(lines) > 0 {
@@ -27,14 +28,14 @@
 		line, lines, _ = bytes.Cut(lines, lineEnd)
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !validName(name) || bytes.ContainsAny(value, "\r\n\x00") {
-			return headers{}, malformed("header line")
+			return headers{}, malformed("header line %.40q is not a name, a colon and a value", line)
 		}
 		if err := parsed.set(string(name), string(bytes.TrimSpace(value))); err != nil {
 			return headers{}, err
 		}
 	}
-	// Where two peers choose differently between two framings, a request can be smuggled in the body
-	// of another.
+	// Guards against request smuggling: if two peers choose different framings of a message that has
+	// both, a request can be hidden in the body of another.
 	if parsed.chunked && parsed.length != noLength {
 		return headers{}, malformed("both content-length and transfer-encoding")
 	}
@@ -43,14 +44,14 @@
 
 func validName(name []byte) bool { return len(name) > 0 && !bytes.ContainsAny(name, " \t\r\n") }
 
-// set takes over one header field; unknown ones are ignored.
+// set sets the field of h for one header field. Other header fields are ignored.
 func (h *headers) set(name, value string) error {
 	switch strings.ToLower(name) {
 	case "content-length":
 		return h.setLength(value)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") || h.chunked {
-			return malformed("transfer-encoding")
+			return malformed("transfer-encoding %.40q: only chunked, given once, is allowed", value)
 		}
 		h.chunked = true
 	case "connection":
@@ -63,18 +64,18 @@
 	return nil
 }
 
-// setLength takes over a length; if it is given repeatedly, it has to be the same.
+// setLength sets the length. Repeated Content-Length fields must have the same value.
 func (h *headers) setLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || h.length != noLength && h.length != int(length) {
-		return malformed("content-length")
+		return malformed("content-length %.40q is not a number below 2^31, or differs from an earlier one", value)
 	}
 	h.length = int(length)
 	return nil
 }
 
-// setRetryAfter takes over a number of seconds. The other form of the header, a date, is ignored; the
-// last field counts.
+// setRetryAfter sets the delay from a number of seconds. A date, the other form of the header, counts as
+// no delay. The last of repeated fields holds.
 func (h *headers) setRetryAfter(value string) {
 	seconds, err := strconv.Atoi(value)
 	if err != nil || seconds < 0 {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,26 +1,27 @@
 package wire
 
-// Messages and the errors of reading them.
+// Messages and the errors of parsing them.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// Bounds in bytes on what is read from any peer, however hostile.
+// Limits in bytes on messages. They hold for every peer, since any peer may be hostile.
 const (
-	MaxBody = 64 << 10 // the protocol's limit for request bodies
-	maxHead = 16 << 10 // start line and headers
+	MaxBody = 64 << 10 // maximum length of a request body, set by the protocol
+	maxHead = 16 << 10 // maximum length of the start line and the headers
 )
 
-// ErrIncomplete says that the bytes so far are a proper prefix of a message.
+// ErrIncomplete reports that the message does not end within the bytes received so far.
 var ErrIncomplete = errors.New("wire: message incomplete")
 
-// ErrMalformed is wrapped by every error that says that the bytes can never become a message.
+// ErrMalformed is wrapped by every error that reports bytes that cannot become a valid message, whatever
+// bytes follow.
 var ErrMalformed = errors.New("wire: malformed message")
 
-// ErrTooLarge is wrapped by errors about a body over the limit. It wraps ErrMalformed: what follows
-// on the connection cannot be read.
+// ErrTooLarge is wrapped by the errors that report a body over the limit. It wraps ErrMalformed, since
+// the rest of the connection cannot be parsed.
 var ErrTooLarge = fmt.Errorf("%w: too large", ErrMalformed)
 
 func tooLarge(limit int) error { return fmt.Errorf("%w: body over %d bytes", ErrTooLarge, limit) }
@@ -34,14 +35,14 @@
 	Method string
 	Path   string // starts with a slash
 	Query  string // without the question mark; "" if there is none
-	Close  bool   // the connection ends after the response
+	Close  bool   // whether the connection ends after the response
 	Body   []byte
 }
 
-// Response is the response to a request.
+// Response is one HTTP/1.1 response.
 type Response struct {
 	Status     int
-	RetryAfter int // seconds; 0 leaves the header out
+	RetryAfter int // delay in seconds of the Retry-After header; 0: no such header
 	Body       []byte
-	Close      bool // the connection ends after it
+	Close      bool // whether the connection ends after the response
 }
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Every proper prefix of a message is incomplete, never an error and never a
-// shorter message: TCP cuts where it likes.
+// TestRequestArrivesInPieces guards against a request that is refused or cut short because TCP delivers
+// it in pieces: every proper prefix of it must be reported as incomplete.
 func TestRequestArrivesInPieces(t *testing.T) {
 	msg := AppendRequest(nil, "POST", "/v1/jobs?x=1", "h", []byte("body"))
 	for n := range msg {
 		if _, _, err := ParseRequest(msg[:n]); !errors.Is(err, ErrIncomplete) {
-			t.Fatalf("%d bytes: %v", n, err)
+			t.Fatalf("first %d bytes: error %v, want ErrIncomplete", n, err)
 		}
 	}
 	req, n, err := ParseRequest(append(msg, "GET"...))
@@ -37,7 +37,7 @@
 		string(bytes.Repeat([]byte("x"), maxHead+1)),
 	} {
 		if _, _, err := ParseRequest([]byte(s)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%.60q: %v", s, err)
+			t.Errorf("%.60q: error %v, want one that wraps ErrMalformed", s, err)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 		}
 		again, m, err := ParseRequest(data[:n])
 		if err != nil || m != n || !bytes.Equal(again.Body, req.Body) {
-			t.Fatalf("parsed differently without what follows: %v", err)
+			t.Fatalf("parsed differently without the bytes after the message: %v", err)
 		}
 	})
 }
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -19,8 +19,8 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// ParseRequest reads one request from the start of buf and returns how many bytes it took. The body
-// is not copied: it lies in buf, unless it came in chunks. The error is ErrIncomplete, or wraps
+// ParseRequest parses one request at the start of buf and returns it with its length in bytes. The body
+// is a part of buf, unless it is chunked and therefore copied. The error is ErrIncomplete, or wraps
 // ErrMalformed.
 func ParseRequest(buf []byte) (Request, int, error) {
 	head, err := splitHead(buf)
@@ -44,19 +44,20 @@
 	return req, head.size + body.size, nil
 }
 
-// parseRequestLine reads a method, a target and a version, with one space between them.
+// parseRequestLine parses a method, a target and a version, separated by single spaces. The error wraps
+// ErrMalformed.
 func parseRequestLine(line string) (Request, error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
-		return Request{}, malformed("request line")
+		return Request{}, malformed("request line %.80q is not a method, a path and a version", line)
 	}
 	method, target, version := parts[0], parts[1], parts[2]
 	if version != version11 && version != version10 {
-		return Request{}, malformed("version")
+		return Request{}, malformed("version %.20q is not %s or %s", version, version11, version10)
 	}
 	for _, letter := range method {
 		if letter < 'A' || letter > 'Z' {
-			return Request{}, malformed("method")
+			return Request{}, malformed("method %.20q is not in capital letters", method)
 		}
 	}
 	req := Request{Method: method, Close: version == version10}
@@ -64,9 +65,9 @@
 	return req, nil
 }
 
-// ParseResponse reads one response from the start of buf, with a body of at most limit bytes, and
-// returns how many bytes it took. The body is not copied: it lies in buf, unless it came in chunks.
-// The error is ErrIncomplete, or wraps ErrMalformed.
+// ParseResponse parses one response at the start of buf, with a body of at most limit bytes, and returns
+// it with its length in bytes. The body is a part of buf, unless it is chunked and therefore copied. The
+// error is ErrIncomplete, or wraps ErrMalformed.
 func ParseResponse(buf []byte, limit int) (Response, int, error) {
 	head, err := splitHead(buf)
 	if err != nil {
@@ -93,26 +94,28 @@
 	return resp, head.size + body.size, nil
 }
 
-// parseStatusLine reads a version and a status of three digits; what follows is ignored.
+// parseStatusLine parses a version and a status code of three digits. The reason phrase is ignored. The
+// error wraps ErrMalformed.
 func parseStatusLine(line string) (Response, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	validStatus := err == nil && len(code) == 3 && status >= 100
 	if !strings.HasPrefix(version, versionPrefix) || !validStatus {
-		return Response{}, malformed("status line")
+		return Response{}, malformed("status line %.80q is not a version and a status code", line)
 	}
 	return Response{Status: status, Close: version == version10}, nil
 }
 
-// messageHead is what comes before the body.
+// messageHead is the part of a message before its body.
 type messageHead struct {
 	startLine string
 	headers   []byte // header lines, with line ends between them
-	size      int    // bytes of both, with the blank line behind
+	size      int    // length in bytes of both, with the blank line after them
 }
 
-// splitHead finds the blank line and divides what is before it.
+// splitHead splits the part of buf before the blank line into the start line and the headers. The error
+// is ErrIncomplete if there is no blank line yet, or wraps ErrMalformed.
 func splitHead(buf []byte) (messageHead, error) {
 	end := bytes.Index(buf, headEnd)
 	if end > maxHead || end < 0 && len(buf) > maxHead {
@@ -124,7 +127,7 @@
 	line, headers, _ := bytes.Cut(buf[:end], lineEnd)
 	for _, c := range line {
 		if isControl(c) {
-			return messageHead{}, malformed("control byte in the first line")
+			return messageHead{}, malformed("control byte %#x in the start line", c)
 		}
 	}
 	return messageHead{string(line), headers, end + len(headEnd)}, nil
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -1,6 +1,6 @@
 package wire
 
-// The server.
+// The HTTP server.
 
 import (
 	"context"
@@ -14,47 +14,53 @@
 	"github.com/tidwall/evio"
 )
 
-// Handler answers one request. The request's body is only valid until it returns. The context ends
-// with the server; it does not end when the peer closes the connection.
+// Handler answers one request. The request's body is valid only until Handler returns. The context ends
+// when the server or its event loop ends; it does not end when the peer closes the connection.
 type Handler func(ctx context.Context, req *Request) Response
 
-// Server accepts connections on an evio loop, which only moves bytes; each connection has a
-// goroutine that parses requests and runs the handler. The exported fields are set before Run and
-// not changed.
+// Server accepts connections on an evio event loop, which only transfers bytes. Each connection has a
+// goroutine that parses requests and calls the handler. The exported fields are set before Run and not
+// changed afterwards.
 type Server struct {
-	Addr        string
-	MaxConns    int
-	IdleTimeout time.Duration // between requests
-	ReadTimeout time.Duration // from a request's first byte to its last
+	Addr        string        // listen address
+	MaxConns    int           // maximum number of open connections
+	IdleTimeout time.Duration // maximum wait for the first byte of a request
+	ReadTimeout time.Duration // maximum time from a request's first byte to its last
 	Handler     Handler
-	Lasting     func(*Request) bool // whether the connection is kept when others have to go; nil: none is
 
-	open       atomic.Int64   // connections that the loop has opened and not yet closed
-	goroutines sync.WaitGroup // those of the connections
+	// Lasting reports whether the connection of a request is to last: it is not evicted, and is closed
+	// near MaxConns only above closeLastingShare. nil: no connection is to last.
+	Lasting func(*Request) bool
 
-	mu          sync.Mutex               // guards connections; taken before that of a connection
-	connections map[*connection]struct{} // those that may be evicted
+	open       atomic.Int64   // number of connections that the event loop has opened and not yet closed
+	goroutines sync.WaitGroup // goroutines of the connections
+
+	mu          sync.Mutex               // guards connections; locked before the mu of a connection
+	connections map[*connection]struct{} // open connections without those that have been evicted
 }
 
 const (
-	// closeShare is the part of MaxConns from which on connections that need not last are closed
-	// after each response, which leaves room for those that do.
+	// closeShare is the share of MaxConns above which a connection is closed after its response unless
+	// the request satisfies Server.Lasting. The rest is left to the connections of such requests.
 	closeShare = 0.8
 
-	// closeLastingShare is the part from which on all are. Otherwise clients that find every connection taken
-	// by others are refused until their leases have expired; in turns, each is served (docs/size.md).
+	// closeLastingShare is the share of MaxConns above which every connection is closed after its
+	// response. Guards against clients that are refused until their leases have expired: other clients
+	// hold every connection. If connections are closed, clients take turns, and each is served
+	// (docs/size.md).
 	closeLastingShare = 0.95
 
-	// restartDelay keeps a listener that fails at once from being restarted all the time.
+	// restartDelay is the delay before a failed listener is restarted. Guards against a busy loop: a
+	// listener may fail again as soon as it is started.
 	restartDelay = 100 * time.Millisecond
 
-	// shutdownPoll is how often the loop looks whether it is to end.
+	// shutdownPoll is the interval at which the event loop checks whether its context has ended.
 	shutdownPoll = 500 * time.Millisecond
 )
 
-// Run serves until ctx is cancelled, and returns nil then. It returns an error if the address cannot
-// be listened on in the first place. Later errors do not end it: evio's loop ends on any error of
-// accept, such as a connection reset while it waited, and is started again.
+// Run serves until ctx is cancelled and then returns nil. It returns an error if the first attempt to
+// listen on the address fails. Later errors do not end it: evio's event loop ends on any error of
+// accept, such as the reset of a connection that waits to be accepted, and is then started again.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.goroutines.Wait()
 	for restarted := false; ; restarted = true {
@@ -74,7 +80,8 @@
 	}
 }
 
-// runLoop runs one event loop until it fails or ctx ends, and ends its connections' goroutines.
+// runLoop runs one event loop until it fails or ctx ends, and then cancels the context of its
+// connections' goroutines.
 func (s *Server) runLoop(ctx context.Context) error {
 	loopCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -98,7 +105,8 @@
 	return evio.Serve(events, "tcp://"+s.Addr)
 }
 
-// opened runs on the loop: it starts the goroutine of a new connection, or refuses it.
+// opened runs on the event loop. It starts the goroutine of a new connection, or closes the connection if
+// MaxConns are open and none of them can be evicted.
 func (s *Server) opened(ctx context.Context, conn evio.Conn) evio.Action {
 	if s.open.Add(1) > int64(s.MaxConns) && !s.evictLongestIdle() {
 		return evio.Close
@@ -109,7 +117,7 @@
 	return evio.None
 }
 
-// closed runs on the loop, also for a connection that opened refused.
+// closed runs on the event loop after a connection is closed, also for one that opened refused.
 func (s *Server) closed(conn evio.Conn) {
 	s.open.Add(-1)
 	if c, ok := conn.Context().(*connection); ok {
@@ -120,7 +128,7 @@
 	}
 }
 
-// received runs on the loop when bytes arrived or a connection was woken.
+// received runs on the event loop when bytes have arrived or the connection has been woken.
 func received(conn evio.Conn, in []byte) ([]byte, evio.Action) {
 	c, ok := conn.Context().(*connection)
 	if !ok {
@@ -129,7 +137,7 @@
 	return c.transfer(in)
 }
 
-// newConnection registers a connection, which is idle.
+// newConnection registers conn as an idle connection.
 func (s *Server) newConnection(conn evio.Conn) *connection {
 	c := newConnection(conn)
 	s.mu.Lock()
@@ -141,8 +149,9 @@
 	return c
 }
 
-// evictLongestIdle evicts the connection that has been idle longest, and reports whether there was one that
-// may be evicted. Otherwise users who hold connections open leave no room for worker agents.
+// evictLongestIdle evicts the connection that has been idle longest among those that may be evicted, and
+// reports whether there was one. Guards against the refusal of worker agents: users may hold MaxConns
+// connections open.
 func (s *Server) evictLongestIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +171,8 @@
 	return true
 }
 
-// mustClose reports whether so many connections are open that one is closed after its response.
+// mustClose reports whether so many connections are open that a connection is closed after its response.
+// The limit is higher if lasting is set: the request satisfies Server.Lasting.
 func (s *Server) mustClose(lasting bool) bool {
 	share := closeShare
 	if lasting {
@@ -171,7 +181,8 @@
 	return float64(s.open.Load()) > share*float64(s.MaxConns)
 }
 
-// serveConnection is the goroutine of one connection: it answers one request after another.
+// serveConnection runs on the goroutine of one connection. It answers one request after another until
+// the connection or ctx ends.
 func (s *Server) serveConnection(ctx context.Context, c *connection) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -189,8 +200,8 @@
 	}
 }
 
-// answer runs the handler, while the connection is not idle, and decides whether the connection
-// stays.
+// answer calls the handler and decides whether the connection is closed after the response. The
+// connection cannot be evicted meanwhile.
 func (s *Server) answer(ctx context.Context, c *connection, req *Request) Response {
 	lasting := s.Lasting != nil && s.Lasting(req)
 	c.markBusy(lasting)
@@ -200,9 +211,9 @@
 	return resp
 }
 
-// Reasons for which a connection's goroutine waits for no further request.
+// Errors of nextRequest on which the goroutine of a connection ends without a response.
 var (
 	errClosed  = errors.New("wire: connection closed")
-	errTimeout = errors.New("wire: peer too slow")
-	errEvicted = errors.New("wire: connection closed to make room")
+	errTimeout = errors.New("wire: no complete request within the time-out")
+	errEvicted = errors.New("wire: connection evicted for a new one")
 )
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -12,15 +12,15 @@
 	"github.com/tidwall/evio"
 )
 
-// fakeConn is a fake of an evio connection: it passes bytes to a connection as the loop does and
-// keeps what comes back.
+// fakeConn is a fake of an evio connection. It passes bytes to a connection as the event loop does and
+// records the bytes that the connection sends.
 type fakeConn struct {
 	connection *connection
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	out    strings.Builder
 	closed bool
-	woken  int
+	woken  int // number of calls of Wake
 }
 
 func (conn *fakeConn) Context() any         { return conn.connection }
@@ -53,7 +53,7 @@
 }
 
 // withConnection runs a test in simulated time on a connection whose handler responds with the path and
-// the body.
+// the body of the request: to /slow after a second, and to /busy only once the context ends.
 func withConnection(t *testing.T, test func(*fakeConn)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
@@ -76,8 +76,8 @@
 	})
 }
 
-// Where connections run out, users' idle ones go first, the longest idle before
-// others; workers' stay.
+// TestEvictsLongestIdleConnection guards against worker agents that are refused because users hold all
+// connections: users' idle connections are evicted, the longest idle first, and workers' are not.
 func TestEvictsLongestIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := &Server{MaxConns: 100, IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second,
@@ -100,7 +100,7 @@
 			_, first := conns[1].sent()
 			_, second := conns[2].sent()
 			if evicted != want.evicted || worker || first != want.first || second != want.second {
-				t.Errorf("after %d: room %v, closed %v %v %v", i+1, evicted, worker, first, second)
+				t.Errorf("eviction %d: done %v; closed: worker %v, users %v and %v", i+1, evicted, worker, first, second)
 			}
 		}
 		cancel()
@@ -108,12 +108,13 @@
 	})
 }
 
-// Where nearly all connections are taken, workers' are closed after each answer too, so that
-// others find room; below that they stay, and users' are closed.
+// TestClosesNearConnectionLimit guards against clients that find every connection taken by others. Above
+// closeShare of MaxConns users' connections are closed after each response, and above closeLastingShare
+// workers' connections too.
 func TestClosesNearConnectionLimit(t *testing.T) {
 	for _, test := range []struct {
-		open         int64
-		worker, user bool // whether their connections are closed
+		open         int64 // number of open connections
+		worker, user bool  // whether their connections are closed
 	}{{80, false, false}, {81, false, true}, {95, false, true}, {96, true, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			server := &Server{MaxConns: 100, IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second,
@@ -128,7 +129,7 @@
 				conn.receive("GET " + path + " HTTP/1.1\r\n\r\n")
 				time.Sleep(time.Second)
 				if out, closed := conn.sent(); closed != want || !strings.HasPrefix(out, "HTTP/1.1 200") {
-					t.Errorf("%d open, %s: closed %v, %q", test.open, path, closed, out)
+					t.Errorf("%d open, %s: closed %v, want %v; sent %q", test.open, path, closed, want, out)
 				}
 			}
 			cancel()
@@ -168,21 +169,21 @@
 		conn.receive("GET /a HTT")
 		time.Sleep(9 * time.Second)
 		if _, closed := conn.sent(); closed {
-			t.Error("closed before the time to read is over")
+			t.Error("closed before ReadTimeout")
 		}
 		time.Sleep(2 * time.Second)
 		if _, closed := conn.sent(); !closed {
-			t.Error("a slow peer is kept")
+			t.Error("a slow peer's connection is open after ReadTimeout")
 		}
 	})
 	withConnection(t, func(conn *fakeConn) {
 		time.Sleep(59 * time.Second)
 		if _, closed := conn.sent(); closed {
-			t.Error("closed before the idle time is over")
+			t.Error("closed before IdleTimeout")
 		}
 		time.Sleep(2 * time.Second)
 		if _, closed := conn.sent(); !closed {
-			t.Error("a silent peer is kept")
+			t.Error("an idle connection is open after IdleTimeout")
 		}
 	})
 }
@@ -195,12 +196,13 @@
 			conn.receive(strings.Repeat("x", 2000))
 		}
 		if _, closed := conn.sent(); !closed {
-			t.Error("a peer may send without end")
+			t.Error("the connection is open after more than maxPending bytes that are not parsed")
 		}
 	})
 }
 
-// A handler that ends after its connection does not touch the loop any more.
+// TestConnectionGoneIsNotWoken guards against the wake of a closed connection, whose event loop may have
+// ended: a handler that returns after the connection is closed does not wake it.
 func TestConnectionGoneIsNotWoken(t *testing.T) {
 	withConnection(t, func(conn *fakeConn) {
 		conn.receive("GET /slow HTTP/1.1\r\n\r\n")
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -1,16 +1,16 @@
 package wire
 
-// HTTP methods and status codes. Package net/http would bring its server and client into the program
-// for them.
+// HTTP methods and status codes. Those of package net/http are not used, since it would link its server
+// and client into the program.
 
-// Methods that any peer uses.
+// Methods used by any peer.
 const (
 	MethodGet    = "GET"
 	MethodPost   = "POST"
 	MethodDelete = "DELETE"
 )
 
-// Status codes that any peer sends or expects.
+// Status codes sent or expected by any peer.
 const (
 	StatusOK                 = 200
 	StatusCreated            = 201
@@ -27,7 +27,7 @@
 	StatusServiceUnavailable = 503
 )
 
-// reasonPhrase returns the text behind a status code in a status line. Nothing reads it but people.
+// reasonPhrase returns the text after the status code in a status line. Only people read it.
 func reasonPhrase(status int) string {
 	switch status {
 	case StatusOK:
