--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// FieldError says that one setting is missing or has a value that is not allowed.
+// FieldError reports a setting that is missing or has a value that is not allowed.
 type FieldError struct {
 	Field  string // path of the setting in its file, such as params.teams[0].cpus or index.smoothing-s
 	Reason string // such as "must be a number"
@@ -16,19 +16,20 @@
 // Error returns the field and the reason.
 func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// LineError says on which line of the operator file a fault is.
+// LineError is a fault on one line of the operator file.
 type LineError struct {
-	Line int // from 1
-	Err  error
+	Line int   // number of the line, from 1
+	Err  error // the fault
 }
 
 // Error returns the line and the fault.
 func (e LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the fault, a FieldError if it is one of a group or a setting.
+// Unwrap returns the fault, which is a FieldError if it concerns a named group or setting.
 func (e LineError) Unwrap() error { return e.Err }
 
-// prefixEach puts the file's path before each of the joined errors.
+// prefixEach prefixes each of the joined errors with the file's path. An error that joins none is
+// prefixed itself.
 func prefixEach(path string, err error) error {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -1,7 +1,7 @@
 package config
 
-// Reading single fields of JSON objects. A fault is recorded with the path of its field, and reading
-// goes on with a value that may be meaningless, so that all faults are found at once.
+// Parsing of single fields of JSON objects. A fault is recorded with the path of its field, and parsing
+// continues with a value that may be invalid, so that all faults are reported at once.
 
 import (
 	"fmt"
@@ -20,7 +20,7 @@
 // object is one JSON object.
 type object struct {
 	faults *faults
-	path   string // what its fields' names are appended to: "" or a path with a final dot
+	path   string // prefix of its fields' names: "" or a path with a final dot
 	fields map[string]any
 }
 
@@ -28,11 +28,11 @@
 	o.faults.add(o.path+name, format, args...)
 }
 
-// has reports whether the field is there and not null.
+// has reports whether the field is present and not null.
 func (o object) has(name string) bool { return o.fields[name] != nil }
 
-// object returns the object in a field. The fields of one that is missing are not reported one by
-// one.
+// object returns the object in a field. If there is none, it records one fault and returns an empty object
+// whose missing fields are not recorded.
 func (o object) object(name string) object {
 	fields, ok := o.fields[name].(map[string]any)
 	if !ok {
@@ -43,7 +43,7 @@
 	return object{o.faults, o.path + name + ".", fields}
 }
 
-// values returns the elements of a list.
+// values returns the elements of a list. A field that is not a list is a fault.
 func (o object) values(name string) []any {
 	values, ok := o.fields[name].([]any)
 	if !ok {
@@ -52,7 +52,8 @@
 	return values
 }
 
-// objects returns the elements of a list of objects, without those that are none.
+// objects returns the elements of a list of objects. An element that is not an object is a fault and is
+// left out.
 func (o object) objects(name string) []object {
 	var objects []object
 	for i, value := range o.values(name) {
@@ -67,7 +68,8 @@
 	return objects
 }
 
-// texts returns the elements of a list of texts.
+// texts returns the elements of a list of texts. An element that is empty or not a text is a fault and is
+// returned as "".
 func (o object) texts(name string) []string {
 	var texts []string
 	for i, value := range o.values(name) {
@@ -80,7 +82,7 @@
 	return texts
 }
 
-// text requires a text that is not empty.
+// text returns a text. A field that is missing, empty or not a text is a fault.
 func (o object) text(name string) string {
 	text, ok := o.fields[name].(string)
 	if !ok || text == "" {
@@ -89,13 +91,13 @@
 	return text
 }
 
-// optionalText returns "" for a field that is missing or no text.
+// optionalText returns a text, or "" if the field is missing or not a text.
 func (o object) optionalText(name string) string {
 	text, _ := o.fields[name].(string)
 	return text
 }
 
-// addr requires an IPv4 address and port.
+// addr returns an IPv4 address and port. Any other text is a fault.
 func (o object) addr(name string) string {
 	text := o.text(name)
 	if text == "" {
@@ -107,8 +109,9 @@
 	return text
 }
 
-// number requires a number from least to most. These bounds catch values that are meant in another
-// unit or are no values at all; they are wider than any sensible one.
+// number returns a number. A field that is not a number from minimum to maximum is a fault. The bounds
+// guard against values in another unit and against meaningless values. They are wider than the range of
+// sensible values.
 func (o object) number(name string, minimum, maximum float64) float64 {
 	number, ok := o.fields[name].(float64)
 	if !ok {
@@ -121,7 +124,7 @@
 	return number
 }
 
-// optionalNumber returns 0 for a field that is missing.
+// optionalNumber returns 0 if the field is missing or null, and otherwise what number returns.
 func (o object) optionalNumber(name string, minimum, maximum float64) float64 {
 	if !o.has(name) {
 		return 0
@@ -129,12 +132,12 @@
 	return o.number(name, minimum, maximum)
 }
 
-// seconds requires a number of seconds, with bounds like number.
+// seconds returns a duration given in seconds, with bounds in seconds like those of number.
 func (o object) seconds(name string, minimum, maximum float64) time.Duration {
 	return seconds(o.number(name, minimum, maximum))
 }
 
-// optionalSeconds returns 0 for a field that is missing.
+// optionalSeconds returns 0 if the field is missing or null, and otherwise what seconds returns.
 func (o object) optionalSeconds(name string, minimum, maximum float64) time.Duration {
 	return seconds(o.optionalNumber(name, minimum, maximum))
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -4,20 +4,20 @@
 
 import "time"
 
-// Operator holds the operators' own settings. What they mean to an operator, with their names in the
-// operator file, is in docs/operations.md.
+// Operator holds the operators' own settings. docs/operations.md describes them to operators, with their
+// names in the operator file. ReplaceAfter is not below UnhealthyAfter.
 type Operator struct {
-	Smoothing        time.Duration // over which the load index of a machine is smoothed
-	IndexUpdate      time.Duration // between updates of the load index
-	ReconcileTimeout time.Duration // after which a new leader waits for no more heartbeats
-	LeaderLease      time.Duration // of the leader's key
-	UnhealthyAfter   time.Duration // without a heartbeat until nothing new is placed on a machine
-	ReplaceAfter     time.Duration // without a heartbeat until a machine is returned; not below UnhealthyAfter
-	IdleReturn       time.Duration // for which a machine stays empty before it is returned
-	Reserve          float64       // CPUs kept free, as a share of those in use
+	Smoothing        time.Duration // time constant of the smoothing of a machine's load index
+	IndexUpdate      time.Duration // interval between updates of the load index
+	ReconcileTimeout time.Duration // maximum time for which a new leader waits for heartbeats
+	LeaderLease      time.Duration // lease duration of the leader's key
+	UnhealthyAfter   time.Duration // time without a heartbeat until nothing new is placed on a machine
+	ReplaceAfter     time.Duration // time without a heartbeat until a machine is returned
+	IdleReturn       time.Duration // time for which a machine is empty before it is returned
+	Reserve          float64       // CPUs kept free for services, as a share of those of unfinished ones
 }
 
-// DefaultOperator returns the values that hold for what the operator file leaves out.
+// DefaultOperator returns the values of the settings that the operator file leaves out.
 func DefaultOperator() Operator {
 	return Operator{
 		Smoothing:        4 * time.Second,
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -13,11 +13,11 @@
 	want := DefaultOperator()
 	want.Smoothing, want.IdleReturn, want.Reserve = 8*time.Second, 30*time.Second, 0.3
 	if err != nil || !reflect.DeepEqual(operator, want) {
-		t.Errorf("%+v, %v", operator, err)
+		t.Errorf("got %+v, error %v, want %+v", operator, err, want)
 	}
 }
 
-// The error names the line, the setting and why it is wrong.
+// TestOperatorRefused guards against errors that do not name the line, the setting and the reason.
 func TestOperatorRefused(t *testing.T) {
 	for data, want := range map[string]string{
 		"(index (smoothing-s 8)":                  "line 1: list is not closed",
@@ -32,22 +32,23 @@
 		strings.Repeat("(", 100):                  "nested deeper",
 	} {
 		if _, err := ParseOperator([]byte(data)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", data, err)
+			t.Errorf("%q: error %v, want %q in it", data, err, want)
 		}
 	}
 }
 
-// Every fault is named, with a type that says where it is.
+// TestOperatorAllFaults guards against errors that name only the first fault, and against faults that lose
+// the types with their line and setting.
 func TestOperatorAllFaults(t *testing.T) {
 	_, err := ParseOperator([]byte("(index\n(smoothing-s x)\n(update-s 0))"))
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) || len(joined.Unwrap()) != 2 {
-		t.Fatalf("faults: %v", err)
+		t.Fatalf("error %v, want two joined faults", err)
 	}
 	var lineError LineError
 	var fieldError FieldError
 	last := joined.Unwrap()[1]
 	if !errors.As(last, &lineError) || lineError.Line != 3 || !errors.As(last, &fieldError) || fieldError.Field != "index.update-s" {
-		t.Errorf("%v", last)
+		t.Errorf("fault %v, want index.update-s on line 3", last)
 	}
 }
--- a/internal/config/parse_operator.go
+++ b/internal/config/parse_operator.go
@@ -1,6 +1,6 @@
 package config
 
-// Parsing of the operator file, whose names and units are here alone.
+// Parsing of the operator file. The names and units of its settings are defined only here.
 
 import (
 	"errors"
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// setting is one entry of the operator file: a number with bounds, and what takes it over.
+// setting is one setting of the operator file: a number with bounds.
 type setting struct {
 	minimum, maximum float64
-	set              func(number float64)
+	set              func(number float64) // stores the number
 }
 
 // settingGroups holds the settings by group and name.
 type settingGroups map[string]map[string]setting
 
-// settings returns all settings there are; they set the fields of o.
+// settings returns all settings of the operator file. Their numbers are stored in the fields of o.
 func (o *Operator) settings() settingGroups {
 	duration := func(field *time.Duration) func(float64) {
 		return func(number float64) { *field = seconds(number) }
@@ -48,9 +48,9 @@
 	}
 }
 
-// ReadOperator reads the operator file at path; an empty path gives the defaults. Its error is one
-// of the file system, or joins an error for each fault as ParseOperator does, with the path before
-// each.
+// ReadOperator reads and checks the operator file at path. An empty path gives the defaults. The error is
+// one of the file system, or joins one error for each fault as ParseOperator does, each with the path
+// before it.
 func ReadOperator(path string) (Operator, error) {
 	if path == "" {
 		return DefaultOperator(), nil
@@ -66,9 +66,10 @@
 	return operator, nil
 }
 
-// ParseOperator reads forms such as (index (smoothing-s 4) (update-s 1)). Its error joins a LineError
-// for each entry that is wrong, and a FieldError for settings that contradict each other. If data is no
-// list of S-expressions, it is the LineError of the first place that is wrong alone.
+// ParseOperator parses groups such as (index (smoothing-s 4) (update-s 1)). Settings that are left out
+// have the values of DefaultOperator. The error joins a LineError for each invalid group or entry and a
+// FieldError for settings that contradict each other. If data is not a list of S-expressions, the error
+// joins only the LineError of the first syntax error.
 func ParseOperator(data []byte) (Operator, error) {
 	operator := DefaultOperator()
 	forms, err := parseSexp(data)
@@ -85,10 +86,10 @@
 	return operator, errors.Join(parser.errs...)
 }
 
-// operatorParser takes over the entries of one file and collects their faults.
+// operatorParser stores the settings of one file and collects its faults.
 type operatorParser struct {
 	groups settingGroups
-	seen   map[string]bool // settings by group and name
+	seen   map[string]bool // settings that have occurred, as GROUP.NAME
 	errs   []error
 }
 
@@ -98,7 +99,7 @@
 
 var errNoGroup = errors.New("must be a group such as (index (smoothing-s 4))")
 
-// group takes over a form such as (index (smoothing-s 4)).
+// group stores the settings of a group such as (index (smoothing-s 4)).
 func (p *operatorParser) group(form node) {
 	if !form.isList || len(form.list) == 0 || form.list[0].isList {
 		p.fault(form.line, errNoGroup)
@@ -115,7 +116,7 @@
 	}
 }
 
-// entry takes over a form such as (smoothing-s 4).
+// entry stores one setting of a group, such as (smoothing-s 4).
 func (p *operatorParser) entry(group string, settings map[string]setting, entry node) {
 	if !entry.isPair() {
 		p.fault(entry.line, FieldError{group, "must hold entries such as (name 4)"})
@@ -139,7 +140,7 @@
 	}
 }
 
-// parse takes over a number, or returns why it can't.
+// parse parses and stores a number. If it is not allowed, parse returns the reason, and otherwise "".
 func (s setting) parse(value string) (reason string) {
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(number) {
--- a/internal/config/parse_settings.go
+++ b/internal/config/parse_settings.go
@@ -1,6 +1,6 @@
 package config
 
-// Parsing of the settings file. The names and units of its fields are here alone.
+// Parsing of the settings file. The names and units of its fields are defined only here.
 
 import (
 	"encoding/json"
@@ -14,15 +14,15 @@
 	kilobyte = 1 << 10
 	megabyte = 1 << 20
 
-	// maxAmount is far above every amount and rate that is meant.
+	// maxAmount is the upper bound of amounts and rates. It is far above every sensible value.
 	maxAmount = 1e9
 
-	// minTxnOps is the lowest limit on the mutations of a transaction that is accepted.
+	// minTxnOps is the lower bound of the store's limit on the mutations of one transaction.
 	minTxnOps = 3
 )
 
-// ReadSettings reads and checks the settings file. Its error is one of the file system, or joins an
-// error for each fault as ParseSettings does, with the path before each.
+// ReadSettings reads and checks the settings file at path. The error is one of the file system, or joins
+// one error for each fault as ParseSettings does, each with the path before it.
 func ReadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return settings, nil
 }
 
-// ParseSettings checks the settings in data. Its error joins a FieldError for each field that is
-// wrong, or holds that of the JSON decoder alone.
+// ParseSettings parses and checks the settings in data. The error joins a FieldError for each fault, or
+// only the error of the JSON decoder.
 func ParseSettings(data []byte) (*Settings, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -100,9 +100,9 @@
 	return teams
 }
 
-// parseMaximum reads one maximum of a team's quota. The platform writes 0, or nothing, for no
-// maximum; taken literally, each job of a team without a guarantee would be refused
-// (docs/incidents/inc-c8e5.md, docs/incidents/inc-bc39.md).
+// parseMaximum returns one maximum of a team's quota, or +Inf if it is 0 or missing: the platform gives
+// no maximum in both ways. Guards against the refusal of each job of a team without a guarantee: 0 is
+// taken literally (docs/incidents/inc-c8e5.md, docs/incidents/inc-bc39.md).
 func parseMaximum(team object, name string) float64 {
 	if maximum := team.optionalNumber(name, 0, maxAmount); maximum > 0 {
 		return maximum
@@ -146,7 +146,8 @@
 	return limits
 }
 
-// parseNextLimits reads limits to come. What is not named stays as it is now, and none gets higher.
+// parseNextLimits parses the limits that will replace the current ones. A limit that is left out does not
+// change, and none is raised.
 func parseNextLimits(next object, current StoreLimits) *StoreLimits {
 	lowered := func(name string, minimum, current float64) float64 {
 		if !next.has(name) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,18 +8,17 @@
 	"time"
 )
 
-// Settings is what the platform hands over to one controller. Addresses are an IPv4 address and a
-// port.
+// Settings holds the platform's settings of one controller. Each address is an IPv4 address and a port.
 type Settings struct {
 	Node       string // name of this controller
-	Zone       string // that it runs in
-	Listen     string // address for users and worker agents
-	PeerListen string // address for other controllers
+	Zone       string // zone of this controller
+	Listen     string // listen address for users and worker agents
+	PeerListen string // listen address for other controllers
 	Peers      []Peer // the other controllers
 	CloudAddr  string
-	StoreAddr  string   // of the key-value store
-	Zones      []string // that machines are rented in
-	Teams      []Team   // each name once
+	StoreAddr  string   // address of the key-value store
+	Zones      []string // zones in which machines are rented
+	Teams      []Team   // teams, each with a name of its own
 	Objectives []Objective
 	Workers    Workers
 	Store      StoreLimits
@@ -29,13 +28,14 @@
 
 // Peer is another controller.
 type Peer struct {
-	Node string // its name
-	Zone string // that it runs in
-	Addr string // its PeerListen
+	Node string // name of the controller
+	Zone string // zone of the controller
+	Addr string // its listen address for other controllers
 }
 
-// Team has a quota, guaranteed and maximum, of CPUs and of GPUs. No guarantee is 0, no maximum is
-// +Inf. A maximum may be below the guarantee, and holds all the same: see Settings.Warnings.
+// Team is a team with its quota: a guarantee and a maximum of CPUs and of GPUs. 0 stands for no guarantee,
+// +Inf for no maximum. A maximum below the guarantee is allowed and takes effect; Settings.Warnings
+// reports it.
 type Team struct {
 	Name           string
 	GuaranteedCPUs float64
@@ -44,54 +44,54 @@
 	MaxGPUs        float64
 }
 
-// Opportunistic reports whether the team has no guarantee: it uses what others leave.
+// Opportunistic reports whether the team has no guarantee, so that it uses only what other teams leave.
 func (t *Team) Opportunistic() bool { return t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 }
 
 // Objective is one service-level objective.
 type Objective struct {
 	Kind   ObjectiveKind
-	Class  string        // class of the jobs that it is about; "": of all
-	Within time.Duration // in which they should start or be complete; 0: not given
-	Times  float64       // of the expected run time in which they should be complete; 0: not given
+	Class  string        // class of the jobs to which the objective applies; "": all classes
+	Within time.Duration // time within which they should start or be complete; 0: not given
+	Times  float64       // multiple of the expected run time for their completion; 0: not given
 }
 
-// ObjectiveKind is what a service-level objective is about, in the protocol's words.
+// ObjectiveKind is the kind of a service-level objective, as the protocol names it.
 type ObjectiveKind string
 
 // Kinds of the objectives on the time until a job starts. All others are on the time until it is
 // complete.
 const (
-	KindWait      ObjectiveKind = "wait"      // of a class
-	KindGuarantee ObjectiveKind = "guarantee" // of work within its team's guarantee
+	KindWait      ObjectiveKind = "wait"      // start of the jobs of a class
+	KindGuarantee ObjectiveKind = "guarantee" // start of jobs within their team's guarantee
 )
 
 // Workers holds the fixed intervals of the worker agents.
 type Workers struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // for which an agent keeps its tasks without a response
-	CancelDeadline    time.Duration // from a cancellation until no task of the job may run any more
-	GangWait          time.Duration // for which a task waits for the others of its gang; 0: not known
-	GangNotice        time.Duration // within which a gang's tasks notice that one is gone; 0: not known
+	Lease             time.Duration // time for which an agent keeps its tasks without a response
+	CancelDeadline    time.Duration // time from a cancellation until no task of the job may run any more
+	GangWait          time.Duration // time for which a task waits for its gang's other members; 0: unknown
+	GangNotice        time.Duration // time within which a gang's members detect that one is gone; 0: unknown
 }
 
-// HeartbeatOverdue is the age from which a machine's last heartbeat counts as late.
+// HeartbeatOverdue returns the age from which a machine's last heartbeat counts as late.
 func (w *Workers) HeartbeatOverdue() time.Duration { return w.HeartbeatInterval * 3 / 2 }
 
 // StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS        float64 // requests a second
 	WriteRPS   float64 // mutations a second
-	ValueBytes int     // bytes of one value
-	TxnOps     int     // mutations of one transaction
+	ValueBytes int     // length of one value in bytes
+	TxnOps     int     // mutations in one transaction
 
-	// Next holds the limits from some moment on that nobody announces, none higher than now; nil:
-	// they stay as they are.
+	// Next holds the limits that will replace these at a time that is not announced. None is higher than
+	// the current one. nil: the limits do not change.
 	Next *StoreLimits
 }
 
-// Safe returns limits within which every value and transaction stays, before that moment and after
-// it. Rates are those of now: keeping the lower ones early would delay starts, and the store says
-// when one is exceeded.
+// Safe returns limits on values and transactions that hold both before and after Next takes effect. Rates
+// are the current ones: the lower ones would delay starts before they are in force. The store reports
+// when a rate is exceeded.
 func (s StoreLimits) Safe() StoreLimits {
 	if s.Next != nil {
 		s.ValueBytes = min(s.ValueBytes, s.Next.ValueBytes)
@@ -103,17 +103,17 @@
 // CloudLimits holds the limits of the cloud.
 type CloudLimits struct {
 	RPS     float64       // requests a second, of all controllers together
-	ListLag time.Duration // by which its list of machines may be out of date
+	ListLag time.Duration // maximum age of the state that its list of machines shows
 }
 
-// Resources holds what this process may use.
+// Resources holds the limits on the resources of this process.
 type Resources struct {
-	CPUShare   float64 // CPUs
+	CPUShare   float64 // number of CPUs, which may be a fraction
 	MemBytes   int64
 	MaxSockets int
 }
 
-// Warnings returns a line for each setting that is allowed but hardly meant.
+// Warnings returns a line for each setting that is allowed but probably a mistake.
 func (s *Settings) Warnings() []string {
 	var warnings []string
 	for _, team := range s.Teams {
@@ -124,7 +124,7 @@
 	return warnings
 }
 
-// HasController reports whether a controller runs in the zone, this one included.
+// HasController reports whether this or another controller runs in the zone.
 func (s *Settings) HasController(zone string) bool {
 	return s.Zone == zone || slices.ContainsFunc(s.Peers, func(peer Peer) bool { return peer.Zone == zone })
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// example returns a settings file with each pair of texts replaced, the first by the second.
+// example returns the example settings file. Of each pair of replacements, the first text is replaced by
+// the second.
 func example(t *testing.T, replacements ...string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("testdata/settings.json")
@@ -20,7 +21,7 @@
 	return []byte(strings.NewReplacer(replacements...).Replace(string(data)))
 }
 
-// withNext returns a settings file with limits of the store to come.
+// withNext returns the example settings file with next as the future limits of the store.
 func withNext(t *testing.T, next string) []byte {
 	t.Helper()
 	return []byte(strings.Replace(string(example(t)), `"rps": 80.0`, `"next": `+next+`, "rps": 80.0`, 1))
@@ -39,7 +40,7 @@
 	}
 }
 
-// The error names the field and why it is wrong.
+// TestSettingsRefused guards against errors that do not name the field and the reason.
 func TestSettingsRefused(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`"shelf-0"`, `""`, "node_name: must be a text"},
@@ -54,17 +55,18 @@
 		data := strings.Replace(string(example(t)), test.from, test.to, 1)
 		_, err := ParseSettings([]byte(data))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s for %s: %v", test.to, test.from, err)
+			t.Errorf("%s for %s: error %v, want %q in it", test.to, test.from, err, test.want)
 		}
 		field, reason, _ := strings.Cut(test.want, ": ")
 		var fieldError FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != field || !strings.HasPrefix(fieldError.Reason, reason) {
-			t.Errorf("%s for %s: %+v", test.to, test.from, fieldError)
+			t.Errorf("%s for %s: first FieldError %+v, want %q", test.to, test.from, fieldError, test.want)
 		}
 	}
 }
 
-// A limit of 0, or left out, is none; one below the guarantee is taken, and named.
+// TestTeamMaximum guards against a maximum of 0, or one that is left out, that is taken literally and
+// refuses every job, and against a maximum below the guarantee that is refused or not reported.
 func TestTeamMaximum(t *testing.T) {
 	settings, err := ParseSettings(example(t, `"cpus_max": 64.0`, `"cpus_max": 0.0`, `"cpus_max": 96.0`, `"cpus_max": 9.5, "colour": "red"`))
 	if err != nil {
@@ -79,19 +81,20 @@
 	}
 }
 
-// Limits to come may be left out, name some only, and never raise what is allowed now.
+// TestNextStoreLimits guards against future limits of the store that must all be given, or that raise a
+// current limit.
 func TestNextStoreLimits(t *testing.T) {
 	settings, err := ParseSettings(example(t))
 	if err != nil || settings.Store.Next != nil || settings.Store.Safe().ValueBytes != 8192 {
-		t.Errorf("%+v, %v", settings, err)
+		t.Errorf("without next: %+v, error %v", settings, err)
 	}
 	settings, err = ParseSettings(withNext(t, `{"write_rps": 18.0, "value_kb": 2.0, "txn_ops": 100}`))
 	if err != nil {
-		t.Fatalf("%+v, %v", settings, err)
+		t.Fatalf("with next: %+v, error %v", settings, err)
 	}
 	next, safe := settings.Store.Next, settings.Store.Safe()
 	if next.RPS != 80 || next.WriteRPS != 18 || safe.ValueBytes != 2048 || safe.TxnOps != 8 || safe.WriteRPS != 25 {
-		t.Errorf("%+v, %+v", next, safe)
+		t.Errorf("next limits %+v, safe limits %+v", next, safe)
 	}
 	for next, want := range map[string]string{
 		`7`:                    "params.state.next: must be an object",
@@ -100,21 +103,22 @@
 		`{"write_rps": "few"}`: "params.state.next.write_rps: must be a number",
 	} {
 		if _, err := ParseSettings(withNext(t, next)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", next, err)
+			t.Errorf("next %s: error %v, want %q in it", next, err, want)
 		}
 	}
 }
 
-// Every fault is named, not only the first.
+// TestSettingsAllFaults guards against errors that name only the first fault.
 func TestSettingsAllFaults(t *testing.T) {
 	_, err := ParseSettings(example(t, `"shelf-0"`, `1`, `"list_lag_s": 4.0`, `"list_lag_s": "x"`))
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) || len(joined.Unwrap()) != 2 {
-		t.Errorf("faults: %v", err)
+		t.Errorf("error %v, want two joined faults", err)
 	}
 }
 
-// Each fault of a file stands behind the file's path, and is still the typed error.
+// TestReadSettingsNamesFile guards against faults without the path of their file, and against faults that
+// are no longer a FieldError after it.
 func TestReadSettingsNamesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, example(t, `"shelf-0"`, `1`, `"list_lag_s": 4.0`, `"list_lag_s": "x"`), 0o600); err != nil {
@@ -124,6 +128,6 @@
 	want := path + ": node_name: must be a text that is not empty\n" + path + ": params.cloud.list_lag_s: must be a number"
 	var fieldError FieldError
 	if err == nil || err.Error() != want || !errors.As(err, &fieldError) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want the FieldErrors %q", err, want)
 	}
 }
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -9,10 +9,10 @@
 
 // node is an atom or a list.
 type node struct {
-	line   int // on which it starts, from 1
+	line   int // line on which it starts, from 1
 	isList bool
-	atom   string // not empty unless it is a list
-	list   []node
+	atom   string // text of an atom, which is never empty; "" for a list
+	list   []node // elements of a list; nil for an atom
 }
 
 // isPair reports whether the node is a list of two atoms.
@@ -20,12 +20,12 @@
 	return n.isList && len(n.list) == 2 && !n.list[0].isList && !n.list[1].isList
 }
 
-// maxDepth bounds the parser's recursion.
+// maxDepth is the maximum nesting depth. It bounds the parser's recursion.
 const maxDepth = 32
 
 var errNotClosed = errors.New("list is not closed")
 
-// parseSexp reads all expressions in data; a semicolon starts a comment that ends with the line. Its
+// parseSexp parses all expressions in data. A semicolon starts a comment that ends with the line. The
 // error is the LineError of the first fault.
 func parseSexp(data []byte) ([]node, error) {
 	parser := &sexpParser{data: data, line: 1}
@@ -45,8 +45,8 @@
 
 type sexpParser struct {
 	data []byte
-	pos  int // of the next byte
-	line int // that it is on
+	pos  int // index of the next byte
+	line int // line of the next byte, from 1
 }
 
 func (p *sexpParser) atEnd() bool { return p.pos == len(p.data) }
@@ -73,7 +73,7 @@
 	}
 }
 
-// expression reads a list or an atom, of which the first byte is next.
+// expression parses the list or atom that starts at the next byte. depth is the number of lists around it.
 func (p *sexpParser) expression(depth int) (node, error) {
 	if depth > maxDepth {
 		return node{}, LineError{p.line, fmt.Errorf("nested deeper than %d", maxDepth)}
