--- a/cmd/tulipshelf/commands.go
+++ b/cmd/tulipshelf/commands.go
@@ -14,13 +14,13 @@
 	"tulipshelf/internal/config"
 )
 
-// configFiles are the paths given on the command line.
+// configFiles holds the paths of the files given on the command line.
 type configFiles struct {
 	settings string
-	operator string // "": the defaults
+	operator string // "": the default settings are used
 }
 
-// configuration is what was read from them.
+// configuration holds the settings read from both files.
 type configuration struct {
 	settings *config.Settings
 	operator config.Operator
@@ -28,7 +28,7 @@
 
 var errNoSettings = errors.New("--config FILE is required")
 
-// read reads and checks both files. Its error is a usageError with a line for each fault of either.
+// read reads and checks both files. The error is a usageError with one line for each fault of either file.
 func (f *configFiles) read() (configuration, error) {
 	if f.settings == "" {
 		return configuration{}, usageError{errNoSettings}
@@ -99,7 +99,8 @@
 	}
 }
 
-// noArgs refuses arguments that are no subcommand.
+// noArgs refuses arguments, among them names that are not those of a subcommand. The error is a
+// usageError.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(cmd, args); err != nil {
 		return usageError{err}
--- a/cmd/tulipshelf/commands_test.go
+++ b/cmd/tulipshelf/commands_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// What is allowed but hardly meant is printed, and is no error.
+// TestCheckConfigWarns guards against settings that are probably a mistake being refused, or accepted
+// without a note.
 func TestCheckConfigWarns(t *testing.T) {
 	data, err := os.ReadFile(exampleSettings)
 	if err != nil {
@@ -56,25 +57,27 @@
 	}
 }
 
-// The faults of both files are named, a line each.
+// TestCheckConfigNamesAllFaults guards against faults of the operator file that are not named because the
+// settings file has faults too, and against several faults on one line.
 func TestCheckConfigNamesAllFaults(t *testing.T) {
 	settings := write(t, "settings.json", "[]")
 	operator := write(t, "operator", "(index (smoothing-s x) (update-s y))")
 	_, err := execute("check-config", "--config", settings, "--operator", operator)
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("files with faults are accepted")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	if len(lines) != 3 || !strings.HasPrefix(lines[0], settings+": not a JSON object") ||
 		lines[1] != operator+`: line 1: index.smoothing-s: "x" is not a number` || !strings.HasPrefix(lines[2], operator+": line 1: index.update-s") {
-		t.Errorf("%q", lines)
+		t.Errorf("error lines %q, want one of the settings and two of the operator file", lines)
 	}
 	if status := exitStatus(err); status != exitUsage {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status %d, want %d", status, exitUsage)
 	}
 }
 
-// Whatever the caller has to put right has an exit status of its own.
+// TestUsageErrors guards against errors that the caller has to correct having the exit status of a failed
+// controller, and the reverse.
 func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{
 		{},
@@ -85,13 +88,13 @@
 		{"check-config", "--config", "no-such-file"},
 	} {
 		if _, err := execute(args...); err == nil || exitStatus(err) != exitUsage {
-			t.Errorf("%q: %v", args, err)
+			t.Errorf("%q: error %v, want one with exit status %d", args, err, exitUsage)
 		}
 	}
 	if _, err := logLevel("loud"); exitStatus(err) != exitUsage {
-		t.Errorf("%v", err)
+		t.Errorf("unknown log level: error %v, want one with exit status %d", err, exitUsage)
 	}
 	if status := exitStatus(errors.New("store unreachable")); status != exitFailed {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status %d, want %d", status, exitFailed)
 	}
 }
--- a/cmd/tulipshelf/main.go
+++ b/cmd/tulipshelf/main.go
@@ -1,7 +1,7 @@
 // Command tulipshelf is the controller daemon of a cluster scheduler.
 //
-// main.go turns errors into exit statuses, commands.go holds the command line, run.go the process
-// around the controller.
+// main.go turns errors into exit statuses, commands.go defines the command line, and run.go sets up the
+// process and runs the controller.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	exitUsage  = 2 // bad arguments, settings, operator file or environment
 )
 
-// usageError marks what the caller has to put right.
+// usageError marks an error that the caller has to correct. The exit status is exitUsage then.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
@@ -33,7 +33,7 @@
 	if err == nil {
 		return
 	}
-	// Joined errors have a line each.
+	// Each of several joined errors is on a line of its own.
 	for line := range strings.SplitSeq(err.Error(), "\n") {
 		fmt.Fprintln(os.Stderr, "tulipshelf:", line)
 	}
--- a/cmd/tulipshelf/run.go
+++ b/cmd/tulipshelf/run.go
@@ -1,6 +1,6 @@
 package main
 
-// The process around the controller: its log, its memory and its end.
+// Set-up of the process: its log, its memory limit and the controller.
 
 import (
 	"context"
@@ -12,11 +12,13 @@
 	"tulipshelf/internal/controller"
 )
 
-// memoryLimitShare of the memory allowed is where the garbage collector starts to work harder; the rest
-// is for what it does not count: buffers of the system and the binary itself.
+// memoryLimitShare is the share of the process's memory that is set as the memory limit of the Go runtime.
+// Near the limit the garbage collector runs more often. The rest is for memory that the runtime does not
+// count: buffers of the operating system and the binary itself.
 const memoryLimitShare = 0.6
 
-// run runs the controller until ctx ends.
+// run runs the controller until ctx ends, and returns nil then. The error is that of the controller, or a
+// usageError if LOG_LEVEL is not a level.
 func run(ctx context.Context, configuration configuration) error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -39,7 +41,7 @@
 	return nil
 }
 
-// logLevel returns the level of that name; "" is info. Its error is a usageError.
+// logLevel returns the log level with that name; "" stands for info. The error is a usageError.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Replay replaces the output of a trace and keeps its commands, comments and empty lines. Were old
-// output kept, a trace would never differ from what it was once.
+// TestReplayReplacesOutput guards against traces that never differ from their files because their old
+// output is kept, and against commands, comments and empty lines that are lost.
 func TestReplayReplacesOutput(t *testing.T) {
 	trace := "# a comment\n\nadd 1 2\n> stale\n> stale too\nadd 3 4\n"
 	got := Replay([]byte(trace), func(out *bytes.Buffer, line string, words []string) {
