--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -12,30 +12,30 @@
 	"github.com/tidwall/evio"
 )
 
-// loopConn is a fake of an evio connection: it passes bytes to a connection as the loop does and
-// keeps what comes back.
-type loopConn struct {
+// fakeConn is a fake of an evio connection. It passes bytes to a connection as the event loop does and
+// records the bytes that the connection sends.
+type fakeConn struct {
 	connection *connection
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	out    strings.Builder
 	closed bool
-	woken  int
+	woken  int // number of calls of Wake
 }
 
-func (conn *loopConn) Context() any         { return conn.connection }
-func (conn *loopConn) SetContext(any)       {}
-func (conn *loopConn) AddrIndex() int       { return 0 }
-func (conn *loopConn) LocalAddr() net.Addr  { return nil }
-func (conn *loopConn) RemoteAddr() net.Addr { return nil }
-func (conn *loopConn) Wake() {
+func (conn *fakeConn) Context() any         { return conn.connection }
+func (conn *fakeConn) SetContext(any)       {}
+func (conn *fakeConn) AddrIndex() int       { return 0 }
+func (conn *fakeConn) LocalAddr() net.Addr  { return nil }
+func (conn *fakeConn) RemoteAddr() net.Addr { return nil }
+func (conn *fakeConn) Wake() {
 	conn.mu.Lock()
 	conn.woken++
 	conn.mu.Unlock()
-	conn.data("")
+	conn.receive("")
 }
 
-func (conn *loopConn) data(in string) {
+func (conn *fakeConn) receive(in string) {
 	out, action := conn.connection.transfer([]byte(in))
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -46,15 +46,15 @@
 	}
 }
 
-func (conn *loopConn) sent() (string, bool) {
+func (conn *fakeConn) sent() (string, bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.out.String(), conn.closed
 }
 
 // withConnection runs a test in simulated time on a connection whose handler responds with the path and
-// the body.
-func withConnection(t *testing.T, test func(*loopConn)) {
+// the body of the request: to /slow after a second, and to /busy only once the context ends.
+func withConnection(t *testing.T, test func(*fakeConn)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
 		server := &Server{IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second, Handler: func(ctx context.Context, r *Request) Response {
@@ -66,7 +66,7 @@
 			}
 			return Response{Status: 200, Body: []byte(r.Path + string(r.Body))}
 		}}
-		conn := &loopConn{}
+		conn := &fakeConn{}
 		conn.connection = server.newConnection(conn)
 		ctx, cancel := context.WithCancel(context.Background())
 		go server.serveConnection(ctx, conn.connection)
@@ -76,31 +76,31 @@
 	})
 }
 
-// Where connections run out, users' idle ones go first, the longest idle before
-// others; workers' stay.
-func TestMakeRoom(t *testing.T) {
+// TestEvictsLongestIdleConnection guards against worker agents that are refused because users hold all
+// connections: users' idle connections are evicted, the longest idle first, and workers' are not.
+func TestEvictsLongestIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := &Server{MaxConns: 100, IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second,
 			Handler: func(context.Context, *Request) Response { return Response{Status: 200} },
 			Lasting: func(r *Request) bool { return r.Path == "/report" }}
 		ctx, cancel := context.WithCancel(context.Background())
-		conns := make([]*loopConn, 3)
+		conns := make([]*fakeConn, 3)
 		for i, path := range []string{"/report", "/job", "/job"} {
-			conn := &loopConn{}
+			conn := &fakeConn{}
 			conn.connection = server.newConnection(conn)
 			go server.serveConnection(ctx, conn.connection)
-			conn.data("GET " + path + " HTTP/1.1\r\n\r\n")
+			conn.receive("GET " + path + " HTTP/1.1\r\n\r\n")
 			time.Sleep(time.Second)
 			conns[i] = conn
 		}
-		for i, want := range []struct{ room, first, second bool }{{true, true, false}, {true, true, true}, {false, true, true}} {
-			room := server.makeRoom()
+		for i, want := range []struct{ evicted, first, second bool }{{true, true, false}, {true, true, true}, {false, true, true}} {
+			evicted := server.evictLongestIdle()
 			synctest.Wait()
 			_, worker := conns[0].sent()
 			_, first := conns[1].sent()
 			_, second := conns[2].sent()
-			if room != want.room || worker || first != want.first || second != want.second {
-				t.Errorf("after %d: room %v, closed %v %v %v", i+1, room, worker, first, second)
+			if evicted != want.evicted || worker || first != want.first || second != want.second {
+				t.Errorf("eviction %d: done %v; closed: worker %v, users %v and %v", i+1, evicted, worker, first, second)
 			}
 		}
 		cancel()
@@ -108,12 +108,13 @@
 	})
 }
 
-// Where nearly all connections are taken, workers' are closed after each answer too, so that
-// others find room; below that they stay, and users' are closed.
-func TestClosedWhenCrowded(t *testing.T) {
+// TestClosesNearConnectionLimit guards against clients that find every connection taken by others. Above
+// closeShare of MaxConns users' connections are closed after each response, and above closeLastingShare
+// workers' connections too.
+func TestClosesNearConnectionLimit(t *testing.T) {
 	for _, test := range []struct {
-		open         int64
-		worker, user bool // whether their connections are closed
+		open         int64 // number of open connections
+		worker, user bool  // whether their connections are closed
 	}{{80, false, false}, {81, false, true}, {95, false, true}, {96, true, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			server := &Server{MaxConns: 100, IdleTimeout: time.Minute, ReadTimeout: 10 * time.Second,
@@ -122,13 +123,13 @@
 			server.open.Store(test.open)
 			ctx, cancel := context.WithCancel(context.Background())
 			for path, want := range map[string]bool{"/report": test.worker, "/job": test.user} {
-				conn := &loopConn{}
+				conn := &fakeConn{}
 				conn.connection = server.newConnection(conn)
 				go server.serveConnection(ctx, conn.connection)
-				conn.data("GET " + path + " HTTP/1.1\r\n\r\n")
+				conn.receive("GET " + path + " HTTP/1.1\r\n\r\n")
 				time.Sleep(time.Second)
 				if out, closed := conn.sent(); closed != want || !strings.HasPrefix(out, "HTTP/1.1 200") {
-					t.Errorf("%d open, %s: closed %v, %q", test.open, path, closed, out)
+					t.Errorf("%d open, %s: closed %v, want %v; sent %q", test.open, path, closed, want, out)
 				}
 			}
 			cancel()
@@ -138,12 +139,12 @@
 }
 
 func TestConnectionAnswersInTurn(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Len")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Len")
 		time.Sleep(time.Second)
-		conn.data("gth: 1\r\n\r\nx")
+		conn.receive("gth: 1\r\n\r\nx")
 		time.Sleep(time.Second)
-		conn.data("GET /c HTTP/1.1\r\nConnection: close\r\n\r\n")
+		conn.receive("GET /c HTTP/1.1\r\nConnection: close\r\n\r\n")
 		time.Sleep(time.Second)
 		out, closed := conn.sent()
 		if strings.Count(out, "200 OK") != 3 || !strings.Contains(out, "/bx") || !closed {
@@ -153,8 +154,8 @@
 }
 
 func TestConnectionMalformed(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("nonsense\r\n\r\nGET /a HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("nonsense\r\n\r\nGET /a HTTP/1.1\r\n\r\n")
 		time.Sleep(time.Second)
 		out, closed := conn.sent()
 		if !strings.HasPrefix(out, "HTTP/1.1 400") || strings.Contains(out, "200 OK") || !closed {
@@ -164,46 +165,47 @@
 }
 
 func TestConnectionSlowAndIdle(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /a HTT")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /a HTT")
 		time.Sleep(9 * time.Second)
 		if _, closed := conn.sent(); closed {
-			t.Error("closed before the time to read is over")
+			t.Error("closed before ReadTimeout")
 		}
 		time.Sleep(2 * time.Second)
 		if _, closed := conn.sent(); !closed {
-			t.Error("a slow peer is kept")
+			t.Error("a slow peer's connection is open after ReadTimeout")
 		}
 	})
-	withConnection(t, func(conn *loopConn) {
+	withConnection(t, func(conn *fakeConn) {
 		time.Sleep(59 * time.Second)
 		if _, closed := conn.sent(); closed {
-			t.Error("closed before the idle time is over")
+			t.Error("closed before IdleTimeout")
 		}
 		time.Sleep(2 * time.Second)
 		if _, closed := conn.sent(); !closed {
-			t.Error("a silent peer is kept")
+			t.Error("an idle connection is open after IdleTimeout")
 		}
 	})
 }
 
 func TestConnectionBounded(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /busy HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /busy HTTP/1.1\r\n\r\n")
 		synctest.Wait()
 		for range 100 {
-			conn.data(strings.Repeat("x", 2000))
+			conn.receive(strings.Repeat("x", 2000))
 		}
 		if _, closed := conn.sent(); !closed {
-			t.Error("a peer may send without end")
+			t.Error("the connection is open after more than maxPending bytes that are not parsed")
 		}
 	})
 }
 
-// A handler that ends after its connection does not touch the loop any more.
+// TestConnectionGoneIsNotWoken guards against the wake of a closed connection, whose event loop may have
+// ended: a handler that returns after the connection is closed does not wake it.
 func TestConnectionGoneIsNotWoken(t *testing.T) {
-	withConnection(t, func(conn *loopConn) {
-		conn.data("GET /slow HTTP/1.1\r\n\r\n")
+	withConnection(t, func(conn *fakeConn) {
+		conn.receive("GET /slow HTTP/1.1\r\n\r\n")
 		synctest.Wait()
 		close(conn.connection.closed)
 		time.Sleep(2 * time.Second)
