--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -10,18 +10,18 @@
 
 // A cancellation is told to nobody before a majority of the controllers holds it, though it is
 // recorded and reported to the node at once.
-func TestCancelIsToldOnceReplicated(t *testing.T) {
+func TestCancelAnsweredOnceReplicated(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.notReplicated.Store(true)
 		f.expectUnavailable(f.cancel("wk-000001"))
 		if f.record("wk-000001").CancelledMS == 0 {
 			t.Error("not recorded")
 		}
-		if cancelled := f.noted(&f.cancelled); !slices.Equal(cancelled, []string{"wk-000001"}) {
+		if cancelled := f.snapshot(&f.cancelledByRequests); !slices.Equal(cancelled, []string{"wk-000001"}) {
 			t.Errorf("reported: %v", cancelled)
 		}
-		if read := f.noted(&f.read); !slices.Equal(read, []string{"wk-000001"}) {
+		if read := f.snapshot(&f.cancelledByReads); !slices.Equal(read, []string{"wk-000001"}) {
 			t.Errorf("found by reads: %v", read)
 		}
 		f.expectUnavailable(f.poll("wk-000001"))
@@ -38,7 +38,7 @@
 // Cancelling again changes nothing in the record.
 func TestCancelAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.notReplicated.Store(true)
 		f.expectUnavailable(f.cancel("wk-000001"))
 		first, changes := f.record("wk-000001"), f.store.Changes("")
@@ -56,7 +56,7 @@
 // A cancellation that was applied without an answer is read back.
 func TestCancelAppliedWithoutAnswer(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 	})
@@ -65,10 +65,10 @@
 // A cancellation that may yet be applied is not told.
 func TestCancelInDoubt(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.store.SetFaults(fake.StoreFaults{HoldNext: maxCancelAttempts, HoldPrefix: jobstore.JobPrefix})
 		f.expectUnavailable(f.cancel("wk-000001"))
-		if cancelled := f.noted(&f.cancelled); len(cancelled) != 0 {
+		if cancelled := f.snapshot(&f.cancelledByRequests); len(cancelled) != 0 {
 			t.Errorf("reported: %v", cancelled)
 		}
 		f.store.ReleaseHeld()
@@ -79,11 +79,11 @@
 // Cancelling a job that has ended tells its final state, and of no job that there is none.
 func TestCancelFinished(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.finish("wk-000001", StatusDone, 10)
 		f.expect(f.cancel("wk-000001"), 200, StatusDone)
 		f.expectRefused(f.cancel("wk-000002"), 404)
-		if cancelled := f.noted(&f.cancelled); len(cancelled) != 0 {
+		if cancelled := f.snapshot(&f.cancelledByRequests); len(cancelled) != 0 {
 			t.Errorf("reported: %v", cancelled)
 		}
 	})
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -21,19 +21,19 @@
 
 // fixture is a handler that runs against a key-value store, and what it reports to its node.
 type fixture struct {
-	t       *testing.T
-	store   *fake.Store
-	client  *kvstore.Client // another node's
-	handler *Handler
+	t          *testing.T
+	store      *fake.Store
+	peerClient *kvstore.Client // another node's
+	handler    *Handler
 
-	catalogUnknown atomic.Bool
-	noGangs        atomic.Bool
-	notReplicated  atomic.Bool // no other controller can be reached
+	catalogUnknown   atomic.Bool
+	gangsUnsupported atomic.Bool
+	notReplicated    atomic.Bool // no other controller can be reached
 
-	mu        sync.Mutex // guards what follows
-	changed   []string
-	cancelled []string // by requests
-	read      []string // found cancelled by reads
+	mu                  sync.Mutex // guards what follows
+	changed             []string
+	cancelledByRequests []string // by requests
+	cancelledByReads    []string // found cancelled by reads
 }
 
 const storeAddr = "store"
@@ -50,7 +50,7 @@
 	go network.Serve(t.Context(), storeAddr, f.store.Handle)
 	synctest.Wait()
 	const rps = 1000
-	f.client = kvstore.New(network.Dial("other-node"), storeAddr, rps, rps)
+	f.peerClient = kvstore.New(network.Dial("other-node"), storeAddr, rps, rps)
 	f.handler = New(Config{
 		Store:         kvstore.New(network.Dial("node"), storeAddr, rps, rps),
 		StoreRPS:      rps,
@@ -65,10 +65,10 @@
 				{Name: "large", CPUs: 16, GPUs: 1, RAM: 64, Zones: []string{"east"}},
 			}
 		},
-		GangsSupported:        func() bool { return !f.noGangs.Load() },
-		OnJobChanged:          func(id string) { f.note(&f.changed, id) },
-		OnJobCancelled:        func(id string) { f.note(&f.cancelled, id) },
-		OnCancellationsRead:   func(ids []string, _ time.Time) { f.note(&f.read, ids...) },
+		GangsSupported:        func() bool { return !f.gangsUnsupported.Load() },
+		OnJobChanged:          func(id string) { f.appendTo(&f.changed, id) },
+		OnJobCancelled:        func(id string) { f.appendTo(&f.cancelledByRequests, id) },
+		OnCancellationsRead:   func(ids []string, _ time.Time) { f.appendTo(&f.cancelledByReads, ids...) },
 		ReplicateCancellation: func(context.Context, string) bool { return !f.notReplicated.Load() },
 	})
 	go f.handler.Run(t.Context())
@@ -76,13 +76,13 @@
 	return f
 }
 
-func (f *fixture) note(list *[]string, ids ...string) {
+func (f *fixture) appendTo(list *[]string, ids ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*list = append(*list, ids...)
 }
 
-func (f *fixture) noted(list *[]string) []string {
+func (f *fixture) snapshot(list *[]string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(*list)
@@ -113,8 +113,8 @@
 	return f.serve("POST", "/v1/jobs/"+id+"/abort", nil)
 }
 
-// submitted submits a job that is accepted.
-func (f *fixture) submitted(id string) {
+// mustSubmit submits a job that is accepted.
+func (f *fixture) mustSubmit(id string) {
 	f.t.Helper()
 	f.expect(f.submit(submission(id)), 201, StatusPending)
 }
@@ -122,7 +122,7 @@
 // write changes the records, as the leader on another node does.
 func (f *fixture) write(mutations ...kvstore.Mutation) {
 	f.t.Helper()
-	if _, err := f.client.Txn(f.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
+	if _, err := f.peerClient.Txn(f.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -137,7 +137,7 @@
 // record returns what is recorded of an unfinished job.
 func (f *fixture) record(id string) jobstore.Record {
 	f.t.Helper()
-	item, err := f.client.Get(f.t.Context(), jobstore.JobKey(id), kvstore.PriorityLease)
+	item, err := f.peerClient.Get(f.t.Context(), jobstore.JobKey(id), kvstore.PriorityLease)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	return record
 }
 
-// state decodes an answer about a job.
-func (f *fixture) state(response wire.Response) jobState {
+// decodeState decodes an answer about a job.
+func (f *fixture) decodeState(response wire.Response) jobState {
 	f.t.Helper()
 	var state jobState
 	if response.Status != 200 && response.Status != 201 {
@@ -167,7 +167,7 @@
 		f.t.Errorf("HTTP status %d, want %d", response.Status, httpStatus)
 		return
 	}
-	if state := f.state(response); state.Status != want {
+	if state := f.decodeState(response); state.Status != want {
 		f.t.Errorf("status %q, want %q", state.Status, want)
 	}
 }
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -34,8 +34,8 @@
 // but for what is known to have ended.
 func TestOutage(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
-		f.submitted("wk-000001")
-		f.submitted("wk-000002")
+		f.mustSubmit("wk-000001")
+		f.mustSubmit("wk-000002")
 		f.finish("wk-000002", StatusDone, 10)
 		f.expect(f.poll("wk-000002"), 200, StatusDone)
 		f.store.SetFaults(fake.StoreFaults{Down: true})
@@ -54,7 +54,7 @@
 // A store that answers too late counts as one that does not answer.
 func TestSlowStore(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.store.SetFaults(fake.StoreFaults{Delay: 2 * requestTimeout})
 		f.expectUnavailable(f.poll("wk-000001"))
 		f.expectUnavailable(f.submit(submission("wk-000002")))
--- a/internal/api/job_view.go
+++ b/internal/api/job_view.go
@@ -20,12 +20,12 @@
 	firstChunk int // chunks below it are of an earlier layout of the job and no longer count
 	revision   uint64
 
-	reported bool                // the cancellation was passed on by the replica
-	chunks   map[int]chunkCounts // by number
+	reported bool              // the cancellation was passed on by the replica
+	chunks   map[int]chunkView // by number
 }
 
-// chunkCounts is what one chunk's record says of its tasks.
-type chunkCounts struct {
+// chunkView is what one chunk's record says of its tasks.
+type chunkView struct {
 	revision uint64
 	done     int
 	live     []jobstore.Location
@@ -43,7 +43,7 @@
 		if isDelete {
 			return
 		}
-		view = &jobView{chunks: map[int]chunkCounts{}}
+		view = &jobView{chunks: map[int]chunkView{}}
 		jobs[id] = view
 	}
 	if chunk >= 0 {
@@ -89,7 +89,7 @@
 	if err != nil {
 		slog.Error("chunk unreadable", "key", event.Put, "err", err)
 	}
-	v.chunks[chunk] = chunkCounts{revision: event.Revision, done: done, live: live}
+	v.chunks[chunk] = chunkView{revision: event.Revision, done: done, live: live}
 }
 
 // state returns what users are told of the job, whose record must be readable.
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -37,7 +37,7 @@
 	}
 	state, err := h.replica.state(id)
 	switch {
-	case errors.Is(err, errNotUnfinished):
+	case errors.Is(err, errNoUnfinishedJob):
 		return h.readFinalState(ctx, id)
 	case err != nil:
 		return jobState{}, err
--- a/internal/api/poll_test.go
+++ b/internal/api/poll_test.go
@@ -13,14 +13,14 @@
 // A poll shows what any node has written before it, also right after another poll.
 func TestPollIsFresh(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		for tasksDone, done := range []string{"", "0", "0-1", "0-2"} {
 			f.write(kvstore.Mutation{
 				Put:   "job/wk-000001/000000",
 				Value: wire.Marshal(map[string]any{"done": done, "live": [][]any{{9, 1, "m-1", 1}}}),
 			})
 			want := jobState{ID: "wk-000001", Status: StatusRunning, Done: tasksDone, Running: 1}
-			if state := f.state(f.poll("wk-000001")); state != want {
+			if state := f.decodeState(f.poll("wk-000001")); state != want {
 				t.Errorf("%+v, want %+v", state, want)
 			}
 		}
@@ -34,14 +34,14 @@
 // Polls that come at once share one read, which is sent after they came.
 func TestOneReadAnswersManyPolls(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		f.poll("wk-000001") // the replica is loaded
 		time.Sleep(time.Second)
 		before := f.store.Requests()
 		const polls = 50
 		statuses := make(chan JobStatus, polls)
 		for range polls {
-			go func() { statuses <- f.state(f.poll("wk-000001")).Status }()
+			go func() { statuses <- f.decodeState(f.poll("wk-000001")).Status }()
 		}
 		for range polls {
 			if status := <-statuses; status != StatusPending {
@@ -58,16 +58,16 @@
 func TestPollFinished(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.notReplicated.Store(true)
-		f.submitted("wk-000001")
-		f.submitted("wk-000002")
+		f.mustSubmit("wk-000001")
+		f.mustSubmit("wk-000002")
 		f.finish("wk-000001", StatusDone, 10)
 		f.finish("wk-000002", StatusCancelled, 10)
 		want := jobState{ID: "wk-000001", Status: StatusDone, Done: 10}
-		if state := f.state(f.poll("wk-000001")); state != want {
+		if state := f.decodeState(f.poll("wk-000001")); state != want {
 			t.Errorf("%+v, want %+v", state, want)
 		}
 		want = jobState{ID: "wk-000002", Status: StatusCancelled}
-		if state := f.state(f.poll("wk-000002")); state != want {
+		if state := f.decodeState(f.poll("wk-000002")); state != want {
 			t.Errorf("%+v, want %+v", state, want)
 		}
 		f.expectRefused(f.poll("wk-000003"), 404)
@@ -77,7 +77,7 @@
 // A node that begins with cancelled jobs in the records reports them with its first read, once.
 func TestCancellationsAreReportedByReads(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.submitted("wk-000001")
+		f.mustSubmit("wk-000001")
 		cancelled := f.record("wk-000001")
 		cancelled.CancelledMS = 1
 		f.write(kvstore.Mutation{Put: jobstore.JobKey("wk-000001"), Value: wire.Marshal(cancelled)})
@@ -86,7 +86,7 @@
 				t.Fatal(err)
 			}
 		}
-		if read := f.noted(&f.read); !slices.Equal(read, []string{"wk-000001"}) {
+		if read := f.snapshot(&f.cancelledByReads); !slices.Equal(read, []string{"wk-000001"}) {
 			t.Errorf("found by reads: %v", read)
 		}
 	})
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -200,7 +200,7 @@
 
 // Errors of state.
 var (
-	errNotUnfinished    = errors.New("api: no unfinished job")
+	errNoUnfinishedJob  = errors.New("api: no unfinished job")
 	errRecordUnreadable = errors.New("api: record unreadable")
 )
 
@@ -212,7 +212,7 @@
 	view := r.jobs[id]
 	switch {
 	case view == nil || !view.hasRecord:
-		return jobState{}, errNotUnfinished
+		return jobState{}, errNoUnfinishedJob
 	case view.unreadable:
 		return jobState{}, errRecordUnreadable
 	}
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -15,7 +15,7 @@
 
 // While everything is read anew the state that was confirmed before stands: a job in it is not
 // missed by a request that still looks at it.
-func TestReplicaStandsUntilReloaded(t *testing.T) {
+func TestReplicaKeptUntilReloaded(t *testing.T) {
 	const id = "wk-000001"
 	dial := func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }
 	r := newReplica(kvstore.New(dial, "", 100, 100), 100, func([]string, time.Time) {})
@@ -28,7 +28,7 @@
 		t.Errorf("%+v, %v", state, err)
 	}
 	applyEvent(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
-	if _, err := r.state(id); !errors.Is(err, errNotUnfinished) {
+	if _, err := r.state(id); !errors.Is(err, errNoUnfinishedJob) {
 		t.Errorf("%v after the job's end", err)
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // Chunks of an earlier layout of a job no longer count, but tasks in them may still run.
-func TestViewOfJobLaidOutAnew(t *testing.T) {
+func TestViewOfRechunkedJob(t *testing.T) {
 	const id = "wk-000001"
 	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1, FirstChunk: 2})
 	chunk := wire.Marshal(map[string]any{"done": "0-3", "live": [][]any{{9, 1, "m-1", 1}}})
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -27,7 +27,7 @@
 	}
 	spec, err := h.validate(body)
 	if err != nil {
-		return h.okIfKnown(ctx, id, err)
+		return h.okIfExists(ctx, id, err)
 	}
 	err = h.createRecord(ctx, spec)
 	if err == nil {
@@ -35,7 +35,7 @@
 		return respondCreated(jobSummary{id, StatusPending})
 	}
 	if needsReadBack(err) {
-		return h.okIfKnown(ctx, id, err)
+		return h.okIfExists(ctx, id, err)
 	}
 	slog.Debug("submission not written", "job", id, "err", err)
 	return unavailable()
@@ -48,15 +48,15 @@
 		SubmittedMS: time.Now().UnixMilli(),
 		ChunkSize:   h.cfg.TasksPerChunk,
 	}
-	isUnknown := []kvstore.Compare{{Key: jobstore.JobKey(spec.ID)}, {Key: jobstore.EndKey(spec.ID)}}
+	absent := []kvstore.Compare{{Key: jobstore.JobKey(spec.ID)}, {Key: jobstore.EndKey(spec.ID)}}
 	put := []kvstore.Mutation{{Put: jobstore.JobKey(spec.ID), Value: wire.Marshal(record)}}
-	_, err := h.cfg.Store.Txn(ctx, isUnknown, put, kvstore.PriorityUser)
+	_, err := h.cfg.Store.Txn(ctx, absent, put, kvstore.PriorityUser)
 	return err
 }
 
-// okIfKnown answers a submission that could not be accepted because of cause: 200 if the job is
+// okIfExists answers a submission that could not be accepted because of cause: 200 if the job is
 // known, otherwise what follows from the cause.
-func (h *Handler) okIfKnown(ctx context.Context, id string, cause error) wire.Response {
+func (h *Handler) okIfExists(ctx context.Context, id string, cause error) wire.Response {
 	state, err := h.lookup(ctx, id)
 	if err == nil {
 		return respondOK(jobSummary{id, state.Status})
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -15,7 +15,7 @@
 		if record := f.record("wk-000001"); record.Spec.Tasks != 10 || record.ChunkSize != 10 || record.SubmittedMS == 0 {
 			t.Errorf("record %+v", record)
 		}
-		if changed := f.noted(&f.changed); !slices.Equal(changed, []string{"wk-000001"}) {
+		if changed := f.snapshot(&f.changed); !slices.Equal(changed, []string{"wk-000001"}) {
 			t.Errorf("changed: %v", changed)
 		}
 		f.expect(f.submit(submission("wk-000001")), 200, StatusPending)
@@ -51,13 +51,13 @@
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		gang := submission("wk-000001")
 		gang["shape"], gang["tickets"] = "ensemble", 2
-		f.noGangs.Store(true)
+		f.gangsUnsupported.Store(true)
 		f.expectUnavailable(f.submit(gang))
-		f.submitted("wk-000002") // other shapes are accepted meanwhile
+		f.mustSubmit("wk-000002") // other shapes are accepted meanwhile
 		f.catalogUnknown.Store(true)
 		f.expectUnavailable(f.submit(submission("wk-000003")))
 		f.expect(f.submit(submission("wk-000002")), 200, StatusPending)
-		f.noGangs.Store(false)
+		f.gangsUnsupported.Store(false)
 		f.catalogUnknown.Store(false)
 		f.expect(f.submit(gang), 201, StatusPending)
 	})
@@ -72,7 +72,7 @@
 		if types := f.record("wk-000001").Spec.Types; !slices.Equal(types, []string{"large"}) {
 			t.Errorf("types %v", types)
 		}
-		f.submitted("wk-000002")
+		f.mustSubmit("wk-000002")
 		if types := f.record("wk-000002").Spec.Types; types != nil {
 			t.Errorf("types %v of a job that allows any", types)
 		}
--- a/internal/api/validate_test.go
+++ b/internal/api/validate_test.go
@@ -38,7 +38,7 @@
 				if c.field == "uid" {
 					return
 				}
-				f.submitted("wk-000001")
+				f.mustSubmit("wk-000001")
 				f.expect(f.submit(invalid), 200, StatusPending) // known, whatever this copy says
 				f.store.SetFaults(fake.StoreFaults{Down: true})
 				f.expectUnavailable(f.submit(invalid)) // in doubt it is not refused, either
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,10 +9,10 @@
 
 func TestSleep(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		timeout  time.Duration // of the context
-		whole    bool
-		sleptFor time.Duration
+		name      string
+		timeout   time.Duration // of the context
+		completed bool
+		sleptFor  time.Duration
 	}{
 		{"for all of the time", time.Hour, true, time.Minute},
 		{"until the context ends", time.Second, false, time.Second},
@@ -22,9 +22,9 @@
 				ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
 				defer cancel()
 				start := time.Now()
-				whole := Sleep(ctx, time.Minute)
-				if sleptFor := time.Since(start); whole != test.whole || sleptFor != test.sleptFor {
-					t.Errorf("%v after %v", whole, sleptFor)
+				completed := Sleep(ctx, time.Minute)
+				if sleptFor := time.Since(start); completed != test.completed || sleptFor != test.sleptFor {
+					t.Errorf("%v after %v", completed, sleptFor)
 				}
 			})
 		})
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -15,14 +15,14 @@
 }
 
 // Term returns the term of the leader that made the attempt.
-func (id AttemptID) Term() uint64 { return id.Number >> termShift }
+func (id AttemptID) Term() uint64 { return id.Number >> sequenceBits }
 
-// termShift leaves room for 16 million attempts in one term.
-const termShift = 24
+// sequenceBits leaves room for 16 million attempts in one term.
+const sequenceBits = 24
 
 // AttemptNumber returns the number of the attempt that a leader makes in a term, given how many it
 // has made before. Numbers of a later term are higher.
-func AttemptNumber(term, sequence uint64) uint64 { return term<<termShift | sequence }
+func AttemptNumber(term, sequence uint64) uint64 { return term<<sequenceBits | sequence }
 
 // taskSeparator stands between the ID of a job and the index of a task in the task's name.
 const taskSeparator = "/"
--- a/internal/job/check.go
+++ b/internal/job/check.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxText   = 200 // bytes of a name
-	maxAmount = 1e9 // far above every amount that is meant, in any unit
+	maxNameBytes = 200 // bytes of a name
+	maxAmount    = 1e9 // far above every amount that is meant, in any unit
 )
 
 // FieldError says that one field of a submission is missing or has a value that is not allowed.
@@ -33,9 +33,9 @@
 	}
 }
 
-// text requires a text that is neither empty nor longer than maxText.
+// text requires a text that is neither empty nor longer than maxNameBytes.
 func (c *checker) text(field string, value *string) string {
-	if value == nil || *value == "" || len(*value) > maxText {
+	if value == nil || *value == "" || len(*value) > maxNameBytes {
 		c.fail(FieldError{field, "is missing, empty or too long"})
 		return ""
 	}
@@ -94,7 +94,7 @@
 // checked against the catalog elsewhere.
 func (c *checker) typeNames(field string, names []string) []string {
 	for _, name := range names {
-		if name == "" || len(name) > maxText {
+		if name == "" || len(name) > maxNameBytes {
 			c.fail(FieldError{field, "holds an empty or too long name"})
 		}
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -9,8 +9,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// valid returns the fields of a submission that is accepted.
-func valid() map[string]any {
+// validSubmission returns the fields of a submission that is accepted.
+func validSubmission() map[string]any {
 	return map[string]any{"uid": "wk-000412", "lane": "train", "crew": "vision", "shape": "array", "rank": "high",
 		"tickets": 16, "cpus": 8, "gpus": 1.0, "ram_gb": 64.0, "bundle": "img-07", "image_gb": 6.2,
 		"builds": []string{"g8"}, "depot": nil, "same_place": true, "apart": false, "loaners": true,
@@ -18,7 +18,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	spec, err := Decode(wire.Marshal(valid()))
+	spec, err := Decode(wire.Marshal(validSubmission()))
 	if err != nil || spec.Tasks != 16 || spec.CPUs != 8 || spec.Rank() != RankHigh || spec.Zone != "" || len(spec.Types) != 1 || spec.DueS != 900 {
 		t.Fatalf("%+v, %v", spec, err)
 	}
@@ -26,7 +26,7 @@
 
 // Null is the same as left out, and unknown fields are ignored.
 func TestDecodeOptionalFields(t *testing.T) {
-	fields := valid()
+	fields := validSubmission()
 	delete(fields, "depot")
 	delete(fields, "due_s")
 	fields["builds"], fields["colour"] = nil, "red"
@@ -45,7 +45,7 @@
 		{"gpus", math.Inf(1)}, {"ram_gb", nil}, {"image_gb", "big"}, {"same_place", nil}, {"apart", 1}, {"due_s", -1.0},
 		{"bundle", strings.Repeat("x", 300)}, {"builds", "g8"}, {"builds", []string{""}}, {"depot", ""},
 	} {
-		fields := valid()
+		fields := validSubmission()
 		fields[test.field] = test.value
 		if _, err := Decode(wire.Marshal(fields)); err == nil {
 			t.Errorf("%s = %v is accepted", test.field, test.value)
@@ -69,7 +69,7 @@
 		{"tickets", 0, "job: tickets is missing or out of range"},
 		{"builds", []string{""}, "job: builds holds an empty or too long name"},
 	} {
-		fields := valid()
+		fields := validSubmission()
 		fields[test.field] = test.value
 		_, err := Decode(wire.Marshal(fields))
 		var fieldError FieldError
@@ -100,7 +100,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(wire.Marshal(valid()))
+	f.Add(wire.Marshal(validSubmission()))
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte("\xa2\x63uid\x61x\x63uid\x61y"))
