--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the cancellation of a job, from the request to the answer.
+// This file handles the cancellation of a job.
 
 import (
 	"context"
@@ -13,15 +13,17 @@
 	"tulipshelf/internal/wire"
 )
 
-// maxCancelAttempts bounds how often a cancellation is tried while the leader, or another node,
-// changes the job's record at the same time. The user is asked to retry after that.
+// maxCancelAttempts is the number of attempts to record one cancellation. An attempt is repeated if the
+// leader or another node changes the job's record at the same time, or if its outcome is unknown. The
+// user is asked to retry after the last one.
 const maxCancelAttempts = 3
 
-// errNotReplicated says that too few controllers hold a cancellation that is recorded.
+// errNotReplicated means that a recorded cancellation is not confirmed to be held in memory by a
+// majority of the controllers.
 var errNotReplicated = errors.New("api: cancellation not held by a majority")
 
-// cancel cancels an unfinished job: it records the cancellation, has it replicated, and only then
-// tells the user. The answer for a job that has ended is its final state.
+// cancel cancels an unfinished job. It answers that the job is cancelled only after the cancellation is
+// recorded and replicated. For a job that has ended it answers with the job's final status.
 func (h *Handler) cancel(ctx context.Context, id string) wire.Response {
 	if status, cached := h.finalStates.get(id); cached {
 		return respondOK(jobSummary{id, status})
@@ -45,8 +47,9 @@
 	return unavailable()
 }
 
-// recordCancellation marks a job as cancelled in its record, given as it was read. It writes
-// nothing if the job is marked already.
+// recordCancellation marks a job as cancelled in its record, of which item is the version last read.
+// It writes nothing if the job is already marked. The error is that of decoding the record or of the
+// transaction, which conflicts if the record has changed since it was read.
 func (h *Handler) recordCancellation(ctx context.Context, id string, item *kvstore.Item) error {
 	record, err := jobstore.DecodeRecord(item.Value)
 	if err != nil {
@@ -58,7 +61,8 @@
 	}
 	record.CancelledMS = time.Now().UnixMilli()
 	if record.Arrival == 0 {
-		record.Arrival = item.Revision // this write changes the revision, which orders jobs by arrival
+		// Jobs are ordered by the revision of their first record, which this write replaces.
+		record.Arrival = item.Revision
 	}
 	unchanged := []kvstore.Compare{{Key: item.Key, Revision: item.Revision}}
 	put := []kvstore.Mutation{{Put: item.Key, Value: wire.Marshal(record)}}
@@ -66,12 +70,13 @@
 	return err
 }
 
-// confirmCancellation answers the user after the cancellation was recorded. From now on no start of
-// a task of the job can be recorded. The replica is read first, so that Locations returns those that
-// were: from the answer on somebody has to see to it that they end.
+// confirmCancellation answers a cancellation request after the cancellation was recorded. From that
+// record on, no start of a task of the job can be recorded. The replica is refreshed before the answer,
+// so that Locations returns all starts that were recorded earlier: from the answer on, the controllers
+// have to ensure that these tasks end.
 func (h *Handler) confirmCancellation(ctx context.Context, id string) wire.Response {
 	h.cfg.OnJobCancelled(id)
-	h.cfg.OnJobChanged(id) // the leader needs the record's new revision, too
+	h.cfg.OnJobChanged(id) // the leader also needs the record's new revision
 	if err := h.Refresh(ctx); err != nil {
 		return unavailable()
 	}
@@ -81,7 +86,7 @@
 	return respondOK(jobSummary{id, StatusCancelled})
 }
 
-// cancelFinished answers the cancellation of a job that has no record of an unfinished job.
+// cancelFinished answers the cancellation of a job for which no record of an unfinished job was found.
 func (h *Handler) cancelFinished(ctx context.Context, id string) wire.Response {
 	state, err := h.lookup(ctx, id)
 	switch {
@@ -90,19 +95,19 @@
 	case err != nil:
 		return unavailable()
 	case state.Status.unfinished():
-		return unavailable() // submitted since
+		return unavailable() // the job was submitted after its record was looked up
 	}
 	return respondOK(jobSummary{id, state.Status})
 }
 
-// confirmReplicated returns nil if a user may be told that an unfinished job is cancelled. The
-// answer starts the time in which the job's tasks must be gone, so a majority of the controllers
-// must hold the cancellation in memory. Once the job's end is recorded no task is left, and this
-// is not needed.
+// confirmReplicated returns nil if users may be told that an unfinished job is cancelled, and caches
+// that status; otherwise it returns errNotReplicated. The answer to the user starts the period within
+// which the job's tasks must end, so a majority of the controllers must hold the cancellation in memory.
+// Once the job's end is recorded, no task is left and replication is not needed.
 //
-// Without it the only controller that knows of a cancellation could crash in an outage of the
-// key-value store that outlasts that time, while the others extend the leases of the job's
-// workers (docs/leadership.md, "Who knows of cancellations").
+// Guards against tasks that run longer than this period: The only controller that holds the
+// cancellation crashes in an outage of the key-value store that lasts longer than the period, while
+// the others extend the leases of the job's workers (docs/leadership.md, "Who knows of cancellations").
 func (h *Handler) confirmReplicated(ctx context.Context, id string) error {
 	if !h.cfg.ReplicateCancellation(ctx, id) {
 		return errNotReplicated
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,11 +1,11 @@
 // Package api serves the users' HTTP API: submission, cancellation and polls of jobs. Every node
 // serves it, with or without a leader.
 //
-// What a user is told is durable in the key-value store before it is told, and no older than the
-// request. A request that cannot be decided is answered at once with 503 and Retry-After; all
-// requests are idempotent, so users repeat them.
+// A response reports only what is durable in the key-value store, and nothing older than the request.
+// A request that cannot be decided is answered with 503 and Retry-After instead of being queued. All
+// requests are idempotent, so users can repeat them.
 //
 // Handler routes requests and answers them (submit.go, cancel.go, poll.go). replica is the node's
-// copy of the records of unfinished jobs, from which polls are answered; finalStateCache remembers
-// jobs that have ended.
+// copy of the records of unfinished jobs, from which polls are answered. finalStateCache caches the
+// final statuses of jobs.
 package api
--- a/internal/api/final_cache.go
+++ b/internal/api/final_cache.go
@@ -1,16 +1,14 @@
 package api
 
-// This file has the cache of final states.
-
 import "sync"
 
-// maxFinalStates bounds the memory of a finalStateCache. Any entry that was evicted can be read again
-// from the key-value store.
+// maxFinalStates is the capacity of a finalStateCache, in jobs. It limits the memory that the cache
+// uses; an evicted state can be read again from the key-value store.
 const maxFinalStates = 20_000
 
-// finalStateCache holds final states of jobs, so that requests about finished jobs cost no read.
-// A final state never changes, so entries never expire; when the cache is full an arbitrary one is
-// evicted. Only states that may be told to users are put into it. It is safe for concurrent use.
+// finalStateCache caches the final statuses of jobs, so that requests about these jobs need no read. A
+// final status never changes, so entries do not expire; when the cache is full, an arbitrary entry is
+// evicted. It holds only statuses that may be reported to users. It is safe for concurrent use.
 type finalStateCache struct {
 	mu       sync.Mutex           // guards statuses
 	statuses map[string]JobStatus // by job ID
@@ -20,7 +18,7 @@
 	return &finalStateCache{statuses: map[string]JobStatus{}}
 }
 
-// get returns the final state of a job, if it is cached.
+// get returns the final status of a job, and whether it is cached.
 func (c *finalStateCache) get(id string) (JobStatus, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +26,7 @@
 	return status, found
 }
 
-// put caches the final state of a job. It must be durable.
+// put caches the final status of a job, which must be durable in the key-value store.
 func (c *finalStateCache) put(id string, status JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +36,7 @@
 	c.statuses[id] = status
 }
 
-// evictOne drops an arbitrary entry. The caller holds mu.
+// evictOne removes an arbitrary entry. The caller holds mu.
 func (c *finalStateCache) evictOne() {
 	for id := range c.statuses {
 		delete(c.statuses, id)
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has what a Handler is made of, its lifetime, and the routing of requests.
+// This file holds Handler, its configuration and its lifetime, and the routing of requests.
 
 import (
 	"context"
@@ -15,48 +15,50 @@
 	"tulipshelf/internal/wire"
 )
 
-// Config is what a Handler works with. All fields are required. The functions are called by
-// the goroutines that serve requests and by the one of Handler.Run, at the same time and with no
-// lock held.
+// Config holds the dependencies and settings of a Handler. All fields are required. The functions are
+// called concurrently, by the goroutines that serve requests and by that of Handler.Run, with no lock
+// held.
 type Config struct {
 	Store         *kvstore.Client
-	StoreRPS      float64 // requests a second that the key-value store allows the whole cluster
+	StoreRPS      float64 // key-value store's rate limit for the whole cluster, in requests per second
 	Teams         []config.Team
-	TasksPerChunk int // of the records of new jobs
+	TasksPerChunk int // chunk size of new jobs, in tasks
 
-	// MachineTypes returns the catalog of the cloud, or nil while it is unknown.
+	// MachineTypes returns the cloud's catalog of machine types, or nil until it has been loaded.
 	MachineTypes func() []cloud.Type
 
 	// GangsSupported reports whether all controllers run a version that can schedule gangs. Until
-	// then gangs are not accepted: a controller of an earlier version may lead now or next.
+	// then gangs are not accepted, as the present or the next leader may be of an earlier version.
 	GangsSupported func() bool
 
-	// OnJobChanged is called after a job's record was written here. The request waits for it.
+	// OnJobChanged is called after a request to this handler created a job's record, or after
+	// OnJobCancelled. The response is sent after it returns.
 	OnJobChanged func(id string)
 
-	// OnJobCancelled is called after a job's cancellation was recorded, or found recorded, by a
-	// request here. The request waits for it.
+	// OnJobCancelled is called after a request to this handler recorded a job's cancellation or
+	// found it recorded. The response is sent after it returns.
 	OnJobCancelled func(id string)
 
-	// OnCancellationsRead is called after each read that brought the replica up to date, with the
-	// jobs that it found newly cancelled and the time at which the read was sent.
+	// OnCancellationsRead is called after each read that brought the replica up to date. It gets the
+	// IDs of the cancelled jobs that it has not got before, or of all cancelled jobs if all records
+	// were read anew, and the time at which the read was sent.
 	OnCancellationsRead func(cancelled []string, asOf time.Time)
 
-	// ReplicateCancellation tries to have a majority of the controllers hold a job's cancellation
-	// in memory (package cancellation), and reports whether one does. It returns before ctx ends
-	// or soon after.
+	// ReplicateCancellation sends a job's cancellation to the other controllers (package
+	// cancellation) and reports whether a majority of the controllers holds it in memory. It
+	// returns shortly after ctx ends at the latest.
 	ReplicateCancellation func(ctx context.Context, id string) bool
 }
 
-// Handler answers users' requests about jobs. It is safe for concurrent use. Requests that
-// need the replica are answered only while Run runs.
+// Handler answers users' requests about jobs. It is safe for concurrent use. While Run is not running,
+// requests that need the replica are answered with 503.
 type Handler struct {
 	cfg         Config
 	replica     *replica
 	finalStates *finalStateCache
 }
 
-// New returns a handler that answers once Run is called.
+// New returns a Handler, whose Run method the caller must start.
 func New(cfg Config) *Handler {
 	return &Handler{
 		cfg:         cfg,
@@ -65,29 +67,31 @@
 	}
 }
 
-// Run keeps the replica of the records up to date while requests wait for it, until ctx ends.
+// Run refreshes the replica of the records whenever requests wait for it, until ctx ends.
 func (h *Handler) Run(ctx context.Context) { h.replica.run(ctx) }
 
-// Refresh brings the replica to a state no older than the call. It fails if the key-value store
-// cannot be read before ctx ends. The node calls it to learn of cancellations even if no user asks.
+// Refresh brings the replica to a state no older than the call. It returns an error if the key-value
+// store cannot be read before ctx ends. The node calls it periodically, so that
+// Config.OnCancellationsRead is called even without requests of users.
 func (h *Handler) Refresh(ctx context.Context) error { return h.replica.confirmFresh(ctx) }
 
-// Locations returns, in no order, where tasks of an unfinished job may run according to the
-// replica as of its last read.
+// Locations returns the locations at which tasks of an unfinished job may run, as of the replica's
+// last read and in no particular order. It returns nil if there are none.
 func (h *Handler) Locations(id string) []jobstore.Location { return h.replica.locations(id) }
 
-// Paths under which jobs are served.
+// Parts of the URL paths of the API.
 const (
 	jobsPath     = "/v1/jobs"
-	cancelSuffix = "/abort" // of a job's path
+	cancelSuffix = "/abort" // suffix of a job's path
 )
 
-// requestTimeout bounds the work for one request. What is undecided by then is answered 503, so
-// that the user can retry, perhaps at another node, instead of waiting for this one.
+// requestTimeout limits the processing of one request. A request that is still undecided after it is
+// answered with 503, so that the user can retry, possibly at another node, instead of waiting for this
+// one.
 const requestTimeout = 1500 * time.Millisecond
 
-// Serve answers a request whose path is jobsPath or begins with it and a slash. The request's
-// body is not kept.
+// Serve answers a request whose path is jobsPath or begins with jobsPath and a slash. It does not
+// retain the request's body.
 func (h *Handler) Serve(ctx context.Context, req *wire.Request) wire.Response {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -98,7 +102,7 @@
 	return h.serveJob(ctx, req.Method, strings.TrimPrefix(subpath, "/"))
 }
 
-// serveJobs answers a request for the collection of jobs.
+// serveJobs answers a request for the collection of jobs, which supports only submissions.
 func (h *Handler) serveJobs(ctx context.Context, req *wire.Request) wire.Response {
 	if req.Method != wire.MethodPost {
 		return methodNotAllowed()
@@ -106,7 +110,7 @@
 	return h.submit(ctx, req.Body)
 }
 
-// serveJob answers a request for one job: its ID, or its ID and cancelSuffix.
+// serveJob answers a request for one job. subpath is the job's ID, or the ID followed by cancelSuffix.
 func (h *Handler) serveJob(ctx context.Context, method, subpath string) wire.Response {
 	id, isCancel := strings.CutSuffix(subpath, cancelSuffix)
 	switch {
--- a/internal/api/job_view.go
+++ b/internal/api/job_view.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has what the replica knows of one job, and how changes of its records are applied.
+// This file holds the replica's view of one job, and applies changes of the job's records to it.
 
 import (
 	"log/slog"
@@ -9,32 +9,33 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// jobView is what a replica knows of one unfinished job. Its events may come late or twice, after
-// a load; each part ignores those that are no newer than the revision it was read at. The lock of
-// the replica guards it.
+// jobView is a replica's view of one unfinished job. After all records were read, changes may arrive
+// that the reads already include. The record and each chunk therefore ignore changes that are not newer
+// than their own revision. The replica's lock guards the view.
 type jobView struct {
 	// From the job's record.
-	hasRecord  bool // false if only chunks have been seen, or if the record was deleted
-	unreadable bool // the record cannot be decoded, so users are told nothing
+	hasRecord  bool // false if only chunks have been read, or if the record was deleted
+	unreadable bool // whether the record cannot be decoded; the job's state is then not reported
 	cancelled  bool
-	firstChunk int // chunks below it are of an earlier layout of the job and no longer count
+	firstChunk int // number of the first valid chunk; lower ones precede a rechunk and are not counted
 	revision   uint64
 
-	reported bool              // the cancellation was passed on by the replica
+	reported bool              // whether replica.applyChanges has returned the cancellation
 	chunks   map[int]chunkView // by number
 }
 
-// chunkView is what one chunk's record says of its tasks.
+// chunkView is the state of the tasks in one chunk, according to the chunk's record.
 type chunkView struct {
 	revision uint64
-	done     int
-	live     []jobstore.Location
+	done     int                 // number of tasks that are done
+	live     []jobstore.Location // locations of the live attempts
 }
 
-// applyEvent applies one change of a key under jobstore.JobPrefix to the views of all jobs.
+// applyEvent applies one change of a key under jobstore.JobPrefix to jobs, the views by job ID. It
+// ignores keys that are neither a job's nor a chunk's.
 func applyEvent(jobs map[string]*jobView, event *kvstore.Event) {
 	isDelete := event.Delete != ""
-	id, chunk, ok := jobstore.SplitKey(event.Put + event.Delete) // one of them is empty
+	id, chunk, ok := jobstore.SplitKey(event.Put + event.Delete) // one of the two is empty
 	if !ok {
 		return
 	}
@@ -92,7 +93,7 @@
 	v.chunks[chunk] = chunkView{revision: event.Revision, done: done, live: live}
 }
 
-// state returns what users are told of the job, whose record must be readable.
+// state returns the job's state as reported to users. The job's record must be readable.
 func (v *jobView) state(id string) jobState {
 	if v.cancelled {
 		return jobState{ID: id, Status: StatusCancelled}
@@ -110,7 +111,8 @@
 	return state
 }
 
-// locations returns where tasks of the job may run, by all chunks that are left.
+// locations returns the locations of the live attempts of the job in all chunks, including those from
+// before a rechunk, as their tasks may still run.
 func (v *jobView) locations() []jobstore.Location {
 	var locations []jobstore.Location
 	for _, chunk := range v.chunks {
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has polls, and how the state of a job is looked up for all requests.
+// This file handles polls, and looks up the state of a job for all kinds of requests.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"tulipshelf/internal/wire"
 )
 
-// poll answers the question for a job's state.
+// poll answers a request for a job's state.
 func (h *Handler) poll(ctx context.Context, id string) wire.Response {
 	if status, cached := h.finalStates.get(id); cached {
 		return respondOK(jobSummary{id, status})
@@ -27,10 +27,11 @@
 	return unavailable()
 }
 
-// lookup returns a job's state, no older than the call, as it may be told to the user:
-// kvstore.ErrNotFound if there is no such job, any other error if it cannot be told now. The
-// replica of the unfinished jobs comes first: a job that ends in between is found by the read of
-// its final state, while the other order would miss it.
+// lookup returns a job's state, no older than the call, if it may be reported to users. The error wraps
+// kvstore.ErrNotFound if there is no such job; with any other error the state cannot be reported now.
+//
+// Guards against missing a job that ends during the lookup: The replica of the unfinished jobs is read
+// first and the final state second. Read in the other order, neither would contain the job.
 func (h *Handler) lookup(ctx context.Context, id string) (jobState, error) {
 	if err := h.replica.confirmFresh(ctx); err != nil {
 		return jobState{}, err
@@ -47,7 +48,8 @@
 	return state, nil
 }
 
-// readFinalState reads the state of a job that has ended.
+// readFinalState reads and caches the state of a job that has ended. The error wraps
+// kvstore.ErrNotFound if no end of the job is recorded.
 func (h *Handler) readFinalState(ctx context.Context, id string) (jobState, error) {
 	item, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
 	if err != nil {
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -1,6 +1,7 @@
 package api
 
-// This file has how the replica of the records is kept fresh: when it reads, what, and who waits for it.
+// This file refreshes the replica of the records: it schedules the reads that requests wait for, and
+// reads either all records or their changes.
 
 import (
 	"context"
@@ -15,46 +16,51 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// replica is this node's replica of what users may be told of unfinished jobs. One read of the
-// changes since the last one brings it up to date. The read is linearizable, so it confirms for all
-// requests that waited when it was sent that the replica is as fresh as a read of their own.
+// replica is the node's copy of the state of unfinished jobs that is reported to users. One read of the
+// changes since the last read brings it up to date. The read is linearizable: for all requests that
+// waited when it was sent, the replica is then as fresh as a read of their own would be.
 //
-// Without it every poll costs a read. A few hundred jobs, each polled every few seconds, then use up
-// the rate that the key-value store allows, and their users are refused again and again.
+// Guards against refusing users' requests for lack of store capacity: Without a replica every poll
+// costs a read. A few hundred jobs, each polled every few seconds, then use up the request rate that
+// the key-value store allows, and their users are refused repeatedly.
 type replica struct {
 	store       *kvstore.Client
-	minInterval time.Duration // between the beginnings of two reads
-	wake        chan struct{} // has one element if a read is pending
+	minInterval time.Duration // minimum time between the starts of two refreshes
+	wake        chan struct{} // wakes run when a read becomes pending; capacity 1
 	onRead      func(cancelled []string, asOf time.Time)
 
-	revision uint64 // up to which jobs is complete; 0: read everything. Only run's goroutine uses it
+	// revision is the revision up to which jobs is complete; 0: all records have to be read. Only the
+	// goroutine of run uses it.
+	revision uint64
 
-	mu      sync.Mutex          // guards what follows
-	pending *pendingRead        // nil: no request waits for the next read
+	mu      sync.Mutex          // guards the fields below
+	pending *pendingRead        // next read to be sent; nil: no request waits for one
 	jobs    map[string]*jobView // by job ID
 }
 
-// pendingRead is a read that has not been sent yet. Requests share it.
+// pendingRead is a read shared by all requests that began to wait before it was sent.
 type pendingRead struct {
-	done chan struct{} // closed once the read has ended and err is set
-	err  error
+	done chan struct{} // closed when the read has ended
+	err  error         // result of the read; valid once done is closed
 }
 
 const (
-	// readShare is the part of the key-value store's rate that one node uses at most for its replica.
-	// The rest is for writes, and the other nodes have replicas, too.
+	// readShare is the maximum rate at which one node refreshes its replica, as a share of the request
+	// rate of the key-value store. The rest is left for writes and for the replicas of the other nodes.
 	readShare = 0.1
 
-	// changesTimeout bounds the read of changes. Users' requests wait for it, and they have to be
-	// answered within requestTimeout.
+	// changesTimeout limits one read of changes. Users' requests wait for the read, and they have to
+	// be answered within requestTimeout.
 	changesTimeout = time.Second
 
-	// pageSize is how many keys one range read may return, the key-value store's own limit.
+	// pageSize is the maximum number of keys returned by one range read. It is the key-value store's
+	// own limit.
 	pageSize = 1000
 )
 
-// newReplica returns an empty replica, for a store that allows storeRPS requests a second. onRead is
-// called after each read with the jobs that it found newly cancelled and when it was sent.
+// newReplica returns an empty replica, for a store that allows storeRPS requests per second. The
+// goroutine of run calls onRead after each successful refresh, with the jobs that applyChanges returned
+// and the time at which the read of changes was sent.
 func newReplica(store *kvstore.Client, storeRPS float64, onRead func(cancelled []string, asOf time.Time)) *replica {
 	return &replica{
 		store:       store,
@@ -65,7 +71,8 @@
 	}
 }
 
-// confirmFresh waits until the replica is no older than the call.
+// confirmFresh waits until the replica is no older than the call. It returns the error of the read, or
+// that of ctx if ctx ends first.
 func (r *replica) confirmFresh(ctx context.Context) error {
 	read := r.joinRead()
 	select {
@@ -76,7 +83,7 @@
 	}
 }
 
-// joinRead returns the next read to be sent and asks run for it.
+// joinRead returns the next read to be sent, and wakes run if no other request waits for the read yet.
 func (r *replica) joinRead() *pendingRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +97,8 @@
 	return r.pending
 }
 
-// takePending returns the read that requests wait for, or nil. Later requests wait for the next.
+// takePending removes and returns the pending read, or returns nil if there is none. Later requests
+// wait for the read after it.
 func (r *replica) takePending() *pendingRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +107,7 @@
 	return read
 }
 
-// run reads whenever a request waits, until ctx ends.
+// run refreshes the replica whenever a request waits, at most once per minInterval, until ctx ends.
 func (r *replica) run(ctx context.Context) {
 	for {
 		select {
@@ -123,7 +131,8 @@
 	}
 }
 
-// refresh reads the changes since the last read, or everything if there was none. Only run calls it.
+// refresh brings the replica up to date and calls onRead. It reads the changes since revision, and
+// before them all records if revision is 0. Only run calls it.
 func (r *replica) refresh(ctx context.Context) error {
 	if r.revision == 0 {
 		if err := r.load(ctx); err != nil {
@@ -133,7 +142,7 @@
 	sent := time.Now()
 	cancelled, err := r.applyChanges(ctx)
 	if errors.Is(err, kvstore.ErrCompacted) {
-		r.revision = 0 // the next read begins anew
+		r.revision = 0 // the next refresh reads all records
 	}
 	if err != nil {
 		return fmt.Errorf("api: changes: %w", err)
@@ -142,8 +151,8 @@
 	return nil
 }
 
-// applyChanges reads and applies the changes since revision. It returns the jobs that are newly
-// found cancelled, by these changes or by an earlier load.
+// applyChanges reads and applies the changes since revision. It returns the IDs of the cancelled jobs
+// that it has not returned since the last load.
 func (r *replica) applyChanges(ctx context.Context) (cancelled []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changesTimeout)
 	defer cancel()
@@ -166,11 +175,12 @@
 	return cancelled, nil
 }
 
-// load reads all records, in pages of different revisions. The changes since the first page, which
-// are read next, make them consistent: views ignore events that are older than what they hold.
+// load replaces all views by a new read of all records. The pages of the read have different revisions.
+// The changes since the first page, which refresh reads next, make them consistent: views ignore
+// changes that are not newer than their contents.
 //
-// The old state stands until everything is read. A request for which it was confirmed may be about
-// to look at it, and would miss an accepted job in a state that is half loaded.
+// Guards against reporting an accepted job as missing: A request whose freshness was confirmed looks
+// up a job while the records are being read. The previous views therefore stay until all are read.
 func (r *replica) load(ctx context.Context) error {
 	jobs := map[string]*jobView{}
 	var firstRevision uint64
@@ -198,14 +208,14 @@
 	return nil
 }
 
-// Errors of state.
+// Errors of replica.state.
 var (
 	errNoUnfinishedJob  = errors.New("api: no unfinished job")
 	errRecordUnreadable = errors.New("api: record unreadable")
 )
 
-// state returns the state of an unfinished job: errNotUnfinished if the replica has no such job,
-// errRecordUnreadable if nothing is known of it.
+// state returns the state of an unfinished job as reported to users. The error is errNoUnfinishedJob if
+// the replica has no record of the job, and errRecordUnreadable if the record cannot be decoded.
 func (r *replica) state(id string) (jobState, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -219,7 +229,7 @@
 	return view.state(id), nil
 }
 
-// locations returns where tasks of an unfinished job may run.
+// locations returns the locations at which tasks of an unfinished job may run, or nil if there are none.
 func (r *replica) locations(id string) []jobstore.Location {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the statuses and bodies of all answers.
+// This file defines the statuses and bodies of the responses.
 
 import (
 	"log/slog"
@@ -9,14 +9,14 @@
 	"tulipshelf/internal/wire"
 )
 
-// retryAfterSeconds is the time after which a client is asked to retry: the least that the header
-// can say, as the next attempt, or one at another node, will most likely be decided.
+// retryAfterSeconds is the Retry-After of a 503 response, in seconds. It is the shortest delay that the
+// header can express, because the next attempt, at this node or another, will most likely be decided.
 const retryAfterSeconds = 1
 
-// JobStatus is the status of a job as users are told it. The values are the protocol's.
+// JobStatus is the status of a job as reported to users. The values are defined by the protocol.
 type JobStatus string
 
-// The statuses of a job. The last two are final: a job never leaves them.
+// The statuses of a job. StatusDone and StatusCancelled are final: they never change again.
 const (
 	StatusPending   JobStatus = "pending" // no task is running
 	StatusRunning   JobStatus = "running"
@@ -24,19 +24,19 @@
 	StatusCancelled           = JobStatus(jobstore.StatusCancelled)
 )
 
-// unfinished reports whether the job may still change its status.
+// unfinished reports whether the job's status may still change.
 func (s JobStatus) unfinished() bool { return s == StatusPending || s == StatusRunning }
 
-// jobState is the body of the answer to a poll. Done and Running count tasks.
+// jobState is the body of the response to a poll.
 type jobState struct {
 	ID      string    `cbor:"uid"`
 	Status  JobStatus `cbor:"status"`
-	Done    int       `cbor:"done"`
-	Running int       `cbor:"running"`
+	Done    int       `cbor:"done"`    // number of tasks that are done; 0 if the job is cancelled
+	Running int       `cbor:"running"` // number of live attempts; 0 if the job is cancelled
 }
 
-// jobSummary is the body of all other answers about a job, and of polls answered from the cache
-// of final states.
+// jobSummary is the body of all other responses about a job, and of responses to polls that are
+// answered from finalStateCache.
 type jobSummary struct {
 	ID     string    `cbor:"uid"`
 	Status JobStatus `cbor:"status"`
@@ -50,7 +50,8 @@
 	return wire.Response{Status: wire.StatusCreated, Body: wire.Marshal(body)}
 }
 
-// refuse returns the answer to a request that will not succeed if it is repeated.
+// refuse returns the response to a request that will not succeed if it is repeated. Users receive the
+// reason in the body.
 func refuse(status int, reason string) wire.Response {
 	slog.Debug("request refused", "status", status, "reason", reason)
 	return wire.Response{Status: status, Body: wire.Marshal(wire.Problem{Error: reason})}
@@ -60,8 +61,8 @@
 
 func methodNotAllowed() wire.Response { return wire.Response{Status: wire.StatusMethodNotAllowed} }
 
-// unavailable returns the answer to a request that cannot be decided now. It is sent at once:
-// the client repeats the request, which is idempotent.
+// unavailable returns the 503 response to a request that cannot be decided now. The request is not
+// queued: the client repeats it, as all requests are idempotent.
 func unavailable() wire.Response {
 	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the submission of a job, from the request to the answer.
+// This file handles the submission of a job.
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"tulipshelf/internal/wire"
 )
 
-// submit accepts a job: 201 if it was recorded by this request, 200 if it is known already. Users
-// repeat submissions whose outcome they do not know, so a known job is never refused, whatever
-// this copy of the submission says.
+// submit answers the submission of a job with 201 if this request wrote the job's record, and with 200
+// if the job exists, unfinished or ended. Users repeat submissions whose outcome is unknown to them, so
+// the submission of an existing job is never refused, even if its body is otherwise invalid.
 func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return unavailable()
 }
 
-// createRecord writes the record of a new job, unless the job is known.
+// createRecord writes the record of a new job. The error is a *kvstore.ConflictError if the job exists,
+// unfinished or ended.
 func (h *Handler) createRecord(ctx context.Context, spec *job.Spec) error {
 	record := jobstore.Record{
 		Spec:        spec,
@@ -54,8 +55,8 @@
 	return err
 }
 
-// okIfExists answers a submission that could not be accepted because of cause: 200 if the job is
-// known, otherwise what follows from the cause.
+// okIfExists answers a submission that cause prevented from being accepted. The response is 200 if the
+// job exists, the refusal if the job does not exist and cause is a *validationError, and 503 otherwise.
 func (h *Handler) okIfExists(ctx context.Context, id string, cause error) wire.Response {
 	state, err := h.lookup(ctx, id)
 	if err == nil {
@@ -68,8 +69,8 @@
 	return unavailable()
 }
 
-// needsReadBack reports whether the record has to be read to know what stands after a transaction
-// that ended with err: it met a change by another node, or it may have been applied itself.
+// needsReadBack reports whether the job's record has to be read after a transaction that ended with
+// err: the transaction either conflicted with another change or may have been applied.
 func needsReadBack(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrUnknown)
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the checks of a submission that need no read: its fields, its team's quota, and
+// This file checks submissions without reading the key-value store: the fields, the team's quota, and
 // whether any machine type fits.
 
 import (
@@ -14,29 +14,29 @@
 	"tulipshelf/internal/wire"
 )
 
-// validationError says why a submission is refused for good, with the HTTP status of the answer.
+// validationError is the reason for which a submission is refused and should not be repeated.
 type validationError struct {
-	status int
-	reason string
+	status int    // HTTP status of the response
+	reason string // text in the body of the response
 }
 
 func (e *validationError) Error() string {
 	return fmt.Sprintf("api: submission refused with status %d: %s", e.status, e.reason)
 }
 
-// Reasons for which a submission cannot be accepted now, but may be later.
+// Errors of submissions that cannot be accepted now but may be accepted later.
 var (
 	errCatalogUnknown    = errors.New("api: machine types unknown")
 	errGangsNotSupported = errors.New("api: not all controllers support gangs")
 )
 
-// quotaTolerance is by how much a job may exceed its team's quota: products of fractional CPUs
-// are not exact.
+// quotaTolerance is the amount, in CPUs or GPUs, by which a job may exceed its team's limit. Products
+// of fractional amounts are not exact.
 const quotaTolerance = 1e-6
 
 // validate decodes and checks a submission. The error is a *validationError, errCatalogUnknown or
-// errGangsNotSupported. If the submission names machine types, those that a task does not fit are
-// removed from the result.
+// errGangsNotSupported. If the submission names machine types, the result keeps only those on which a
+// task can run.
 func (h *Handler) validate(body []byte) (*job.Spec, error) {
 	spec, err := job.Decode(body)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return spec, nil
 }
 
-// validateQuota checks that the team's quota can ever hold the job: one task of an array, all tasks
-// of any other job.
+// validateQuota returns a *validationError if the team does not exist, or if its limit is too low for
+// the tasks that have to run at the same time: one task of an array, all tasks of any other job.
 func (h *Handler) validateQuota(spec *job.Spec) error {
 	isTeam := func(team config.Team) bool { return team.Name == spec.Team }
 	index := slices.IndexFunc(h.cfg.Teams, isTeam)
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// allowedTypes returns the names of the machine types that a task of the job can run on.
+// allowedTypes returns the names of the machine types on which a task of the job can run, or nil if
+// there are none.
 func allowedTypes(spec *job.Spec, machineTypes []cloud.Type) []string {
 	var names []string
 	for i := range machineTypes {
@@ -94,8 +95,8 @@
 	return names
 }
 
-// Allows reports whether an empty machine of a type could run a task of the job, in a zone that the
-// job allows.
+// Allows reports whether a task of the job can run on an empty machine of the given type: the machine
+// is large enough, and the job allows the type and a zone in which the type is offered.
 func Allows(spec *job.Spec, machineType *cloud.Type) bool {
 	tooSmall := spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.RAM > machineType.RAM
 	typeAllowed := spec.Types == nil || slices.Contains(spec.Types, machineType.Name)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock holds waiting that ends early with a context.
+// Package clock provides a sleep that ends early when a context ends.
 package clock
 
 import (
@@ -7,8 +7,8 @@
 )
 
 // Sleep waits for d or until ctx ends, whichever is first, and reports whether it waited for all of
-// d. It makes no timer that has expired already: under the race detector that is not safe in simulated
-// time (package fake).
+// d. If d is not positive, it does not wait and reports whether ctx has not ended. It creates no timer
+// that has already expired: under the race detector that is not safe in simulated time (package fake).
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/job/check.go
+++ b/internal/job/check.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	maxNameBytes = 200 // bytes of a name
-	maxAmount    = 1e9 // far above every amount that is meant, in any unit
+	maxNameBytes = 200 // maximum length of a name or other text, in bytes
+	maxAmount    = 1e9 // maximum of any amount, far above every plausible one in any unit
 )
 
-// FieldError says that one field of a submission is missing or has a value that is not allowed.
+// FieldError is the error of one field of a submission that is missing or has a value that is not
+// allowed. Users receive its text.
 type FieldError struct {
-	Field  string // its name in the protocol
-	Reason string // a predicate, such as "is missing"
+	Field  string // name of the field in the protocol
+	Reason string // predicate of the field, such as "is missing"
 }
 
 // Error returns the field and the reason.
@@ -23,8 +24,8 @@
 
 var errInvalidID = FieldError{"uid", "is not a job id"}
 
-// checker checks the fields of one submission and keeps the error of the first that is wrong. Its
-// methods return the value, or a zero one of its type if there is none.
+// checker checks the fields of one submission and keeps the error of the first invalid one. Methods
+// that return a value return the zero value if the field is missing.
 type checker struct{ err error }
 
 func (c *checker) fail(err FieldError) {
@@ -33,7 +34,7 @@
 	}
 }
 
-// text requires a text that is neither empty nor longer than maxNameBytes.
+// text checks that a field has a text of 1 to maxNameBytes bytes.
 func (c *checker) text(field string, value *string) string {
 	if value == nil || *value == "" || len(*value) > maxNameBytes {
 		c.fail(FieldError{field, "is missing, empty or too long"})
@@ -42,7 +43,7 @@
 	return *value
 }
 
-// amount requires a number from 0 to maxAmount.
+// amount checks that a field has a number from 0 to maxAmount.
 func (c *checker) amount(field string, value *float64) float64 {
 	if value == nil {
 		c.fail(FieldError{field, "is missing"})
@@ -54,7 +55,7 @@
 	return *value
 }
 
-// flag requires a truth value.
+// flag checks that a Boolean field is present.
 func (c *checker) flag(field string, value *bool) bool {
 	if value == nil {
 		c.fail(FieldError{field, "is missing"})
@@ -81,7 +82,7 @@
 	}
 }
 
-// taskCount requires a number from 1 to MaxTasks.
+// taskCount checks that a field has a number from 1 to MaxTasks.
 func (c *checker) taskCount(field string, value *int64) int {
 	if value == nil || *value < 1 || *value > MaxTasks {
 		c.fail(FieldError{field, "is missing or out of range"})
@@ -90,8 +91,8 @@
 	return int(*value)
 }
 
-// typeNames requires names that could be those of machine types; whether there are such types is
-// checked against the catalog elsewhere.
+// typeNames checks that each name has 1 to maxNameBytes bytes. Package api checks whether the catalog
+// contains machine types with these names.
 func (c *checker) typeNames(field string, names []string) []string {
 	for _, name := range names {
 		if name == "" || len(name) > maxNameBytes {
--- a/internal/job/submission.go
+++ b/internal/job/submission.go
@@ -1,6 +1,6 @@
 package job
 
-// The submission: a job description as it arrives from a user.
+// This file decodes submissions, the job descriptions that users send.
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// submission has a pointer for each field, so that a missing one differs from zero. The codec
-// tags are those of Spec.
+// submission is the body of a submission before it is checked. Its fields are pointers, so that a
+// missing field differs from a zero value. The codec tags are those of Spec.
 type submission struct {
 	ID          *string   `cbor:"uid"`
 	Class       *string   `cbor:"lane"`
@@ -33,8 +33,8 @@
 	DueS        *float64  `cbor:"due_s"`
 }
 
-// DecodeID reads only the ID of a submission, so that a repeated submission of a known job is
-// recognised whatever else its body says. The error is a FieldError, or wraps that of the codec.
+// DecodeID decodes only the ID of a submission, so that the repeated submission of an existing job is
+// recognised even if other fields are invalid. The error is a FieldError, or wraps that of the codec.
 func DecodeID(body []byte) (string, error) {
 	var s struct {
 		ID wire.Raw `cbor:"uid"`
@@ -49,8 +49,8 @@
 	return id, nil
 }
 
-// Decode reads and checks a submission. The error is the FieldError of the first field that is
-// wrong, or wraps that of the codec if the body is no submission at all.
+// Decode decodes and checks a submission. The error is the FieldError of the first invalid field, or
+// wraps that of the codec if the body cannot be decoded.
 func Decode(body []byte) (*Spec, error) {
 	var submitted submission
 	if err := wire.Unmarshal(body, &submitted); err != nil {
@@ -64,7 +64,8 @@
 	return spec, nil
 }
 
-// spec checks all fields. Their order decides which of several errors a user sees.
+// spec checks all fields and returns the job description, which is valid only if c.err is nil. The
+// order of the checks determines which of several errors is reported to the user.
 func (c *checker) spec(submitted *submission) *Spec {
 	spec := &Spec{
 		ID:          c.text("uid", submitted.ID),
