--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -20,7 +20,7 @@
 
 // errNotReplicated means that a recorded cancellation is not confirmed to be held in memory by a
 // majority of the controllers.
-var errNotReplicated = errors.New("api: cancellation not held by a majority")
+var errNotReplicated = errors.New("api: cancellation not held by a majority of the controllers")
 
 // cancel cancels an unfinished job. It answers that the job is cancelled only after the cancellation is
 // recorded and replicated. For a job that has ended it answers with the job's final status.
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -53,11 +53,11 @@
 func (h *Handler) readFinalState(ctx context.Context, id string) (jobState, error) {
 	item, err := h.cfg.Store.Get(ctx, jobstore.EndKey(id), kvstore.PriorityUser)
 	if err != nil {
-		return jobState{}, fmt.Errorf("api: final state: %w", err)
+		return jobState{}, fmt.Errorf("api: reading the final state of job %s: %w", id, err)
 	}
 	var final jobstore.FinalState
 	if err := wire.Unmarshal(item.Value, &final); err != nil {
-		return jobState{}, fmt.Errorf("api: final state: %w", err)
+		return jobState{}, fmt.Errorf("api: decoding the final state of job %s: %w", id, err)
 	}
 	status := JobStatus(final.Status)
 	h.finalStates.put(id, status)
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -145,7 +145,7 @@
 		r.revision = 0 // the next refresh reads all records
 	}
 	if err != nil {
-		return fmt.Errorf("api: changes: %w", err)
+		return fmt.Errorf("api: reading the changes of job records: %w", err)
 	}
 	r.onRead(cancelled, sent)
 	return nil
@@ -188,7 +188,7 @@
 	for {
 		page, err := r.store.List(ctx, jobstore.JobPrefix, lastKey, pageSize, kvstore.PriorityUser)
 		if err != nil {
-			return fmt.Errorf("api: records: %w", err)
+			return fmt.Errorf("api: listing the job records after key %q: %w", lastKey, err)
 		}
 		if firstRevision == 0 {
 			firstRevision = page.Revision
@@ -210,8 +210,8 @@
 
 // Errors of replica.state.
 var (
-	errNoUnfinishedJob  = errors.New("api: no unfinished job")
-	errRecordUnreadable = errors.New("api: record unreadable")
+	errNoUnfinishedJob  = errors.New("api: no unfinished job with this ID")
+	errRecordUnreadable = errors.New("api: job record cannot be decoded")
 )
 
 // state returns the state of an unfinished job as reported to users. The error is errNoUnfinishedJob if
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -26,7 +26,7 @@
 
 // Errors of submissions that cannot be accepted now but may be accepted later.
 var (
-	errCatalogUnknown    = errors.New("api: machine types unknown")
+	errCatalogUnknown    = errors.New("api: catalog of machine types not loaded yet")
 	errGangsNotSupported = errors.New("api: not all controllers support gangs")
 )
 
