--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -8,34 +8,35 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// A cancellation is told to nobody before a majority of the controllers holds it, though it is
-// recorded and reported to the node at once.
+// Guards against telling users of a cancellation that no majority of the controllers holds: It is
+// recorded and passed to the node at once, but users get 503 until it is replicated.
 func TestCancelAnsweredOnceReplicated(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
 		f.notReplicated.Store(true)
 		f.expectUnavailable(f.cancel("wk-000001"))
 		if f.record("wk-000001").CancelledMS == 0 {
-			t.Error("not recorded")
+			t.Error("the cancellation is not recorded")
 		}
 		if cancelled := f.snapshot(&f.cancelledByRequests); !slices.Equal(cancelled, []string{"wk-000001"}) {
-			t.Errorf("reported: %v", cancelled)
+			t.Errorf("OnJobCancelled got %v, want wk-000001 once", cancelled)
 		}
 		if read := f.snapshot(&f.cancelledByReads); !slices.Equal(read, []string{"wk-000001"}) {
-			t.Errorf("found by reads: %v", read)
+			t.Errorf("OnCancellationsRead got %v, want wk-000001 once", read)
 		}
 		f.expectUnavailable(f.poll("wk-000001"))
 		f.expectUnavailable(f.submit(submission("wk-000001")))
 		f.notReplicated.Store(false)
 		f.expect(f.poll("wk-000001"), 200, StatusCancelled)
-		f.notReplicated.Store(true) // it was told once, so it may be told again
+		f.notReplicated.Store(true) // a status that was reported once may be reported again
 		f.expect(f.poll("wk-000001"), 200, StatusCancelled)
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 		f.expect(f.submit(submission("wk-000001")), 200, StatusCancelled)
 	})
 }
 
-// Cancelling again changes nothing in the record.
+// Guards against a repeated cancellation that writes the record again, which would change the job's
+// arrival or time of cancellation.
 func TestCancelAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -45,15 +46,15 @@
 		f.notReplicated.Store(false)
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 		if f.store.Changes("") != changes {
-			t.Error("recorded twice")
+			t.Error("the repeated cancellation changed the store")
 		}
 		if again := f.record("wk-000001"); again.CancelledMS != first.CancelledMS || again.Arrival == 0 || again.Arrival != first.Arrival {
-			t.Errorf("record %+v, then %+v", first, again)
+			t.Errorf("record %+v, then %+v; want the same cancellation and the same arrival, not 0", first, again)
 		}
 	})
 }
 
-// A cancellation that was applied without an answer is read back.
+// A cancellation that the store applied without a response is read back and answered with 200.
 func TestCancelAppliedWithoutAnswer(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -62,21 +63,23 @@
 	})
 }
 
-// A cancellation that may yet be applied is not told.
+// Guards against telling users of a cancellation whose outcome is unknown: The store holds back the
+// transactions of all attempts and may still apply them.
 func TestCancelInDoubt(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
 		f.store.SetFaults(fake.StoreFaults{HoldNext: maxCancelAttempts, HoldPrefix: jobstore.JobPrefix})
 		f.expectUnavailable(f.cancel("wk-000001"))
 		if cancelled := f.snapshot(&f.cancelledByRequests); len(cancelled) != 0 {
-			t.Errorf("reported: %v", cancelled)
+			t.Errorf("OnJobCancelled got %v while the outcome is unknown, want no call", cancelled)
 		}
 		f.store.ReleaseHeld()
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
 	})
 }
 
-// Cancelling a job that has ended tells its final state, and of no job that there is none.
+// The cancellation of a job that has ended is answered with its final status, and that of a job that
+// does not exist with 404. Neither is passed to the node.
 func TestCancelFinished(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -84,7 +87,7 @@
 		f.expect(f.cancel("wk-000001"), 200, StatusDone)
 		f.expectRefused(f.cancel("wk-000002"), 404)
 		if cancelled := f.snapshot(&f.cancelledByRequests); len(cancelled) != 0 {
-			t.Errorf("reported: %v", cancelled)
+			t.Errorf("OnJobCancelled got %v, want no call", cancelled)
 		}
 	})
 }
--- a/internal/api/final_cache_test.go
+++ b/internal/api/final_cache_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The cache of final states forgets some rather than grow without bound.
+// Guards against a cache that grows without bound: When it is full, each new entry evicts another.
 func TestFinalStateCacheIsBounded(t *testing.T) {
 	cache := newFinalStateCache()
 	for i := range maxFinalStates + 100 {
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the node that the tests of this package run a Handler in.
+// This file holds the fixture that stands for a Handler's node in the tests of this package.
 
 import (
 	"context"
@@ -19,26 +19,26 @@
 	"tulipshelf/internal/wire"
 )
 
-// fixture is a handler that runs against a key-value store, and what it reports to its node.
+// fixture runs a Handler with a key-value store, and records the calls that it makes to its node.
 type fixture struct {
 	t          *testing.T
 	store      *fake.Store
-	peerClient *kvstore.Client // another node's
+	peerClient *kvstore.Client // client of another node
 	handler    *Handler
 
-	catalogUnknown   atomic.Bool
-	gangsUnsupported atomic.Bool
-	notReplicated    atomic.Bool // no other controller can be reached
+	catalogUnknown   atomic.Bool // whether Config.MachineTypes returns nil
+	gangsUnsupported atomic.Bool // whether Config.GangsSupported returns false
+	notReplicated    atomic.Bool // whether no other controller can be reached
 
-	mu                  sync.Mutex // guards what follows
-	changed             []string
-	cancelledByRequests []string // by requests
-	cancelledByReads    []string // found cancelled by reads
+	mu                  sync.Mutex // guards the fields below
+	changed             []string   // job IDs passed to Config.OnJobChanged
+	cancelledByRequests []string   // job IDs passed to Config.OnJobCancelled
+	cancelledByReads    []string   // job IDs passed to Config.OnCancellationsRead
 }
 
 const storeAddr = "store"
 
-// inBubble runs a test in simulated time with a fixture of its own.
+// inBubble runs a test with a fixture of its own in a bubble of testing/synctest, in simulated time.
 func inBubble(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, newFixture(t)) })
@@ -72,7 +72,7 @@
 		ReplicateCancellation: func(context.Context, string) bool { return !f.notReplicated.Load() },
 	})
 	go f.handler.Run(t.Context())
-	t.Cleanup(func() { time.Sleep(10 * time.Second) }) // requests that the store has yet to answer end
+	t.Cleanup(func() { time.Sleep(10 * time.Second) }) // lets requests end that the store has not answered
 	return f
 }
 
@@ -93,7 +93,7 @@
 	began := time.Now()
 	response := f.handler.Serve(f.t.Context(), &wire.Request{Method: method, Path: path, Body: body})
 	if took := time.Since(began); took > requestTimeout {
-		f.t.Errorf("%s %s answered after %v", method, path, took)
+		f.t.Errorf("%s %s answered after %v, want at most %v", method, path, took, requestTimeout)
 	}
 	return response
 }
@@ -113,7 +113,7 @@
 	return f.serve("POST", "/v1/jobs/"+id+"/abort", nil)
 }
 
-// mustSubmit submits a job that is accepted.
+// mustSubmit submits a job and checks that it is accepted.
 func (f *fixture) mustSubmit(id string) {
 	f.t.Helper()
 	f.expect(f.submit(submission(id)), 201, StatusPending)
@@ -134,7 +134,7 @@
 	f.write(kvstore.Mutation{Delete: jobstore.JobKey(id)}, kvstore.Mutation{Put: jobstore.EndKey(id), Value: wire.Marshal(final)})
 }
 
-// record returns what is recorded of an unfinished job.
+// record returns the record of an unfinished job.
 func (f *fixture) record(id string) jobstore.Record {
 	f.t.Helper()
 	item, err := f.peerClient.Get(f.t.Context(), jobstore.JobKey(id), kvstore.PriorityLease)
@@ -148,19 +148,19 @@
 	return record
 }
 
-// decodeState decodes an answer about a job.
+// decodeState decodes the body of a response about a job and checks that the request succeeded.
 func (f *fixture) decodeState(response wire.Response) jobState {
 	f.t.Helper()
 	var state jobState
 	if response.Status != 200 && response.Status != 201 {
-		f.t.Errorf("HTTP status %d", response.Status)
+		f.t.Errorf("HTTP status %d, want 200 or 201", response.Status)
 	} else if err := wire.Unmarshal(response.Body, &state); err != nil {
 		f.t.Error(err)
 	}
 	return state
 }
 
-// expect checks an answer about a job.
+// expect checks the HTTP status of a response about a job, and the job's status in its body.
 func (f *fixture) expect(response wire.Response, httpStatus int, want JobStatus) {
 	f.t.Helper()
 	if response.Status != httpStatus {
@@ -172,7 +172,7 @@
 	}
 }
 
-// expectUnavailable checks the answer to a request that cannot be decided.
+// expectUnavailable checks the response to a request that cannot be decided.
 func (f *fixture) expectUnavailable(response wire.Response) {
 	f.t.Helper()
 	if response.Status != 503 || response.RetryAfter != 1 || len(response.Body) != 0 {
@@ -180,7 +180,7 @@
 	}
 }
 
-// expectRefused checks the answer to a request that will not succeed if it is repeated.
+// expectRefused checks the response to a request that will not succeed if it is repeated.
 func (f *fixture) expectRefused(response wire.Response, httpStatus int) {
 	f.t.Helper()
 	var problem wire.Problem
@@ -191,7 +191,7 @@
 	}
 }
 
-// submission returns what a user submits: an array that fits both machine types.
+// submission returns the fields of a valid submission: an array whose tasks fit both machine types.
 func submission(id string) map[string]any {
 	return map[string]any{"uid": id, "lane": "train", "crew": "vision", "shape": "array", "rank": "high",
 		"tickets": 10, "cpus": 4.0, "gpus": 0.0, "ram_gb": 8.0, "bundle": "img-07", "image_gb": 1.0,
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -6,7 +6,7 @@
 	"tulipshelf/internal/fake"
 )
 
-// The paths and methods that users may ask for, and no others.
+// Requests for unknown paths or jobs are answered with 404, and those with unsupported methods with 405.
 func TestRouting(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		for _, c := range []struct {
@@ -30,8 +30,8 @@
 	})
 }
 
-// In an outage of the key-value store everything is answered 503 within the time for one request,
-// but for what is known to have ended.
+// In an outage of the key-value store every request is answered with 503 within requestTimeout, except
+// those about jobs whose final status is cached.
 func TestOutage(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -51,7 +51,7 @@
 	})
 }
 
-// A store that answers too late counts as one that does not answer.
+// A store that answers later than requestTimeout is treated like one that does not answer.
 func TestSlowStore(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
--- a/internal/api/poll_test.go
+++ b/internal/api/poll_test.go
@@ -10,7 +10,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// A poll shows what any node has written before it, also right after another poll.
+// Guards against stale polls: A poll reports what any node has written before it, even if another poll
+// was answered just before the write.
 func TestPollIsFresh(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -21,21 +22,22 @@
 			})
 			want := jobState{ID: "wk-000001", Status: StatusRunning, Done: tasksDone, Running: 1}
 			if state := f.decodeState(f.poll("wk-000001")); state != want {
-				t.Errorf("%+v, want %+v", state, want)
+				t.Errorf("state %+v, want %+v", state, want)
 			}
 		}
 		locations := f.handler.Locations("wk-000001")
 		if len(locations) != 1 || locations[0].Machine != "m-1" {
-			t.Errorf("locations %+v", locations)
+			t.Errorf("locations %+v, want one on m-1", locations)
 		}
 	})
 }
 
-// Polls that come at once share one read, which is sent after they came.
+// Guards against polls that cost one read each: Concurrent polls share a read that is sent after they
+// began.
 func TestOneReadAnswersManyPolls(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
-		f.poll("wk-000001") // the replica is loaded
+		f.poll("wk-000001") // loads the replica
 		time.Sleep(time.Second)
 		before := f.store.Requests()
 		const polls = 50
@@ -45,16 +47,17 @@
 		}
 		for range polls {
 			if status := <-statuses; status != StatusPending {
-				t.Errorf("status %q", status)
+				t.Errorf("status %q, want %q", status, StatusPending)
 			}
 		}
 		if reads := f.store.Requests() - before; reads > 2 {
-			t.Errorf("%d polls cost %d reads", polls, reads)
+			t.Errorf("%d polls cost %d reads, want at most 2", polls, reads)
 		}
 	})
 }
 
-// The end of a cancelled job is told by its record, whether or not other controllers can be reached.
+// The status of a job that has ended is reported according to its final record, even of a cancelled job
+// while no other controller can be reached.
 func TestPollFinished(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.notReplicated.Store(true)
@@ -64,17 +67,18 @@
 		f.finish("wk-000002", StatusCancelled, 10)
 		want := jobState{ID: "wk-000001", Status: StatusDone, Done: 10}
 		if state := f.decodeState(f.poll("wk-000001")); state != want {
-			t.Errorf("%+v, want %+v", state, want)
+			t.Errorf("state %+v, want %+v", state, want)
 		}
 		want = jobState{ID: "wk-000002", Status: StatusCancelled}
 		if state := f.decodeState(f.poll("wk-000002")); state != want {
-			t.Errorf("%+v, want %+v", state, want)
+			t.Errorf("state %+v, want %+v", state, want)
 		}
 		f.expectRefused(f.poll("wk-000003"), 404)
 	})
 }
 
-// A node that begins with cancelled jobs in the records reports them with its first read, once.
+// Guards against a node that misses cancellations recorded before its first read: That read passes
+// them to the node, and later reads do not pass them again.
 func TestCancellationsAreReportedByReads(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustSubmit("wk-000001")
@@ -87,7 +91,7 @@
 			}
 		}
 		if read := f.snapshot(&f.cancelledByReads); !slices.Equal(read, []string{"wk-000001"}) {
-			t.Errorf("found by reads: %v", read)
+			t.Errorf("OnCancellationsRead got %v, want wk-000001 once", read)
 		}
 	})
 }
--- a/internal/api/replica_test.go
+++ b/internal/api/replica_test.go
@@ -13,8 +13,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// While everything is read anew the state that was confirmed before stands: a job in it is not
-// missed by a request that still looks at it.
+// Guards against reporting an accepted job as missing: A request whose freshness was confirmed looks up
+// the job while all records are read anew. The previous state is kept until this read has succeeded.
 func TestReplicaKeptUntilReloaded(t *testing.T) {
 	const id = "wk-000001"
 	dial := func(context.Context, string) (net.Conn, error) { return nil, errors.New("down") }
@@ -22,18 +22,19 @@
 	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1})
 	applyEvent(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 7})
 	if err := r.load(context.Background()); err == nil {
-		t.Fatal("loaded from a store that is down")
+		t.Fatal("load succeeded with a store that is down")
 	}
 	if state, err := r.state(id); err != nil || state.Status != StatusPending {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("state %+v, error %v after a failed load; want a pending job", state, err)
 	}
 	applyEvent(r.jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 9})
 	if _, err := r.state(id); !errors.Is(err, errNoUnfinishedJob) {
-		t.Errorf("%v after the job's end", err)
+		t.Errorf("error %v after the job's record was deleted, want %v", err, errNoUnfinishedJob)
 	}
 }
 
-// A view takes the newest of what it is shown, in whatever order a load and the changes show it.
+// Guards against a view that returns to an older state: A load and the changes read after it deliver
+// versions of the same key in any order, and the view has to keep the newest.
 func TestViewIgnoresOldEvents(t *testing.T) {
 	const id = "wk-000001"
 	const chunkKey = "job/wk-000001/000000"
@@ -49,31 +50,32 @@
 	applyEvent(jobs, &kvstore.Event{Put: chunkKey, Value: chunk("0"), Revision: 6})
 	applyEvent(jobs, &kvstore.Event{Delete: chunkKey, Revision: 7})
 	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusPending, Done: 4}) {
-		t.Errorf("%+v", state)
+		t.Errorf("state %+v after older changes of a chunk, want a pending job with 4 tasks done", state)
 	}
 	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record(1), Revision: 9})
 	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record(0), Revision: 5})
 	if state := jobs[id].state(id); state.Status != StatusCancelled {
-		t.Errorf("%+v after a cancellation", state)
+		t.Errorf("state %+v after a cancellation and an older record, want a cancelled job", state)
 	}
 	applyEvent(jobs, &kvstore.Event{Delete: jobstore.JobKey(id), Revision: 10})
 	applyEvent(jobs, &kvstore.Event{Delete: chunkKey, Revision: 10})
 	if len(jobs) != 0 {
-		t.Error("a view is left of a job whose records are deleted")
+		t.Error("the view of a job remains after all of its records were deleted")
 	}
 }
 
-// A record that this program cannot decode is no reason to say that there is no such job.
+// Guards against reporting a job as missing if its record cannot be decoded.
 func TestUnreadableRecordIsNotMissing(t *testing.T) {
 	const id = "wk-000001"
 	r := newReplica(nil, 100, nil)
 	applyEvent(r.jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: []byte{0xff}, Revision: 5})
 	if _, err := r.state(id); !errors.Is(err, errRecordUnreadable) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want %v", err, errRecordUnreadable)
 	}
 }
 
-// Chunks of an earlier layout of a job no longer count, but tasks in them may still run.
+// Chunks from before a rechunk do not count in a job's state, but their locations are returned, as
+// tasks in them may still run.
 func TestViewOfRechunkedJob(t *testing.T) {
 	const id = "wk-000001"
 	record := wire.Marshal(jobstore.Record{Spec: &job.Spec{ID: id}, ChunkSize: 1, FirstChunk: 2})
@@ -82,13 +84,13 @@
 	applyEvent(jobs, &kvstore.Event{Put: jobstore.JobKey(id), Value: record, Revision: 5})
 	applyEvent(jobs, &kvstore.Event{Put: "job/wk-000001/000001", Value: chunk, Revision: 6})
 	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusPending}) {
-		t.Errorf("%+v with a chunk of the earlier layout", state)
+		t.Errorf("state %+v with a chunk from before the rechunk, want a pending job without tasks done", state)
 	}
 	applyEvent(jobs, &kvstore.Event{Put: "job/wk-000001/000002", Value: chunk, Revision: 7})
 	if state := jobs[id].state(id); state != (jobState{ID: id, Status: StatusRunning, Done: 4, Running: 1}) {
-		t.Errorf("%+v", state)
+		t.Errorf("state %+v, want a running job with 4 tasks done and 1 running", state)
 	}
 	if locations := jobs[id].locations(); len(locations) != 2 {
-		t.Errorf("locations %+v", locations)
+		t.Errorf("locations %+v, want 2", locations)
 	}
 }
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -8,26 +8,27 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// A submission is recorded before it is accepted, and a repetition is the same job.
+// Guards against running a job twice: A submission is recorded before it is accepted, and a repeated
+// submission, even after the job's end, does not record the job again.
 func TestSubmit(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.expect(f.submit(submission("wk-000001")), 201, StatusPending)
 		if record := f.record("wk-000001"); record.Spec.Tasks != 10 || record.ChunkSize != 10 || record.SubmittedMS == 0 {
-			t.Errorf("record %+v", record)
+			t.Errorf("record %+v, want 10 tasks, a chunk size of 10 and a time of submission", record)
 		}
 		if changed := f.snapshot(&f.changed); !slices.Equal(changed, []string{"wk-000001"}) {
-			t.Errorf("changed: %v", changed)
+			t.Errorf("OnJobChanged got %v, want wk-000001 once", changed)
 		}
 		f.expect(f.submit(submission("wk-000001")), 200, StatusPending)
 		f.finish("wk-000001", StatusDone, 10)
 		f.expect(f.submit(submission("wk-000001")), 200, StatusDone)
 		if keys := f.store.Keys(jobstore.JobPrefix); len(keys) != 0 {
-			t.Errorf("a finished job was recorded anew: %v", keys)
+			t.Errorf("a finished job was recorded again: %v", keys)
 		}
 	})
 }
 
-// A submission that was applied without an answer is read back and reported as known.
+// A submission that the store applied without a response is read back and answered with 200.
 func TestSubmitAppliedWithoutAnswer(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
@@ -36,7 +37,8 @@
 	})
 }
 
-// A submission that may yet be applied is neither accepted nor refused.
+// A submission whose outcome is unknown, as the store may still apply it, is neither accepted nor
+// refused.
 func TestSubmitInDoubt(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		f.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: jobstore.JobPrefix})
@@ -46,7 +48,8 @@
 	})
 }
 
-// What this node cannot judge yet is not refused.
+// Guards against refusing submissions that may be accepted later: Gangs are answered with 503 until all
+// controllers support them, and new jobs until the catalog of machine types is loaded.
 func TestSubmitNotYetPossible(t *testing.T) {
 	inBubble(t, func(_ *testing.T, f *fixture) {
 		gang := submission("wk-000001")
@@ -63,18 +66,18 @@
 	})
 }
 
-// Machine types that a job names but does not fit are left out of its record.
+// Of the machine types that a submission names, the record keeps only those on which a task can run.
 func TestSubmitKeepsAllowedTypes(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		restricted := submission("wk-000001")
 		restricted["cpus"], restricted["builds"] = 8.0, []string{"small", "large", "medium"}
 		f.expect(f.submit(restricted), 201, StatusPending)
 		if types := f.record("wk-000001").Spec.Types; !slices.Equal(types, []string{"large"}) {
-			t.Errorf("types %v", types)
+			t.Errorf("types %v, want large", types)
 		}
 		f.mustSubmit("wk-000002")
 		if types := f.record("wk-000002").Spec.Types; types != nil {
-			t.Errorf("types %v of a job that allows any", types)
+			t.Errorf("types %v of a job that allows any, want nil", types)
 		}
 	})
 }
--- a/internal/api/validate_test.go
+++ b/internal/api/validate_test.go
@@ -8,7 +8,7 @@
 	"tulipshelf/internal/job"
 )
 
-// invalidSubmissions are refused for good: each has one field that is wrong.
+// invalidSubmissions are submissions that are refused permanently, each for one invalid field.
 var invalidSubmissions = []struct {
 	name, field string
 	value       any
@@ -33,21 +33,21 @@
 				invalid[c.field] = c.value
 				f.expectRefused(f.submit(invalid), c.httpStatus)
 				if keys := f.store.Keys(""); len(keys) != 0 {
-					t.Errorf("recorded: %v", keys)
+					t.Errorf("a refused submission was recorded: %v", keys)
 				}
 				if c.field == "uid" {
 					return
 				}
 				f.mustSubmit("wk-000001")
-				f.expect(f.submit(invalid), 200, StatusPending) // known, whatever this copy says
+				f.expect(f.submit(invalid), 200, StatusPending) // the job exists, so it is not refused
 				f.store.SetFaults(fake.StoreFaults{Down: true})
-				f.expectUnavailable(f.submit(invalid)) // in doubt it is not refused, either
+				f.expectUnavailable(f.submit(invalid)) // the job may exist, so it is not refused
 			})
 		})
 	}
 }
 
-// What a machine type has to offer to a task, each alone.
+// Each requirement of a job is checked on its own.
 func TestAllows(t *testing.T) {
 	machineType := &cloud.Type{Name: "large", CPUs: 16, GPUs: 1, RAM: 64, Zones: []string{"east"}}
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 		{"zone not offered", job.Spec{Zone: "west"}, false},
 	} {
 		if got := Allows(&c.spec, machineType); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: Allows returned %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -24,7 +24,7 @@
 				start := time.Now()
 				completed := Sleep(ctx, time.Minute)
 				if sleptFor := time.Since(start); completed != test.completed || sleptFor != test.sleptFor {
-					t.Errorf("%v after %v", completed, sleptFor)
+					t.Errorf("Sleep returned %v after %v, want %v after %v", completed, sleptFor, test.completed, test.sleptFor)
 				}
 			})
 		})
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -20,18 +20,18 @@
 func TestDecode(t *testing.T) {
 	spec, err := Decode(wire.Marshal(validSubmission()))
 	if err != nil || spec.Tasks != 16 || spec.CPUs != 8 || spec.Rank() != RankHigh || spec.Zone != "" || len(spec.Types) != 1 || spec.DueS != 900 {
-		t.Fatalf("%+v, %v", spec, err)
+		t.Fatalf("Decode returned %+v, %v; want the fields of validSubmission", spec, err)
 	}
 }
 
-// Null is the same as left out, and unknown fields are ignored.
+// A field that is null counts as missing, and unknown fields are ignored.
 func TestDecodeOptionalFields(t *testing.T) {
 	fields := validSubmission()
 	delete(fields, "depot")
 	delete(fields, "due_s")
 	fields["builds"], fields["colour"] = nil, "red"
 	if spec, err := Decode(wire.Marshal(fields)); err != nil || spec.Types != nil || spec.DueS != 0 {
-		t.Fatalf("%+v, %v", spec, err)
+		t.Fatalf("Decode returned %+v, %v; want no machine types and no deadline", spec, err)
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// The error is typed and names the first field that is wrong; users see its text.
+// The error is a FieldError that names the first invalid field. Users receive its text.
 func TestDecodeFieldError(t *testing.T) {
 	for _, test := range []struct {
 		field string
@@ -74,7 +74,7 @@
 		_, err := Decode(wire.Marshal(fields))
 		var fieldError FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.want {
-			t.Errorf("%s = %v: %v", test.field, test.value, err)
+			t.Errorf("%s = %v: error %v, want %s", test.field, test.value, err, test.want)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func TestTaskName(t *testing.T) {
 	jobID, task, ok := ParseTaskName(TaskName("wk-000412", 15))
 	if !ok || jobID != "wk-000412" || task != 15 {
-		t.Errorf("%q, %d, %v", jobID, task, ok)
+		t.Errorf("ParseTaskName returned %q, %d, %v; want wk-000412, 15, true", jobID, task, ok)
 	}
 	for _, name := range []string{"", "wk-000412", "wk-000412/", "wk-000412/x", "wk-000412/-1"} {
 		if _, _, ok := ParseTaskName(name); ok {
@@ -91,11 +91,11 @@
 	}
 }
 
-// Numbers of a later term are higher than all of an earlier one.
+// Attempt numbers of a later term are higher than all those of an earlier term.
 func TestAttemptNumber(t *testing.T) {
 	last, next := AttemptNumber(3, 1<<24-1), AttemptNumber(4, 0)
 	if last >= next || (AttemptID{Number: last}).Term() != 3 || (AttemptID{Number: next}).Term() != 4 {
-		t.Errorf("%d, %d", last, next)
+		t.Errorf("last number of term 3 is %d, first of term 4 is %d; want them ascending, with these terms", last, next)
 	}
 }
 
@@ -111,10 +111,10 @@
 		}
 		id, err := DecodeID(data)
 		if err != nil || id != spec.ID || !ValidID(id) {
-			t.Fatalf("id %q, %v", id, err)
+			t.Fatalf("DecodeID returned %q, %v for the accepted job %q", id, err, spec.ID)
 		}
 		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !(spec.CPUs >= 0) || math.IsInf(spec.CPUs, 0) {
-			t.Fatalf("%+v", spec)
+			t.Fatalf("Decode accepted %+v, whose number of tasks or CPUs is out of range", spec)
 		}
 	})
 }
