--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// Guards against a repeated cancellation that writes the record again, which would change the job's
+// Guards against a repeated cancellation that writes the record again, which could change the job's
 // arrival or time of cancellation.
 func TestCancelAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -31,8 +31,8 @@
 	// then gangs are not accepted, as the present or the next leader may be of an earlier version.
 	GangsSupported func() bool
 
-	// OnJobChanged is called after a request to this handler created a job's record, or after
-	// OnJobCancelled. The response is sent after it returns.
+	// OnJobChanged is called after a request to this handler created a job's record, and after each
+	// call of OnJobCancelled. The response is sent after it returns.
 	OnJobChanged func(id string)
 
 	// OnJobCancelled is called after a request to this handler recorded a job's cancellation or
@@ -44,9 +44,9 @@
 	// were read anew, and the time at which the read was sent.
 	OnCancellationsRead func(cancelled []string, asOf time.Time)
 
-	// ReplicateCancellation sends a job's cancellation to the other controllers (package
-	// cancellation) and reports whether a majority of the controllers holds it in memory. It
-	// returns shortly after ctx ends at the latest.
+	// ReplicateCancellation tries to replicate a job's cancellation to a majority of the controllers
+	// (package cancellation), and reports whether a majority holds it in memory. It returns shortly
+	// after ctx ends at the latest.
 	ReplicateCancellation func(ctx context.Context, id string) bool
 }
 
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -14,9 +14,10 @@
 	"tulipshelf/internal/wire"
 )
 
-// submit answers the submission of a job with 201 if this request wrote the job's record, and with 200
-// if the job exists, unfinished or ended. Users repeat submissions whose outcome is unknown to them, so
-// the submission of an existing job is never refused, even if its body is otherwise invalid.
+// submit answers the submission of a job with 201 if this request is certain to have written the job's
+// record, and with 200 if the job otherwise exists, unfinished or ended. Users repeat submissions whose
+// outcome is unknown to them, so the submission of an existing job is never refused, even if its body
+// is otherwise invalid.
 func (h *Handler) submit(ctx context.Context, body []byte) wire.Response {
 	id, err := job.DecodeID(body)
 	if err != nil {
@@ -55,8 +56,9 @@
 	return err
 }
 
-// okIfExists answers a submission that cause prevented from being accepted. The response is 200 if the
-// job exists, the refusal if the job does not exist and cause is a *validationError, and 503 otherwise.
+// okIfExists answers a submission that failed with cause, or whose outcome is unknown because of it. The
+// response is 200 if the job exists, the refusal if the job does not exist and cause is a
+// *validationError, and 503 otherwise.
 func (h *Handler) okIfExists(ctx context.Context, id string, cause error) wire.Response {
 	state, err := h.lookup(ctx, id)
 	if err == nil {
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -96,7 +96,7 @@
 }
 
 // Allows reports whether a task of the job can run on an empty machine of the given type: the machine
-// is large enough, and the job allows the type and a zone in which the type is offered.
+// is large enough, the job allows the type, and the type is offered in the job's zone if it names one.
 func Allows(spec *job.Spec, machineType *cloud.Type) bool {
 	tooSmall := spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.RAM > machineType.RAM
 	typeAllowed := spec.Types == nil || slices.Contains(spec.Types, machineType.Name)
