--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -1,6 +1,6 @@
 package api
 
-// This file has the node that the tests of this package run a Handler in.
+// This file holds the fixture that stands for a Handler's node in the tests of this package.
 
 import (
 	"context"
@@ -19,26 +19,26 @@
 	"tulipshelf/internal/wire"
 )
 
-// fixture is a handler that runs against a key-value store, and what it reports to its node.
+// fixture runs a Handler with a key-value store, and records the calls that it makes to its node.
 type fixture struct {
-	t       *testing.T
-	store   *fake.Store
-	client  *kvstore.Client // another node's
-	handler *Handler
+	t          *testing.T
+	store      *fake.Store
+	peerClient *kvstore.Client // client of another node
+	handler    *Handler
 
-	catalogUnknown atomic.Bool
-	noGangs        atomic.Bool
-	notReplicated  atomic.Bool // no other controller can be reached
+	catalogUnknown   atomic.Bool // whether Config.MachineTypes returns nil
+	gangsUnsupported atomic.Bool // whether Config.GangsSupported returns false
+	notReplicated    atomic.Bool // whether no other controller can be reached
 
-	mu        sync.Mutex // guards what follows
-	changed   []string
-	cancelled []string // by requests
-	read      []string // found cancelled by reads
+	mu                  sync.Mutex // guards the fields below
+	changed             []string   // job IDs passed to Config.OnJobChanged
+	cancelledByRequests []string   // job IDs passed to Config.OnJobCancelled
+	cancelledByReads    []string   // job IDs passed to Config.OnCancellationsRead
 }
 
 const storeAddr = "store"
 
-// inBubble runs a test in simulated time with a fixture of its own.
+// inBubble runs a test with a fixture of its own in a bubble of testing/synctest, in simulated time.
 func inBubble(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, newFixture(t)) })
@@ -50,7 +50,7 @@
 	go network.Serve(t.Context(), storeAddr, f.store.Handle)
 	synctest.Wait()
 	const rps = 1000
-	f.client = kvstore.New(network.Dial("other-node"), storeAddr, rps, rps)
+	f.peerClient = kvstore.New(network.Dial("other-node"), storeAddr, rps, rps)
 	f.handler = New(Config{
 		Store:         kvstore.New(network.Dial("node"), storeAddr, rps, rps),
 		StoreRPS:      rps,
@@ -65,24 +65,24 @@
 				{Name: "large", CPUs: 16, GPUs: 1, RAM: 64, Zones: []string{"east"}},
 			}
 		},
-		GangsSupported:        func() bool { return !f.noGangs.Load() },
-		OnJobChanged:          func(id string) { f.note(&f.changed, id) },
-		OnJobCancelled:        func(id string) { f.note(&f.cancelled, id) },
-		OnCancellationsRead:   func(ids []string, _ time.Time) { f.note(&f.read, ids...) },
+		GangsSupported:        func() bool { return !f.gangsUnsupported.Load() },
+		OnJobChanged:          func(id string) { f.appendTo(&f.changed, id) },
+		OnJobCancelled:        func(id string) { f.appendTo(&f.cancelledByRequests, id) },
+		OnCancellationsRead:   func(ids []string, _ time.Time) { f.appendTo(&f.cancelledByReads, ids...) },
 		ReplicateCancellation: func(context.Context, string) bool { return !f.notReplicated.Load() },
 	})
 	go f.handler.Run(t.Context())
-	t.Cleanup(func() { time.Sleep(10 * time.Second) }) // requests that the store has yet to answer end
+	t.Cleanup(func() { time.Sleep(10 * time.Second) }) // lets requests end that the store has not answered
 	return f
 }
 
-func (f *fixture) note(list *[]string, ids ...string) {
+func (f *fixture) appendTo(list *[]string, ids ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*list = append(*list, ids...)
 }
 
-func (f *fixture) noted(list *[]string) []string {
+func (f *fixture) snapshot(list *[]string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(*list)
@@ -93,7 +93,7 @@
 	began := time.Now()
 	response := f.handler.Serve(f.t.Context(), &wire.Request{Method: method, Path: path, Body: body})
 	if took := time.Since(began); took > requestTimeout {
-		f.t.Errorf("%s %s answered after %v", method, path, took)
+		f.t.Errorf("%s %s answered after %v, want at most %v", method, path, took, requestTimeout)
 	}
 	return response
 }
@@ -113,8 +113,8 @@
 	return f.serve("POST", "/v1/jobs/"+id+"/abort", nil)
 }
 
-// submitted submits a job that is accepted.
-func (f *fixture) submitted(id string) {
+// mustSubmit submits a job and checks that it is accepted.
+func (f *fixture) mustSubmit(id string) {
 	f.t.Helper()
 	f.expect(f.submit(submission(id)), 201, StatusPending)
 }
@@ -122,7 +122,7 @@
 // write changes the records, as the leader on another node does.
 func (f *fixture) write(mutations ...kvstore.Mutation) {
 	f.t.Helper()
-	if _, err := f.client.Txn(f.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
+	if _, err := f.peerClient.Txn(f.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -134,10 +134,10 @@
 	f.write(kvstore.Mutation{Delete: jobstore.JobKey(id)}, kvstore.Mutation{Put: jobstore.EndKey(id), Value: wire.Marshal(final)})
 }
 
-// record returns what is recorded of an unfinished job.
+// record returns the record of an unfinished job.
 func (f *fixture) record(id string) jobstore.Record {
 	f.t.Helper()
-	item, err := f.client.Get(f.t.Context(), jobstore.JobKey(id), kvstore.PriorityLease)
+	item, err := f.peerClient.Get(f.t.Context(), jobstore.JobKey(id), kvstore.PriorityLease)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -148,31 +148,31 @@
 	return record
 }
 
-// state decodes an answer about a job.
-func (f *fixture) state(response wire.Response) jobState {
+// decodeState decodes the body of a response about a job and checks that the request succeeded.
+func (f *fixture) decodeState(response wire.Response) jobState {
 	f.t.Helper()
 	var state jobState
 	if response.Status != 200 && response.Status != 201 {
-		f.t.Errorf("HTTP status %d", response.Status)
+		f.t.Errorf("HTTP status %d, want 200 or 201", response.Status)
 	} else if err := wire.Unmarshal(response.Body, &state); err != nil {
 		f.t.Error(err)
 	}
 	return state
 }
 
-// expect checks an answer about a job.
+// expect checks the HTTP status of a response about a job, and the job's status in its body.
 func (f *fixture) expect(response wire.Response, httpStatus int, want JobStatus) {
 	f.t.Helper()
 	if response.Status != httpStatus {
 		f.t.Errorf("HTTP status %d, want %d", response.Status, httpStatus)
 		return
 	}
-	if state := f.state(response); state.Status != want {
+	if state := f.decodeState(response); state.Status != want {
 		f.t.Errorf("status %q, want %q", state.Status, want)
 	}
 }
 
-// expectUnavailable checks the answer to a request that cannot be decided.
+// expectUnavailable checks the response to a request that cannot be decided.
 func (f *fixture) expectUnavailable(response wire.Response) {
 	f.t.Helper()
 	if response.Status != 503 || response.RetryAfter != 1 || len(response.Body) != 0 {
@@ -180,7 +180,7 @@
 	}
 }
 
-// expectRefused checks the answer to a request that will not succeed if it is repeated.
+// expectRefused checks the response to a request that will not succeed if it is repeated.
 func (f *fixture) expectRefused(response wire.Response, httpStatus int) {
 	f.t.Helper()
 	var problem wire.Problem
@@ -191,7 +191,7 @@
 	}
 }
 
-// submission returns what a user submits: an array that fits both machine types.
+// submission returns the fields of a valid submission: an array whose tasks fit both machine types.
 func submission(id string) map[string]any {
 	return map[string]any{"uid": id, "lane": "train", "crew": "vision", "shape": "array", "rank": "high",
 		"tickets": 10, "cpus": 4.0, "gpus": 0.0, "ram_gb": 8.0, "bundle": "img-07", "image_gb": 1.0,
