--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	g.config.Register.MergeAnswer(other.Node, own.lastCancellation, sent, cancellationStatement(answer))
+	g.config.Register.MergeAnswer(other.Node, own.registerSequence, sent, cancellationState(answer))
 	g.observations.record(answer)
 	return nil
 }
@@ -92,8 +92,8 @@
 		return nil, err
 	}
 	g.node.ObserveLeadership(heartbeat.Leader, heartbeat.Term)
-	if news := g.config.Register.Add(heartbeat.Cancelled...); len(news) > 0 {
-		g.node.JobsCancelled(news)
+	if added := g.config.Register.Add(heartbeat.Cancelled...); len(added) > 0 {
+		g.node.JobsCancelled(added)
 	}
 	g.node.ObserveConfirmedGone(decodeAttempts(heartbeat.Gone))
 	return heartbeat, nil
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// maxHeartbeat is the size in bytes that a heartbeat may have: that of a request body, less
+	// maxHeartbeatBytes is the size in bytes that a heartbeat may have: that of a request body, less
 	// what the tags and lengths of its fields take. The register of cancelled jobs is bounded
 	// to what leaves room for the rest.
-	maxHeartbeat = wire.MaxBody - 1<<10
+	maxHeartbeatBytes = wire.MaxBody - 1<<10
 
-	// goneField is the number of the field of the heartbeat that holds the attempts that are gone.
-	goneField = 9
+	// goneFieldNumber is the number of the field of the heartbeat that holds the attempts that are gone.
+	goneFieldNumber = 9
 
-	// knownOffset, in milliseconds, is added to how long ago a register was complete: one since
+	// stalenessOffsetMs, in milliseconds, is added to how long ago a register was complete: one since
 	// the fraction was cut off, and one so that 0 is free to mean that it never was. What is
 	// overstated by it errs on the safe side.
-	knownOffset = 2
+	stalenessOffsetMs = 2
 )
 
 // ownHeartbeat is a heartbeat of this controller.
 type ownHeartbeat struct {
 	message          []byte // encoded
-	lastCancellation uint64 // number in the register of the last cancellation that it carries
+	registerSequence uint64 // number in the register of the last cancellation that it carries
 }
 
 // newHeartbeat returns a heartbeat that says what this controller knows now.
@@ -50,11 +50,11 @@
 		MemoryMs:   uint64(register.Memory.Milliseconds()),
 	}
 	if register.StalenessKnown {
-		heartbeat.KnownMs = uint64(register.Staleness.Milliseconds()) + knownOffset
+		heartbeat.KnownMs = uint64(register.Staleness.Milliseconds()) + stalenessOffsetMs
 	}
 	gone := encodeAttempts(g.node.ConfirmedGone())
-	heartbeat.Gone = attemptsThatFit(gone, maxHeartbeat-proto.Size(heartbeat))
-	return ownHeartbeat{message: marshal(heartbeat), lastCancellation: register.Sequence}
+	heartbeat.Gone = attemptsThatFit(gone, maxHeartbeatBytes-proto.Size(heartbeat))
+	return ownHeartbeat{message: marshal(heartbeat), registerSequence: register.Sequence}
 }
 
 // attemptsThatFit returns as many of the attempts as take at most so many bytes of a heartbeat. The
@@ -63,7 +63,7 @@
 // Without it a heartbeat could grow larger than a request body, be refused by all, and every
 // controller would take every other for dead. docs/size.md has what bounds each.
 func attemptsThatFit(attempts []*Attempt, bytes int) []*Attempt {
-	overhead := protowire.SizeTag(goneField) + protowire.SizeVarint(maxHeartbeat) // of each
+	overhead := protowire.SizeTag(goneFieldNumber) + protowire.SizeVarint(maxHeartbeatBytes) // of each
 	for i, attempt := range attempts {
 		bytes -= proto.Size(attempt) + overhead
 		if bytes < 0 {
@@ -89,8 +89,8 @@
 	return ids
 }
 
-// cancellationStatement returns what a heartbeat says of its sender's register of cancelled jobs.
-func cancellationStatement(heartbeat *Heartbeat) cancellation.State {
+// cancellationState returns what a heartbeat says of its sender's register of cancelled jobs.
+func cancellationState(heartbeat *Heartbeat) cancellation.State {
 	return cancellation.State{
 		Jobs:           heartbeat.Cancelled,
 		Memory:         time.Duration(heartbeat.MemoryMs) * time.Millisecond,
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -9,7 +9,7 @@
 
 // observation is what a member said in its last answer to a heartbeat.
 type observation struct {
-	answered       time.Time // when the answer came
+	lastAnswered   time.Time // when the answer came
 	lastLed        time.Time // when an answer last said that the member itself leads; zero: none did
 	redirected     int       // agents that have lately come to it though it does not lead
 	storeReachable bool      // whether the key-value store serves it
@@ -47,7 +47,7 @@
 	defer o.mu.Unlock()
 	now := time.Now()
 	member := o.byMember[answer.Node]
-	member.answered = now
+	member.lastAnswered = now
 	member.redirected = int(answer.Redirected)
 	member.storeReachable = answer.Served
 	member.runsGangs = answer.Gangs
@@ -64,7 +64,7 @@
 	defer o.mu.Unlock()
 	last := o.started
 	if member, ok := o.byMember[node]; ok {
-		last = member.answered
+		last = member.lastAnswered
 	}
 	return time.Since(last) < d
 }
@@ -83,7 +83,7 @@
 	defer o.mu.Unlock()
 	most := 0
 	for _, member := range o.byMember {
-		if time.Since(member.answered) < d {
+		if time.Since(member.lastAnswered) < d {
 			most = max(most, member.redirected)
 		}
 	}
@@ -109,7 +109,7 @@
 	defer o.mu.Unlock()
 	anyAnswered := false
 	for _, member := range o.byMember {
-		if time.Since(member.answered) >= d {
+		if time.Since(member.lastAnswered) >= d {
 			continue
 		}
 		if member.storeReachable {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -99,7 +99,7 @@
 
 // Only the answer to one's own heartbeat is a sign of life. If a heartbeat that comes in were one,
 // a late copy would make agents wait for a leader that cannot be reached.
-func TestIncomingHeartbeatTakenForSignOfLife(t *testing.T) {
+func TestIncomingHeartbeatCountsAsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := startGroup(t)
 		g.nodes["b"].ObserveLeadership("b", 1)
--- a/internal/relay/commands.go
+++ b/internal/relay/commands.go
@@ -19,17 +19,17 @@
 	// idlePollInterval is how often a proxy without agents looks whether any have come.
 	idlePollInterval = 500 * time.Millisecond
 
-	// readInterval is the least time between two reads of commands: what the leader writes in
+	// minReadInterval is the least time between two reads of commands: what the leader writes in
 	// between comes with one.
-	readInterval = 200 * time.Millisecond
+	minReadInterval = 200 * time.Millisecond
 
-	// watchWait is how long one watch request waits for a change: it bounds for how long a proxy
+	// watchTimeout is how long one watch request waits for a change: it bounds for how long a proxy
 	// whose agents have gone holds a connection to the store.
-	watchWait = 5 * time.Second
+	watchTimeout = 5 * time.Second
 
-	// maxCommandKeys is the size of the page in which the commands are listed. The leader writes as
+	// commandPageSize is the size of the page in which the commands are listed. The leader writes as
 	// many keys for one proxy as a transaction carries, which is far fewer, so one page has all.
-	maxCommandKeys = 100
+	commandPageSize = 100
 )
 
 // followCommands reads the commands for this controller's agents and sends the agents those that
@@ -54,7 +54,7 @@
 		for _, commands := range read.changed {
 			dispatcher.tryDispatch(ctx, commands)
 		}
-		clock.Sleep(ctx, readInterval)
+		clock.Sleep(ctx, minReadInterval)
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 func (p *Proxy) listCommands(ctx context.Context) (commandRead, error) {
-	page, err := p.Store.List(ctx, downNodePrefix(p.Node), "", maxCommandKeys, kvstore.PriorityBackground)
+	page, err := p.Store.List(ctx, downNodePrefix(p.Node), "", commandPageSize, kvstore.PriorityBackground)
 	if err != nil {
 		return commandRead{}, err
 	}
@@ -91,7 +91,7 @@
 }
 
 func (p *Proxy) watchCommands(ctx context.Context, after uint64) (commandRead, error) {
-	events, revision, err := p.Store.Watch(ctx, downNodePrefix(p.Node), after, watchWait)
+	events, revision, err := p.Store.Watch(ctx, downNodePrefix(p.Node), after, watchTimeout)
 	if err != nil {
 		return commandRead{}, err
 	}
--- a/internal/relay/delta.go
+++ b/internal/relay/delta.go
@@ -32,40 +32,40 @@
 		Sequence:     heartbeat.Sequence,
 		FencingToken: heartbeat.FencingToken,
 	}
-	notListed := make(map[job.AttemptID]agent.ReportedTask, len(base.Tasks)) // in heartbeat, so far
+	unmatched := make(map[job.AttemptID]agent.ReportedTask, len(base.Tasks)) // in heartbeat, so far
 	for _, task := range base.Tasks {
-		notListed[task.ID()] = task
+		unmatched[task.ID()] = task
 	}
 	for _, task := range heartbeat.Tasks {
 		id := task.ID()
-		if before, ok := notListed[id]; !ok || before != task {
+		if previous, ok := unmatched[id]; !ok || previous != task {
 			delta.Tasks = append(delta.Tasks, compactTask(task))
 		}
-		delete(notListed, id)
+		delete(unmatched, id)
 	}
 	for _, task := range base.Tasks {
-		if _, ok := notListed[task.ID()]; ok {
+		if _, ok := unmatched[task.ID()]; ok {
 			delta.Removed = append(delta.Removed, ReportedTask{Task: task.Task, Attempt: task.Attempt})
 		}
 	}
 	return delta
 }
 
-// hasNews reports whether the delta says more than that the machine is alive.
-func (d *HeartbeatDelta) hasNews(base *agent.Heartbeat) bool {
+// hasChanges reports whether the delta says more than that the machine is alive.
+func (d *HeartbeatDelta) hasChanges(base *agent.Heartbeat) bool {
 	return len(d.Tasks)+len(d.Removed) > 0 || d.FencingToken != base.FencingToken
 }
 
-// Apply returns the heartbeat that the delta stands for. Before must be its base: of the same
+// Apply returns the heartbeat that the delta stands for. base must be its base: of the same
 // incarnation, with the sequence number BaseSequence.
-func (d *HeartbeatDelta) Apply(before agent.Heartbeat) agent.Heartbeat {
-	heartbeat := before
+func (d *HeartbeatDelta) Apply(base agent.Heartbeat) agent.Heartbeat {
+	heartbeat := base
 	heartbeat.Sequence, heartbeat.FencingToken, heartbeat.Tasks = d.Sequence, d.FencingToken, nil
 	replaced := map[job.AttemptID]bool{}
 	for _, task := range slices.Concat(d.Tasks, d.Removed) {
 		replaced[task.ID()] = true
 	}
-	for _, task := range before.Tasks {
+	for _, task := range base.Tasks {
 		if !replaced[task.ID()] {
 			heartbeat.Tasks = append(heartbeat.Tasks, task)
 		}
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -37,7 +37,7 @@
 func (p *Proxy) forwardHeartbeats(ctx context.Context) {
 	for clock.Sleep(ctx, writeInterval) {
 		if !p.active() {
-			p.forget()
+			p.reset()
 			continue
 		}
 		batches, forwarded := p.nextBatches(time.Now())
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	unchanged, changed := p.selectPending(now)
-	slices.SortFunc(changed, compareTurns)
+	slices.SortFunc(changed, compareLastForwarded)
 	packer := newBatchPacker(p.Node, p.ValueBytes, p.TxnOps)
 	for _, next := range slices.Concat(unchanged, changed) {
 		packer.add(next, now)
@@ -82,25 +82,25 @@
 // outgoing is a heartbeat about to be forwarded.
 type outgoing struct {
 	heartbeat agent.Heartbeat
-	before    forwardedHeartbeat // of the same machine; zero: none
+	previous  forwardedHeartbeat // of the same machine; zero: none
 	delta     *HeartbeatDelta    // nil: it goes in full
 }
 
-// compareTurns orders heartbeats by who has waited longest.
-func compareTurns(a, b outgoing) int {
-	return cmp.Or(a.before.at.Compare(b.before.at), strings.Compare(a.heartbeat.Machine, b.heartbeat.Machine))
+// compareLastForwarded orders heartbeats by who has waited longest.
+func compareLastForwarded(a, b outgoing) int {
+	return cmp.Or(a.previous.at.Compare(b.previous.at), strings.Compare(a.heartbeat.Machine, b.heartbeat.Machine))
 }
 
 // selectPending returns the pending heartbeats: those that say only that a machine is alive, and
 // those with news. It is called with mu held.
 func (p *Proxy) selectPending(now time.Time) (unchanged, changed []outgoing) {
 	for machine, heartbeat := range p.pending {
-		before, known := p.forwarded[machine]
-		next := outgoing{heartbeat: heartbeat, before: before}
-		if known && p.deltaSuffices(&before, &heartbeat, now) {
-			delta := newDelta(&before.heartbeat, &heartbeat)
+		previous, known := p.forwarded[machine]
+		next := outgoing{heartbeat: heartbeat, previous: previous}
+		if known && p.deltaSuffices(&previous, &heartbeat, now) {
+			delta := newDelta(&previous.heartbeat, &heartbeat)
 			next.delta = &delta
-			if !delta.hasNews(&before.heartbeat) {
+			if !delta.hasChanges(&previous.heartbeat) {
 				unchanged = append(unchanged, next)
 				continue
 			}
@@ -114,15 +114,15 @@
 // before. Full heartbeats list all tasks that the agent may not yet forget; if all were
 // full, those of a large zone would not fit into the transactions, and its machines would count as
 // silent. It is called with mu held.
-func (p *Proxy) deltaSuffices(before *forwardedHeartbeat, heartbeat *agent.Heartbeat, now time.Time) bool {
-	if before.heartbeat.Incarnation != heartbeat.Incarnation {
+func (p *Proxy) deltaSuffices(previous *forwardedHeartbeat, heartbeat *agent.Heartbeat, now time.Time) bool {
+	if previous.heartbeat.Incarnation != heartbeat.Incarnation {
 		return false
 	}
-	if before.heartbeat.TerminationNoticeS != nil || heartbeat.TerminationNoticeS != nil {
+	if previous.heartbeat.TerminationNoticeS != nil || heartbeat.TerminationNoticeS != nil {
 		return false // a delta has no field for it
 	}
-	fullOnItsWay := now.Sub(before.fullAt) < resendAfter
-	return fullOnItsWay || !p.commandsFor(heartbeat.Machine).ResendFull
+	fullInFlight := now.Sub(previous.fullAt) < resendAfter
+	return fullInFlight || !p.commandsFor(heartbeat.Machine).ResendFull
 }
 
 // markForwarded takes what was written as the base of the deltas to come.
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.forwarded == nil {
-		return // forget was called meanwhile
+		return // reset was called meanwhile
 	}
 	for _, written := range forwarded {
 		machine := written.heartbeat.Machine
@@ -168,7 +168,7 @@
 	if next.delta != nil {
 		if batch := b.reserve(len(wire.Marshal(*next.delta))); batch != nil {
 			batch.Deltas = append(batch.Deltas, *next.delta)
-			b.forwarded = append(b.forwarded, forwardedHeartbeat{heartbeat: next.heartbeat, at: now, fullAt: next.before.fullAt})
+			b.forwarded = append(b.forwarded, forwardedHeartbeat{heartbeat: next.heartbeat, at: now, fullAt: next.previous.fullAt})
 		}
 		return
 	}
--- a/internal/relay/proxy_test.go
+++ b/internal/relay/proxy_test.go
@@ -132,7 +132,7 @@
 
 // Heartbeats without news have room before those with news, however many those are: their machines
 // would count as silent.
-func TestMachineWithoutNewsCrowdedOut(t *testing.T) {
+func TestUnchangedHeartbeatStarved(t *testing.T) {
 	const quiet = 10
 	p, now := newTestProxy(), time.Unix(0, 0)
 	answerMachines(p, "quiet", quiet, 1, 1)
@@ -152,7 +152,7 @@
 
 // Where only some machines with news fit into a transaction they take turns, also if all have news
 // again each time.
-func TestMachineWithNewsStarved(t *testing.T) {
+func TestChangedHeartbeatStarved(t *testing.T) {
 	const machines, writes = 100, 8 // each carries a seventh of the machines at least
 	p, now := newTestProxy(), time.Unix(0, 0)
 	p.ValueBytes, p.TxnOps = 2<<10, 1
@@ -341,7 +341,7 @@
 		for sequence := range uint64(2) {
 			heartbeat := testHeartbeat(2, sequence+1)
 			p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
-			time.Sleep(idleAfter + 2*writeInterval)
+			time.Sleep(idleTimeout + 2*writeInterval)
 			if batch := readHeartbeats(t, p.Store); len(batch.Full) != 1 || batch.Full[0].Sequence != sequence+1 {
 				t.Errorf("the store has %+v, want heartbeat %d in full", batch, sequence+1)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,7 +31,7 @@
 	ValueBytes int             // size in bytes that the store allows for a value
 	TxnOps     int             // mutations that it allows in a transaction
 
-	// mu guards the fields below. The maps are made by the first heartbeat and dropped by forget.
+	// mu guards the fields below. The maps are made by the first heartbeat and dropped by reset.
 	mu           sync.Mutex
 	leader       string                        // to which heartbeats are forwarded
 	term         uint64                        // its term
@@ -42,9 +42,9 @@
 	batches      map[string]CommandBatch       // commands as last read, by key
 }
 
-// idleAfter is for how long after the last heartbeat of an agent a proxy goes on. It outlasts the
+// idleTimeout is for how long after the last heartbeat of an agent a proxy goes on. It outlasts the
 // usual interval between two, so that the base of deltas is not lost from one to the next.
-const idleAfter = 8 * time.Second
+const idleTimeout = 8 * time.Second
 
 // AnswerHeartbeat takes the heartbeat of an agent that cannot reach the leader, and returns the
 // response under the leader's term. The heartbeat is forwarded later, by Run; the commands are
@@ -103,11 +103,11 @@
 func (p *Proxy) active() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.lastAnswered) < idleAfter
+	return time.Since(p.lastAnswered) < idleTimeout
 }
 
-// forget drops what was kept for agents that have gone.
-func (p *Proxy) forget() {
+// reset drops what was kept for agents that have gone.
+func (p *Proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leader, p.pending, p.forwarded, p.addrs, p.batches = "", nil, nil, nil, nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,7 +16,7 @@
 // leaderView is what a leader makes of forwarded heartbeats.
 type leaderView struct {
 	heartbeats map[string]agent.Heartbeat // the last, by machine
-	heardAt    map[string]time.Time
+	receivedAt map[string]time.Time
 }
 
 // apply takes what a batch stands for, as the leader does, and fails the test if it lacks the base
@@ -25,7 +25,7 @@
 	t.Helper()
 	for i := range batch.Full {
 		heartbeat := batch.Full[i].Heartbeat()
-		v.heartbeats[heartbeat.Machine], v.heardAt[heartbeat.Machine] = heartbeat, now
+		v.heartbeats[heartbeat.Machine], v.receivedAt[heartbeat.Machine] = heartbeat, now
 	}
 	for i := range batch.Deltas {
 		delta := &batch.Deltas[i]
@@ -33,7 +33,7 @@
 		if base.Sequence != delta.BaseSequence {
 			t.Fatalf("a delta to sequence %d, known is %d", delta.BaseSequence, base.Sequence)
 		}
-		v.heartbeats[delta.Machine], v.heardAt[delta.Machine] = delta.Apply(base), now
+		v.heartbeats[delta.Machine], v.receivedAt[delta.Machine] = delta.Apply(base), now
 	}
 }
 
@@ -100,7 +100,7 @@
 	proxy := &Proxy{Node: "shelf-1", ValueBytes: zoneValueBytes, TxnOps: zoneTxnOps}
 	start := time.Unix(0, 0)
 	now := start
-	leader := leaderView{heartbeats: map[string]agent.Heartbeat{}, heardAt: map[string]time.Time{}}
+	leader := leaderView{heartbeats: map[string]agent.Heartbeat{}, receivedAt: map[string]time.Time{}}
 	reported := map[string]agent.Heartbeat{}
 	for round := range 80 {
 		now = now.Add(writeInterval)
@@ -119,7 +119,7 @@
 			continue // at first all of it is news
 		}
 		for i := range zoneMachines {
-			if silent := now.Sub(leader.heardAt[zoneMachine(i)]); silent > 8*time.Second {
+			if silent := now.Sub(leader.receivedAt[zoneMachine(i)]); silent > 8*time.Second {
 				t.Fatalf("machine %d not heard for %v", i, silent)
 			}
 		}
