--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -1,4 +1,4 @@
-// Requests between members other than heartbeats, and the handler of all of them.
+// The handler of requests from other members, and notifications of changed jobs.
 
 package peer
 
@@ -16,8 +16,9 @@
 	changedPath   = "/changed"
 )
 
-// NotifyLeader tells the leader, if one is known, that a job has changed. A message that is lost
-// costs time only: the leader watches the jobs' keys as well.
+// NotifyLeader notifies the leader, if one is known, that a job has changed. If this controller leads,
+// it calls Node.JobsChanged directly. Errors are only logged: a lost notification delays the job but
+// has no other effect, as the leader also watches the jobs' keys.
 func (g *Group) NotifyLeader(ctx context.Context, job string) {
 	leader, _ := g.node.Leadership()
 	if leader == g.config.Node {
@@ -34,7 +35,7 @@
 	}
 }
 
-// Serve handles a request of another controller: a wire.Handler.
+// Serve handles a request from another controller. It is a wire.Handler.
 func (g *Group) Serve(_ context.Context, req *wire.Request) wire.Response {
 	if req.Method != wire.MethodPost {
 		return wire.Response{Status: wire.StatusMethodNotAllowed}
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -1,4 +1,4 @@
-// Sending heartbeats to the other members, and receiving theirs.
+// Sending of heartbeats to the other members, and processing of received ones.
 
 package peer
 
@@ -15,23 +15,24 @@
 )
 
 const (
-	// heartbeatInterval is the mean time between two heartbeats to a member: a few of them must
-	// fit into the time after which a leader counts as lost.
+	// heartbeatInterval is the mean delay between the end of one heartbeat request to a member and
+	// the start of the next. Several heartbeats must fit into the time after which a leader counts
+	// as lost.
 	heartbeatInterval = time.Second
 
-	// requestTimeout bounds one request to a member, and so for how long a caller waits for a
-	// majority. Heartbeats to a member follow one another, so one that hangs is still sent a
-	// heartbeat every two seconds or so.
+	// requestTimeout is the timeout of one request to a member, and of a caller's wait for a
+	// majority. The next heartbeat to a member waits for the previous request to end, so a member
+	// that hangs is still sent a heartbeat about every two seconds.
 	requestTimeout = 800 * time.Millisecond
 )
 
-// Errors of a request to a member.
+// Errors of requests to members, and of received heartbeats.
 var (
 	errUnexpectedStatus   = errors.New("peer: unexpected status")
 	errMalformedHeartbeat = errors.New("peer: malformed heartbeat")
 )
 
-// Run sends heartbeats to all other members until ctx ends. It is called once.
+// Run sends heartbeats to all other members until ctx ends. It must be called at most once.
 func (g *Group) Run(ctx context.Context) {
 	g.observations.start()
 	for _, m := range g.members {
@@ -44,7 +45,8 @@
 	loops.Wait()
 }
 
-// sendHeartbeats sends heartbeats to one member until ctx ends, the first at once.
+// sendHeartbeats sends heartbeats to one member until ctx ends: the first immediately, each later one
+// after a random delay or when its schedule is woken.
 func (g *Group) sendHeartbeats(ctx context.Context, other *member) {
 	for ctx.Err() == nil {
 		pending := other.schedule.takePending()
@@ -60,13 +62,14 @@
 	}
 }
 
-// untilNextHeartbeat returns the time to the next heartbeat: random, so that controllers that
-// started at the same time do not all send at the same time.
+// untilNextHeartbeat returns the delay before the next heartbeat. It is random, so that controllers
+// started at the same time do not all send heartbeats at the same time.
 func untilNextHeartbeat() time.Duration {
 	return heartbeatInterval*3/4 + rand.N(heartbeatInterval/2)
 }
 
-// exchangeHeartbeat sends a heartbeat to a member and takes the answer.
+// exchangeHeartbeat sends a heartbeat to a member, and merges the answer into the register of cancelled
+// jobs and the observations.
 func (g *Group) exchangeHeartbeat(ctx context.Context, other *member) error {
 	sent := time.Now()
 	own := g.newHeartbeat()
@@ -83,9 +86,9 @@
 	return nil
 }
 
-// receiveHeartbeat learns from a heartbeat, a request or an answer, who leads, what is cancelled and
-// which attempts are gone. A late copy does no harm: the term that it names is not above the
-// one known, and what is cancelled or gone stays so.
+// receiveHeartbeat decodes a heartbeat, either a request or an answer, and applies the leadership, the
+// cancelled jobs and the gone attempts that it reports. A late copy is harmless: its term is not above
+// the highest known one, and cancelled jobs stay cancelled and gone attempts gone.
 func (g *Group) receiveHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat, err := unmarshalHeartbeat(body)
 	if err != nil {
@@ -99,7 +102,7 @@
 	return heartbeat, nil
 }
 
-// member is another controller, with the connections to it.
+// member is another controller, with the client for requests to it and the schedule of its heartbeats.
 type member struct {
 	Member
 	client   *wire.Client
@@ -110,14 +113,15 @@
 	return &member{Member: m, client: &wire.Client{Dial: dial, Addr: m.Addr}, schedule: newSchedule()}
 }
 
-// post sends a request and returns the body of the response. After an error the connections are
-// closed, since those that are left may be as dead as the one that failed.
+// post sends a POST request and returns the body of the response. The error is that of the client, or
+// wraps errUnexpectedStatus if the status is not 200. After an error the idle connections are closed,
+// as they may be as dead as the one that failed.
 func (m *member) post(ctx context.Context, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := m.client.Do(ctx, wire.MethodPost, path, body)
 	if err == nil && response.Status != wire.StatusOK {
-		err = fmt.Errorf("%w %d", errUnexpectedStatus, response.Status)
+		err = fmt.Errorf("%w %d of %s, want %d", errUnexpectedStatus, response.Status, path, wire.StatusOK)
 	}
 	if err != nil {
 		m.client.CloseIdle()
@@ -126,7 +130,8 @@
 	return response.Body, nil
 }
 
-// logRequestError says that a member did not do what it was asked, at debug: members come and go.
+// logRequestError logs a failed request to a member. The level is debug, as members may be stopped or
+// unreachable in normal operation.
 func logRequestError(m *member, err error) {
 	slog.Debug("request to peer failed", "peer", m.Node, "err", err)
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,4 +1,4 @@
-// The encoding of the messages, and the size of a heartbeat.
+// The encoding of messages, and the limit on the size of a heartbeat.
 
 package peer
 
@@ -15,27 +15,27 @@
 )
 
 const (
-	// maxHeartbeatBytes is the size in bytes that a heartbeat may have: that of a request body, less
-	// what the tags and lengths of its fields take. The register of cancelled jobs is bounded
-	// to what leaves room for the rest.
+	// maxHeartbeatBytes is the maximum size of a heartbeat: that of a request body, less 1 KiB for
+	// the tags and lengths of its fields. The register of cancelled jobs is bounded so that the
+	// other fields fit as well.
 	maxHeartbeatBytes = wire.MaxBody - 1<<10
 
-	// goneFieldNumber is the number of the field of the heartbeat that holds the attempts that are gone.
+	// goneFieldNumber is the protobuf field number of Heartbeat.gone.
 	goneFieldNumber = 9
 
-	// stalenessOffsetMs, in milliseconds, is added to how long ago a register was complete: one since
-	// the fraction was cut off, and one so that 0 is free to mean that it never was. What is
-	// overstated by it errs on the safe side.
+	// stalenessOffsetMs is added to the staleness of the register in Heartbeat.known_ms. One
+	// millisecond makes up for the fraction that is truncated. The other keeps the value 0 free for
+	// a register that was never complete. Overstating the staleness is safe.
 	stalenessOffsetMs = 2
 )
 
-// ownHeartbeat is a heartbeat of this controller.
+// ownHeartbeat is a heartbeat created by this controller.
 type ownHeartbeat struct {
-	message          []byte // encoded
-	registerSequence uint64 // number in the register of the last cancellation that it carries
+	message          []byte // encoded heartbeat
+	registerSequence uint64 // sequence number of the last cancellation in the register at creation
 }
 
-// newHeartbeat returns a heartbeat that says what this controller knows now.
+// newHeartbeat returns a heartbeat with the current state of this controller.
 func (g *Group) newHeartbeat() ownHeartbeat {
 	leader, term := g.node.Leadership()
 	register := g.config.Register.State()
@@ -57,13 +57,13 @@
 	return ownHeartbeat{message: marshal(heartbeat), registerSequence: register.Sequence}
 }
 
-// attemptsThatFit returns as many of the attempts as take at most so many bytes of a heartbeat. The
-// others can wait for a later one: they only save work.
+// attemptsThatFit returns a prefix of the attempts that takes at most the given number of bytes of a
+// heartbeat. The others can be left for a later heartbeat, as they only save work.
 //
-// Without it a heartbeat could grow larger than a request body, be refused by all, and every
-// controller would take every other for dead. docs/size.md has what bounds each.
+// Guards against all controllers counting each other as dead: a heartbeat larger than a request body is
+// refused by every member. docs/size.md gives the bound of each part.
 func attemptsThatFit(attempts []*Attempt, bytes int) []*Attempt {
-	overhead := protowire.SizeTag(goneFieldNumber) + protowire.SizeVarint(maxHeartbeatBytes) // of each
+	overhead := protowire.SizeTag(goneFieldNumber) + protowire.SizeVarint(maxHeartbeatBytes) // per attempt
 	for i, attempt := range attempts {
 		bytes -= proto.Size(attempt) + overhead
 		if bytes < 0 {
@@ -89,7 +89,8 @@
 	return ids
 }
 
-// cancellationState returns what a heartbeat says of its sender's register of cancelled jobs.
+// cancellationState returns the state of the sender's register of cancelled jobs, as a heartbeat
+// reports it. Its Sequence is not set.
 func cancellationState(heartbeat *Heartbeat) cancellation.State {
 	return cancellation.State{
 		Jobs:           heartbeat.Cancelled,
@@ -99,19 +100,21 @@
 	}
 }
 
-// unmarshalHeartbeat decodes a heartbeat; its error is errMalformedHeartbeat.
+// unmarshalHeartbeat decodes a heartbeat. The error wraps errMalformedHeartbeat if the encoding is
+// invalid or the sender's name is empty.
 func unmarshalHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := proto.Unmarshal(body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedHeartbeat, err)
 	}
 	if heartbeat.Node == "" {
-		return nil, fmt.Errorf("%w: no sender", errMalformedHeartbeat)
+		return nil, fmt.Errorf("%w: empty node name", errMalformedHeartbeat)
 	}
 	return &heartbeat, nil
 }
 
-// marshal encodes a message made here, which cannot fail.
+// marshal encodes a message created by this controller. It panics if that fails, which does not happen
+// with a valid message.
 func marshal(message proto.Message) []byte {
 	body, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -1,4 +1,4 @@
-// What the other members said last, and what a controller concludes from it.
+// The last answer of each other member, and the conclusions that a controller draws from it.
 
 package peer
 
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// observation is what a member said in its last answer to a heartbeat.
+// observation is the content of a member's last answer to a heartbeat.
 type observation struct {
-	lastAnswered   time.Time // when the answer came
-	lastLed        time.Time // when an answer last said that the member itself leads; zero: none did
-	redirected     int       // agents that have lately come to it though it does not lead
-	storeReachable bool      // whether the key-value store serves it
-	runsGangs      bool      // whether its version runs gangs
+	lastAnswered   time.Time // time of the last answer
+	lastLed        time.Time // time of the last answer that named the member itself as leader; zero: none
+	redirected     int       // number of agents that recently contacted it although it does not lead
+	storeReachable bool      // whether the key-value store recently served the member
+	runsGangs      bool      // whether the member's version runs gangs
 }
 
-// observations is the last observation of each member. All methods are safe for concurrent use;
-// those that are exported are methods of Group.
+// observations holds the last observation of each member. All methods are safe for concurrent use. The
+// exported ones are promoted to Group.
 type observations struct {
 	members []Member // never changed
 
 	mu       sync.Mutex             // guards the fields below
-	started  time.Time              // when this controller began to send heartbeats; zero: not yet
-	byMember map[string]observation // by the name that the member gives itself; none before its first answer
+	started  time.Time              // start of sending heartbeats; zero: not started
+	byMember map[string]observation // by node name in the answer; no entry before the first
 }
 
 func newObservations(members []Member) *observations {
 	return &observations{members: members, byMember: map[string]observation{}}
 }
 
-// start notes that heartbeats are sent from now on.
+// start records that sending of heartbeats begins now.
 func (o *observations) start() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.started = time.Now()
 }
 
-// record takes a member's answer to a heartbeat of this controller.
+// record records a member's answer to a heartbeat of this controller. Other heartbeats must not be
+// passed to it.
 //
-// It must see nothing else. A heartbeat that another member sends may be a late copy: taken for a
-// sign of life, it kept agents waiting for a leader that could not be reached until their
-// leases expired.
+// Guards against agents waiting for an unreachable leader until their leases expire, which has
+// happened: a heartbeat that a member sends may arrive as a late copy, so it does not show that the
+// member is reachable.
 func (o *observations) record(answer *Heartbeat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -57,8 +58,9 @@
 	o.byMember[answer.Node] = member
 }
 
-// ReachableWithin reports whether a member has answered a heartbeat within d. One that has never
-// answered counts as having done so when this controller began to send heartbeats.
+// ReachableWithin reports whether a member has answered a heartbeat within the last d. A member that
+// has never answered counts as having answered when this controller began to send heartbeats; before
+// that it is not reachable.
 func (o *observations) ReachableWithin(node string, d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,15 +71,16 @@
 	return time.Since(last) < d
 }
 
-// LeadingWithin reports whether a member has said within d that it leads.
+// LeadingWithin reports whether a member has answered within the last d that it leads.
 func (o *observations) LeadingWithin(node string, d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return time.Since(o.byMember[node].lastLed) < d
 }
 
-// MostRedirected returns the largest number of agents that have come to one of the members though
-// it does not lead, of those members that have answered within d.
+// MostRedirected returns the largest number of redirected agents (see Node.Redirected) that any member
+// reported in its last answer. Members that have not answered within the last d are left out; the
+// result is 0 if none has.
 func (o *observations) MostRedirected(d time.Duration) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,7 +93,8 @@
 	return most
 }
 
-// AllRunGangs reports whether every other member has said that its version runs gangs.
+// AllRunGangs reports whether every other member's last answer, however old, says that its version runs
+// gangs. It returns false while a member has not answered.
 func (o *observations) AllRunGangs() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,8 +106,8 @@
 	return true
 }
 
-// StoreServesNobody reports whether members have answered within d and the key-value store serves
-// none of them.
+// StoreServesNobody reports whether at least one member has answered within the last d, and none of
+// those that have was served by the key-value store.
 func (o *observations) StoreServesNobody(d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/peer/replication.go
+++ b/internal/peer/replication.go
@@ -1,5 +1,5 @@
 // Replication of cancellations to a majority of the controllers: callers wait until enough other
-// members have answered a heartbeat that carried the cancellation.
+// members have answered a heartbeat that contained the cancellation.
 
 package peer
 
@@ -8,10 +8,9 @@
 	"sync"
 )
 
-// ReplicateCancellation sees to it that a majority of the controllers, this one included, holds
-// the cancellation of a job, and reports whether it does. The job must be in the register. It
-// gives up when ctx ends, and after requestTimeout. Callers that wait at the same time share
-// heartbeats.
+// ReplicateCancellation replicates the cancellation of a job to a majority of the controllers, this
+// one included, and reports whether a majority holds it. The job must be in the register. It waits
+// until ctx ends, but at most for requestTimeout. Concurrent callers share heartbeats.
 func (g *Group) ReplicateCancellation(ctx context.Context, job string) bool {
 	register := g.config.Register
 	if register.HeldByMajority(job) {
@@ -39,34 +38,34 @@
 	return false
 }
 
-// schedule is when the next heartbeat to one member is due ahead of its time, and who waits for
-// it. All methods are safe for concurrent use.
+// schedule holds requests for a heartbeat to one member ahead of the regular interval. All methods are
+// safe for concurrent use.
 type schedule struct {
-	wake chan struct{} // holds one element while a heartbeat is wanted at once
+	wake chan struct{} // contains an element if a heartbeat is to be sent without further delay
 
-	mu      sync.Mutex // guards the fields below
-	started bool       // whether heartbeats are sent
-	pending *pendingHeartbeat
+	mu      sync.Mutex        // guards the fields below
+	started bool              // whether heartbeats are being sent
+	pending *pendingHeartbeat // nil: no caller waits for the next heartbeat
 }
 
-// pendingHeartbeat is the next heartbeat to a member, while somebody waits for it.
+// pendingHeartbeat is the next heartbeat to a member, if callers wait for it.
 type pendingHeartbeat struct {
-	finished chan struct{} // closed once it was answered or has failed
+	finished chan struct{} // closed when the heartbeat was answered or has failed
 }
 
 func newSchedule() *schedule { return &schedule{wake: make(chan struct{}, 1)} }
 
-// start notes that heartbeats are sent from now on.
+// start records that sending of heartbeats begins now.
 func (s *schedule) start() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = true
 }
 
-// requestHeartbeat has a heartbeat sent as soon as the one in flight is over, and returns a
-// channel that is closed when it was answered or has failed: nil, which never is, before
-// heartbeats are sent. One that is in flight already does not count, as it may not
-// carry what the caller has just registered.
+// requestHeartbeat requests a heartbeat that is sent as soon as the one in flight, if any, has ended.
+// It returns a channel that is closed when the requested one was answered or has failed. The one in
+// flight does not count, as it may not contain what the caller has just registered. Before the start
+// of heartbeats nothing is requested, and the result is nil, a channel that is never closed.
 func (s *schedule) requestHeartbeat() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,14 +76,14 @@
 		s.pending = &pendingHeartbeat{finished: make(chan struct{})}
 		select {
 		case s.wake <- struct{}{}:
-		default: // it is to be woken already
+		default: // a wake-up is already queued
 		}
 	}
 	return s.pending.finished
 }
 
-// takePending returns the heartbeat that somebody waits for, nil if nobody does. Who asks from now
-// on waits for the one after it.
+// takePending returns the heartbeat that callers wait for, nil if there are none, and clears it. Later
+// callers wait for the heartbeat after it.
 func (s *schedule) takePending() *pendingHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +92,7 @@
 	return pending
 }
 
-// finish lets those go on that wait for the heartbeat. It may be nil.
+// finish unblocks the callers that wait for the heartbeat. p may be nil.
 func (p *pendingHeartbeat) finish() {
 	if p != nil {
 		close(p.finished)
--- a/internal/relay/commands.go
+++ b/internal/relay/commands.go
@@ -1,4 +1,4 @@
-// Following the commands that the leader writes for this controller's agents.
+// Reading of the commands that the leader writes for this controller's agents.
 
 package relay
 
@@ -16,28 +16,29 @@
 )
 
 const (
-	// idlePollInterval is how often a proxy without agents looks whether any have come.
+	// idlePollInterval is the interval at which an inactive proxy checks whether it has become active.
 	idlePollInterval = 500 * time.Millisecond
 
-	// minReadInterval is the least time between two reads of commands: what the leader writes in
-	// between comes with one.
+	// minReadInterval is the minimum time between two reads of commands. One read returns all commands
+	// that the leader writes in between.
 	minReadInterval = 200 * time.Millisecond
 
-	// watchTimeout is how long one watch request waits for a change: it bounds for how long a proxy
-	// whose agents have gone holds a connection to the store.
+	// watchTimeout is the time that one watch request waits for a change. It limits how long a proxy
+	// holds a connection to the store after it has become inactive.
 	watchTimeout = 5 * time.Second
 
-	// commandPageSize is the size of the page in which the commands are listed. The leader writes as
-	// many keys for one proxy as a transaction carries, which is far fewer, so one page has all.
+	// commandPageSize is the page size, in keys, for listing the commands. One page contains them all:
+	// the leader writes at most as many keys for one proxy as a transaction carries, which is far
+	// fewer.
 	commandPageSize = 100
 )
 
-// followCommands reads the commands for this controller's agents and sends the agents those that
-// have changed, while agents come, until ctx ends.
+// followCommands reads the commands for this controller's agents and dispatches those that have
+// changed, while the proxy is active, until ctx ends.
 func (p *Proxy) followCommands(ctx context.Context) {
 	dispatcher := newDispatcher(p)
 	defer dispatcher.wait()
-	var revision uint64 // up to which commands were read; 0: all are to be listed
+	var revision uint64 // revision up to which commands have been read; 0: list all
 	for ctx.Err() == nil {
 		if !p.active() {
 			revision = 0
@@ -58,15 +59,15 @@
 	}
 }
 
-// commandRead is the result of reading commands: the zero value after an error, so that all are
-// listed again.
+// commandRead is the result of reading commands. It is the zero value after an error, so that the next
+// read lists all commands again.
 type commandRead struct {
 	changed  []directCommands
-	revision uint64 // from which to go on
+	revision uint64 // revision after which the next read continues; 0: list all
 }
 
-// readCommands lists all commands if revision is 0, and waits for those that change after it
-// otherwise.
+// readCommands lists all commands if revision is 0. Otherwise it waits for commands that change after
+// revision, at most for watchTimeout.
 func (p *Proxy) readCommands(ctx context.Context, revision uint64) (commandRead, error) {
 	if revision == 0 {
 		return p.listCommands(ctx)
@@ -98,7 +99,7 @@
 	read := commandRead{revision: max(after, revision)}
 	for _, event := range events {
 		if event.Put == "" {
-			continue // a key that was deleted
+			continue // the key was deleted
 		}
 		changed, err := p.decodeCommands(event.Put, event.Value)
 		if err != nil {
@@ -109,8 +110,8 @@
 	return read, nil
 }
 
-// decodeCommands keeps the commands under a key, and returns those of the present term that have
-// changed and whose agents' addresses are known.
+// decodeCommands decodes and stores the batch of commands under a key. It returns those commands that
+// have changed, if they are of the current term and the agent's address is known.
 func (p *Proxy) decodeCommands(key string, value []byte) ([]directCommands, error) {
 	var batch CommandBatch
 	if err := wire.Unmarshal(value, &batch); err != nil {
--- a/internal/relay/delta.go
+++ b/internal/relay/delta.go
@@ -1,4 +1,4 @@
-// Deltas: a heartbeat as what differs from the one of the same machine that was forwarded before.
+// Deltas: heartbeats encoded as differences from the previously forwarded heartbeat of the machine.
 
 package relay
 
@@ -9,9 +9,9 @@
 	"tulipshelf/internal/job"
 )
 
-// HeartbeatDelta stands for a heartbeat by what differs from its base: the heartbeat of the same
-// incarnation that was forwarded before. It means nothing to whoever does not have the base. A
-// termination notice cannot be expressed.
+// HeartbeatDelta encodes a heartbeat as its differences from a base, the previously forwarded
+// heartbeat of the same incarnation. It can be decoded only by a receiver that has the base. It cannot
+// express a termination notice.
 type HeartbeatDelta struct {
 	_            struct{} `cbor:",toarray"`
 	Machine      string
@@ -19,11 +19,11 @@
 	BaseSequence uint64 // sequence number of the base
 	Sequence     uint64
 	FencingToken uint64
-	Tasks        []ReportedTask // new or changed
-	Removed      []ReportedTask // no longer listed; only task and attempt are set
+	Tasks        []ReportedTask // new and changed tasks
+	Removed      []ReportedTask // tasks of the base no longer listed; only Task and Attempt are set
 }
 
-// newDelta returns the delta from base to heartbeat, both of one incarnation of a machine.
+// newDelta returns the delta from base to heartbeat. Both must be of the same incarnation of a machine.
 func newDelta(base, heartbeat *agent.Heartbeat) HeartbeatDelta {
 	delta := HeartbeatDelta{
 		Machine:      heartbeat.Machine,
@@ -32,7 +32,7 @@
 		Sequence:     heartbeat.Sequence,
 		FencingToken: heartbeat.FencingToken,
 	}
-	unmatched := make(map[job.AttemptID]agent.ReportedTask, len(base.Tasks)) // in heartbeat, so far
+	unmatched := make(map[job.AttemptID]agent.ReportedTask, len(base.Tasks)) // not yet found in heartbeat
 	for _, task := range base.Tasks {
 		unmatched[task.ID()] = task
 	}
@@ -51,13 +51,14 @@
 	return delta
 }
 
-// hasChanges reports whether the delta says more than that the machine is alive.
+// hasChanges reports whether the delta changes tasks or the fencing token, rather than only showing
+// that the machine is alive.
 func (d *HeartbeatDelta) hasChanges(base *agent.Heartbeat) bool {
 	return len(d.Tasks)+len(d.Removed) > 0 || d.FencingToken != base.FencingToken
 }
 
-// Apply returns the heartbeat that the delta stands for. base must be its base: of the same
-// incarnation, with the sequence number BaseSequence.
+// Apply returns the heartbeat that the delta encodes. base must be the delta's base: the heartbeat of
+// the same machine and incarnation with the sequence number BaseSequence.
 func (d *HeartbeatDelta) Apply(base agent.Heartbeat) agent.Heartbeat {
 	heartbeat := base
 	heartbeat.Sequence, heartbeat.FencingToken, heartbeat.Tasks = d.Sequence, d.FencingToken, nil
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -1,4 +1,4 @@
-// Sending commands to agents at once, rather than in the response to their next heartbeat.
+// Dispatch of commands directly to agents, ahead of the responses to their next heartbeats.
 
 package relay
 
@@ -12,16 +12,16 @@
 )
 
 const (
-	// maxDispatches bounds the connections that commands take: a large zone has more agents than a
-	// controller has sockets.
+	// maxDispatches is the maximum number of concurrent connections for direct commands: a large zone
+	// has more agents than a controller has sockets.
 	maxDispatches = 40
 
-	// dispatchTimeout bounds for how long an agent that hangs takes one of the connections: the
-	// others' commands are left to the responses to their next heartbeats meanwhile.
+	// dispatchTimeout limits how long an agent that hangs occupies one of the connections. While none is
+	// free, other agents receive their commands only in the responses to their next heartbeats.
 	dispatchTimeout = agent.RequestTimeout
 )
 
-// directCommands are commands on their way to one agent.
+// directCommands holds commands to be sent directly to one agent.
 type directCommands struct {
 	machine string
 	addr    string
@@ -31,7 +31,7 @@
 // dispatcher sends commands to at most maxDispatches agents at the same time.
 type dispatcher struct {
 	proxy   *Proxy
-	slots   chan struct{} // has an element for each that is being sent
+	slots   chan struct{} // contains one element for each dispatch in flight
 	sending sync.WaitGroup
 }
 
@@ -39,8 +39,8 @@
 	return &dispatcher{proxy: p, slots: make(chan struct{}, maxDispatches)}
 }
 
-// tryDispatch begins to send commands, unless too many are being sent: the agent gets them in the
-// response to its next heartbeat then.
+// tryDispatch begins to send commands, unless maxDispatches are already in flight. In that case the
+// agent receives the commands in the response to its next heartbeat.
 func (d *dispatcher) tryDispatch(ctx context.Context, commands directCommands) {
 	select {
 	case d.slots <- struct{}{}:
@@ -53,11 +53,11 @@
 	})
 }
 
-// wait returns once all that is being sent has been answered or has failed.
+// wait waits until all dispatches in flight have been answered or have failed.
 func (d *dispatcher) wait() { d.sending.Wait() }
 
-// dispatch sends commands to an agent and takes its heartbeat in the response. For short tasks the
-// wait for the agent's own next heartbeat would be a large part of their time.
+// dispatch sends commands to an agent and accepts the heartbeat in its response. Waiting for the
+// agent's own next heartbeat instead would take a large part of the total time of short tasks.
 func (p *Proxy) dispatch(ctx context.Context, commands directCommands) {
 	ctx, cancel := context.WithTimeout(ctx, dispatchTimeout)
 	defer cancel()
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -1,4 +1,4 @@
-// Forwarding of heartbeats: which go into the next transaction, in full or as deltas.
+// Forwarding of heartbeats: selection of those for the next transaction, in full or as deltas.
 
 package relay
 
@@ -17,23 +17,23 @@
 )
 
 const (
-	// writeInterval is the least time between two writes of heartbeats: what comes in between
-	// shares a transaction, as the store's rate of writes is for the whole service.
+	// writeInterval is the minimum time between two writes of heartbeats. Heartbeats that arrive in
+	// between share a transaction, as all controllers share the store's limit for the rate of writes.
 	writeInterval = 500 * time.Millisecond
 
-	// resendAfter is how long a full heartbeat may take to arrive: the leader goes on asking for it
-	// meanwhile, and it is not sent again for that.
+	// resendAfter is the time allowed for a full heartbeat to reach the leader. The leader repeats its
+	// request in the meantime, which must not cause another full heartbeat.
 	resendAfter = 3 * time.Second
 )
 
 // forwardedHeartbeat is the last heartbeat of a machine that was forwarded, in full or as a delta.
 type forwardedHeartbeat struct {
 	heartbeat agent.Heartbeat
-	at        time.Time
-	fullAt    time.Time // when one of the machine was last forwarded in full
+	at        time.Time // time at which it was forwarded
+	fullAt    time.Time // time at which a heartbeat of the machine was last forwarded in full
 }
 
-// forwardHeartbeats writes heartbeats to the store while agents come, until ctx ends.
+// forwardHeartbeats writes heartbeats to the store while the proxy is active, until ctx ends.
 func (p *Proxy) forwardHeartbeats(ctx context.Context) {
 	for clock.Sleep(ctx, writeInterval) {
 		if !p.active() {
@@ -61,12 +61,12 @@
 	return err
 }
 
-// nextBatches returns as many of the pending heartbeats as one transaction carries, as values for
-// the up keys, and what to mark as forwarded once they are written. What finds no room has
-// its turn with the next transaction.
+// nextBatches returns as many of the pending heartbeats as one transaction carries, as values for the
+// up keys, and the heartbeats to mark as forwarded once those are written. Heartbeats that do not fit
+// remain pending for a later transaction.
 //
-// Heartbeats without news go first: they are small, and a machine that is not heard is given up.
-// The others go in the order in which their machines were last forwarded.
+// Heartbeats without changes come first: they are small, and the leader abandons a machine from which
+// it receives none. The others are ordered by the time at which their machines were last forwarded.
 func (p *Proxy) nextBatches(now time.Time) ([]HeartbeatBatch, []forwardedHeartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,17 +82,18 @@
 // outgoing is a heartbeat about to be forwarded.
 type outgoing struct {
 	heartbeat agent.Heartbeat
-	previous  forwardedHeartbeat // of the same machine; zero: none
-	delta     *HeartbeatDelta    // nil: it goes in full
+	previous  forwardedHeartbeat // heartbeat of the machine that was last forwarded; zero: none
+	delta     *HeartbeatDelta    // delta to previous; nil: the heartbeat is forwarded in full
 }
 
-// compareLastForwarded orders heartbeats by who has waited longest.
+// compareLastForwarded orders heartbeats by the time at which their machines were last forwarded,
+// earliest first, and then by the machines' names.
 func compareLastForwarded(a, b outgoing) int {
 	return cmp.Or(a.previous.at.Compare(b.previous.at), strings.Compare(a.heartbeat.Machine, b.heartbeat.Machine))
 }
 
-// selectPending returns the pending heartbeats: those that say only that a machine is alive, and
-// those with news. It is called with mu held.
+// selectPending returns the pending heartbeats, in two groups: deltas without changes, which only show
+// that a machine is alive, and all others. The caller holds mu.
 func (p *Proxy) selectPending(now time.Time) (unchanged, changed []outgoing) {
 	for machine, heartbeat := range p.pending {
 		previous, known := p.forwarded[machine]
@@ -110,22 +111,24 @@
 	return unchanged, changed
 }
 
-// deltaSuffices reports whether the leader can be sent a heartbeat as a delta to the one forwarded
-// before. Full heartbeats list all tasks that the agent may not yet forget; if all were
-// full, those of a large zone would not fit into the transactions, and its machines would count as
-// silent. It is called with mu held.
+// deltaSuffices reports whether a heartbeat can be forwarded as a delta to the previous one. The caller
+// holds mu.
+//
+// Guards against the machines of a large zone counting as silent: a full heartbeat lists all tasks
+// that the agent may not yet forget, so if all were full, they would not fit into the transactions.
 func (p *Proxy) deltaSuffices(previous *forwardedHeartbeat, heartbeat *agent.Heartbeat, now time.Time) bool {
 	if previous.heartbeat.Incarnation != heartbeat.Incarnation {
 		return false
 	}
 	if previous.heartbeat.TerminationNoticeS != nil || heartbeat.TerminationNoticeS != nil {
-		return false // a delta has no field for it
+		return false // a delta has no field for the notice
 	}
 	fullInFlight := now.Sub(previous.fullAt) < resendAfter
 	return fullInFlight || !p.commandsFor(heartbeat.Machine).ResendFull
 }
 
-// markForwarded takes what was written as the base of the deltas to come.
+// markForwarded records heartbeats that were written as the bases of later deltas. They are no longer
+// pending, unless a newer heartbeat of the machine has arrived.
 func (p *Proxy) markForwarded(forwarded []forwardedHeartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,13 +148,13 @@
 // batchPacker packs heartbeats into batches within the limits of one transaction.
 type batchPacker struct {
 	node       string
-	valueBytes int // for heartbeats in a batch
+	valueBytes int // bytes available for heartbeats in one batch
 	maxBatches int
 
-	transactionLeft int // bytes
-	batchLeft       int // bytes, in the last batch
+	transactionLeft int // bytes left in the transaction
+	batchLeft       int // bytes left in the last batch
 	batches         []HeartbeatBatch
-	forwarded       []forwardedHeartbeat // what the batches stand for
+	forwarded       []forwardedHeartbeat // heartbeats packed into the batches
 }
 
 func newBatchPacker(node string, valueBytes, maxBatches int) *batchPacker {
@@ -163,7 +166,7 @@
 	}
 }
 
-// add packs a heartbeat if there is room for it.
+// add packs a heartbeat if it fits, and skips it otherwise.
 func (b *batchPacker) add(next outgoing, now time.Time) {
 	if next.delta != nil {
 		if batch := b.reserve(len(wire.Marshal(*next.delta))); batch != nil {
@@ -179,8 +182,8 @@
 	}
 }
 
-// reserve returns the batch that so many bytes go into: the last one, or a new one if they do not
-// fit there, or nil if there is no room for them.
+// reserve reserves size bytes and returns the batch that contains them: the last one, or a new one if
+// they do not fit there. It returns nil if they fit in neither.
 func (b *batchPacker) reserve(size int) *HeartbeatBatch {
 	if size > b.batchLeft && !b.openBatch(size) {
 		return nil
@@ -190,7 +193,8 @@
 	return &b.batches[len(b.batches)-1]
 }
 
-// openBatch adds an empty batch if one is allowed and has room for so many bytes.
+// openBatch adds an empty batch. It returns false, and adds none, if the maximum number of batches is
+// reached or size bytes would not fit in a new one.
 func (b *batchPacker) openBatch(size int) bool {
 	usable := min(b.transactionLeft, b.valueBytes)
 	if len(b.batches) == b.maxBatches || size > usable {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -1,5 +1,5 @@
-// The messages under the keys of the relay, and their limits of size. Older versions read and write
-// them too: keys, codec tags and the order of fields in structs encoded as arrays never change.
+// The values stored under the keys of the relay, and their size limits. Older versions read and write
+// them too: keys, codec tags and the order of fields in structs encoded as arrays must never change.
 
 package relay
 
@@ -26,33 +26,33 @@
 func DownKey(node string, part int) string { return downNodePrefix(node) + strconv.Itoa(part) }
 
 const (
-	// MaxWrite is how many bytes of values one transaction may carry: the store's limit for the
-	// whole request is 64 KiB.
+	// MaxWrite is the maximum total size, in bytes, of the values in one transaction. The store's limit
+	// for the whole request is 64 KiB.
 	MaxWrite = 48 << 10
 
-	// BatchOverhead is how many bytes of a batch are left for what is neither a heartbeat nor
+	// BatchOverhead is the number of bytes reserved in a batch for everything but heartbeats and
 	// commands: the names of its fields, the node's name and the term.
 	BatchOverhead = 200
 )
 
-// UsableBytes returns how many bytes of a limit of the store to use: it counts a value in its JSON
-// form, which is longer than the form written here.
+// UsableBytes returns the maximum encoded size, in bytes, of values under a size limit of the store.
+// The store counts the JSON form of a value, which is longer than the CBOR form written here.
 func UsableBytes(limit int) int { return limit * 6 / 10 }
 
 // HeartbeatBatch is the value under an up key.
 type HeartbeatBatch struct {
-	Node   string           `cbor:"node"` // of the proxy
+	Node   string           `cbor:"node"` // name of the proxy
 	Full   []FullHeartbeat  `cbor:"reports"`
 	Deltas []HeartbeatDelta `cbor:"changes"`
 }
 
-// FullHeartbeat is a compact agent.Heartbeat.
+// FullHeartbeat is the compact form of agent.Heartbeat.
 type FullHeartbeat struct {
 	_                                   struct{} `cbor:",toarray"`
 	Machine, Addr, Type, Zone           string
 	Spot                                bool
 	Incarnation, Sequence, FencingToken uint64
-	TerminationNoticeS                  *float64 // seconds; nil: none was given
+	TerminationNoticeS                  *float64 // seconds; nil: no notice
 	Tasks                               []ReportedTask
 }
 
@@ -74,7 +74,7 @@
 	return full
 }
 
-// Heartbeat returns the heartbeat that f was made of.
+// Heartbeat returns the heartbeat of which f is the compact form.
 func (f *FullHeartbeat) Heartbeat() agent.Heartbeat {
 	return agent.Heartbeat{
 		Machine:            f.Machine,
@@ -90,7 +90,7 @@
 	}
 }
 
-// ReportedTask is a compact agent.ReportedTask.
+// ReportedTask is the compact form of agent.ReportedTask.
 type ReportedTask struct {
 	_       struct{} `cbor:",toarray"`
 	Task    string
@@ -99,14 +99,14 @@
 	Cause   agent.ExitCause
 }
 
-// ID returns which attempt it is.
+// ID returns the ID of the attempt.
 func (t *ReportedTask) ID() job.AttemptID { return job.AttemptID{Task: t.Task, Number: t.Attempt} }
 
 func compactTask(task agent.ReportedTask) ReportedTask {
 	return ReportedTask{Task: task.Task, Attempt: task.Attempt, Status: task.Status, Cause: task.Cause}
 }
 
-// appendTasks appends compact tasks to tasks of a heartbeat.
+// appendTasks appends tasks given in compact form to the tasks of a heartbeat.
 func appendTasks(tasks []agent.ReportedTask, compact []ReportedTask) []agent.ReportedTask {
 	for _, task := range compact {
 		tasks = append(tasks, agent.ReportedTask{Task: task.Task, Attempt: task.Attempt, Status: task.Status, Cause: task.Cause})
@@ -116,25 +116,25 @@
 
 // CommandBatch is the value under a down key.
 type CommandBatch struct {
-	Term     uint64                     `cbor:"term"` // of the leader that wrote it
+	Term     uint64                     `cbor:"term"` // term of the leader that wrote the batch
 	Machines map[string]MachineCommands `cbor:"machines"`
 }
 
-// MachineCommands is what one machine is to do in one of its incarnations.
+// MachineCommands holds the commands for one incarnation of a machine's agent.
 type MachineCommands struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
 	Commands    []Command
-	ResendFull  bool // its next heartbeat is to be forwarded in full, as the leader lacks a delta's base
+	ResendFull  bool // request to forward the next heartbeat in full, as the leader lacks a delta's base
 }
 
-// Command is a compact agent.Command.
+// Command is the compact form of agent.Command.
 type Command struct {
 	_            struct{} `cbor:",toarray"`
 	Verb         agent.Verb
 	Task         string
 	Attempt      uint64
-	GracePeriodS *float64 // seconds; nil: none is given
+	GracePeriodS *float64 // seconds; nil: none given
 }
 
 // CompactCommands returns the compact form of commands.
@@ -145,7 +145,7 @@
 	return compact
 }
 
-// agentCommands returns the commands in the form in which agents take them.
+// agentCommands returns the commands in the form that agents receive.
 func (m *MachineCommands) agentCommands() (commands []agent.Command) {
 	for _, command := range m.Commands {
 		commands = append(commands, agent.Command{Verb: command.Verb, Task: command.Task, Attempt: command.Attempt, GracePeriodS: command.GracePeriodS})
@@ -153,8 +153,8 @@
 	return commands
 }
 
-// equal reports whether two commands ask for the same of the same attempt. The grace period does
-// not count: one that has become shorter reaches the agent in the response to its next heartbeat.
+// equal reports whether two commands have the same verb and attempt. The grace period is not compared:
+// one that has become shorter reaches the agent in the response to its next heartbeat.
 func (c Command) equal(other Command) bool {
 	return c.Verb == other.Verb && c.Task == other.Task && c.Attempt == other.Attempt
 }
