--- a/internal/peer/fake_node_test.go
+++ b/internal/peer/fake_node_test.go
@@ -6,9 +6,9 @@
 	"tulipshelf/internal/job"
 )
 
-// fakeNode is a controller that says what a test has set, and keeps what others have said.
+// fakeNode is a Node with state that the test sets. It records what it receives from other controllers.
 type fakeNode struct {
-	// Set before the group is used.
+	// Fields to be set before the group is used and not changed afterwards.
 	storeReachable bool
 	gone           []job.AttemptID
 
@@ -16,8 +16,8 @@
 	redirected   int
 	leader       string
 	term         uint64
-	changed      []string // jobs
-	cancelled    []string // jobs
+	changed      []string // jobs received by JobsChanged
+	cancelled    []string // jobs received by JobsCancelled
 	observedGone []job.AttemptID
 }
 
@@ -27,7 +27,7 @@
 	return n.leader, n.term
 }
 
-// ObserveLeadership follows the rule that Node states: only a higher term counts.
+// ObserveLeadership ignores a term that is not above the highest known one, as Node requires.
 func (n *fakeNode) ObserveLeadership(leader string, term uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,10 +16,10 @@
 	"tulipshelf/internal/wire"
 )
 
-// cancelDeadline is the time within which tasks of cancelled jobs must be gone, in these tests.
+// cancelDeadline is the time within which tasks of cancelled jobs must be gone in these tests.
 const cancelDeadline = 51 * time.Second
 
-// testGroup is three controllers, a, b and c, on a network in memory.
+// testGroup consists of three controllers, a, b and c, on an in-memory network.
 type testGroup struct {
 	network   *fake.Network
 	nodes     map[string]*fakeNode
@@ -27,10 +27,11 @@
 	groups    map[string]*Group
 }
 
-// startGroup returns a group whose members have just begun to send heartbeats, in a synctest bubble.
+// startGroup returns a group whose members have just begun to send heartbeats. It must be called in a
+// synctest bubble.
 func startGroup(t *testing.T) *testGroup {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(time.Minute) }) // until what is in flight has ended, as a bubble must be left empty
+	t.Cleanup(func() { time.Sleep(time.Minute) }) // requests in flight end: a bubble must be left empty
 	names := []string{"a", "b", "c"}
 	g := &testGroup{
 		network:   fake.NewNetwork(t.Context()),
@@ -50,20 +51,21 @@
 		g.groups[name] = New(Config{Dial: g.network.Dial(name), Node: name, Members: others, Register: g.registers[name]}, g.nodes[name])
 		go g.network.Serve(t.Context(), name, g.groups[name].Serve)
 	}
-	synctest.Wait() // until all serve
+	synctest.Wait() // until all controllers serve
 	for _, group := range g.groups {
 		go group.Run(t.Context())
 	}
 	return g
 }
 
-// deliver has a group serve a request, and returns the status of the response.
+// deliver passes a request to a group, and returns the status of the response.
 func deliver(g *Group, method, path string, body []byte) int {
 	return g.Serve(context.Background(), &wire.Request{Method: method, Path: path, Body: body}).Status
 }
 
-// The largest heartbeat, with as many cancelled jobs as are kept and far more attempts that are
-// gone, is one that another controller takes, old or new.
+// Guards against a heartbeat that exceeds the size limit of request bodies, which controllers of all
+// versions refuse: the register holds as many cancelled jobs as it keeps, and there are far more gone
+// attempts than fit.
 func TestHeartbeatLargerThanRequestBody(t *testing.T) {
 	register := cancellation.New(3, cancelDeadline)
 	register.MergeRead(nil, time.Now())
@@ -77,10 +79,10 @@
 	sender := New(Config{Node: "shelf-0", Register: register}, &fakeNode{leader: "shelf-1", term: 1 << 30, redirected: 6000, storeReachable: true, gone: gone})
 	heartbeat := sender.newHeartbeat().message
 	if len(heartbeat) > wire.MaxBody {
-		t.Fatalf("a heartbeat of %d bytes, %d may be sent", len(heartbeat), wire.MaxBody)
+		t.Fatalf("heartbeat of %d bytes, want at most %d", len(heartbeat), wire.MaxBody)
 	}
 	if len(heartbeat) < wire.MaxBody*9/10 {
-		t.Errorf("a heartbeat of %d bytes leaves attempts out that would fit", len(heartbeat))
+		t.Errorf("heartbeat of %d bytes omits attempts that would fit", len(heartbeat))
 	}
 	node := &fakeNode{leader: "shelf-1", term: 1 << 30, storeReachable: true}
 	receiver := New(Config{Node: "shelf-1", Register: cancellation.New(3, cancelDeadline)}, node)
@@ -90,15 +92,15 @@
 		t.Fatal(err)
 	}
 	if resp := receiver.Serve(context.Background(), &req); resp.Status != 200 {
-		t.Errorf("answered %d", resp.Status)
+		t.Errorf("status %d, want 200", resp.Status)
 	}
 	if len(node.cancelled) != 4096 || len(node.observedGone) < 100 {
-		t.Errorf("%d cancelled jobs and %d attempts taken", len(node.cancelled), len(node.observedGone))
+		t.Errorf("%d cancelled jobs and %d gone attempts received, want 4096 and at least 100", len(node.cancelled), len(node.observedGone))
 	}
 }
 
-// Only the answer to one's own heartbeat is a sign of life. If a heartbeat that comes in were one,
-// a late copy would make agents wait for a leader that cannot be reached.
+// Guards against agents waiting for an unreachable leader: an incoming heartbeat may be a late copy, so
+// only the answer to a controller's own heartbeat shows that a member is reachable.
 func TestIncomingHeartbeatCountsAsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := startGroup(t)
@@ -106,45 +108,45 @@
 		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, to string) bool { return from == "a" && to == "b" }})
 		time.Sleep(10 * time.Second)
 		if leader, term := g.nodes["a"].Leadership(); leader != "b" || term != 1 {
-			t.Errorf("a knows leader %q of term %d: no heartbeat of b has come in", leader, term)
+			t.Errorf("leader %q of term %d known to a, want b of term 1 as in b's heartbeats", leader, term)
 		}
 		if a := g.groups["a"]; a.ReachableWithin("b", 5*time.Second) || a.LeadingWithin("b", 5*time.Second) {
-			t.Error("b counts as reachable from a, which has had no answer of it")
+			t.Error("b counts as reachable or leading at a, which has received no answer from b")
 		}
 		if b := g.groups["b"]; !b.ReachableWithin("a", 5*time.Second) || !b.ReachableWithin("c", 5*time.Second) {
-			t.Error("members that answer b do not count as reachable")
+			t.Error("members that answer b do not count as reachable at b")
 		}
 		if c := g.groups["c"]; !c.LeadingWithin("b", 5*time.Second) {
-			t.Error("b, which answers c that it leads, does not count as leading")
+			t.Error("b does not count as leading at c, although it answers c that it leads")
 		}
 	})
 }
 
-// A controller that has just started cannot know yet who is there: nobody counts as unreachable
-// until each has had time to answer, and nobody as reachable before heartbeats are sent.
+// Guards against a controller that has just started and counts its peers as unreachable before they
+// have had time to answer. Before it sends heartbeats, none counts as reachable.
 func TestMembersUnreachableRightAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := New(Config{Node: "a", Members: []Member{{Node: "b", Addr: "b"}}, Dial: fake.NewNetwork(t.Context()).Dial("a"),
 			Register: cancellation.New(2, cancelDeadline)}, &fakeNode{})
 		if group.ReachableWithin("b", time.Hour) {
-			t.Error("reachable though no heartbeat was ever sent")
+			t.Error("b reachable although no heartbeat was ever sent")
 		}
 		if group.AllRunGangs() {
-			t.Error("all run gangs though none has said so")
+			t.Error("all members run gangs although none has answered")
 		}
 		go group.Run(t.Context())
 		time.Sleep(2 * time.Second)
 		if !group.ReachableWithin("b", 5*time.Second) {
-			t.Error("unreachable 2 s after the start")
+			t.Error("b unreachable 2 s after the start")
 		}
 		time.Sleep(4 * time.Second)
 		if group.ReachableWithin("b", 5*time.Second) {
-			t.Error("reachable without an answer in 6 s")
+			t.Error("b reachable although it has not answered in 6 s")
 		}
 	})
 }
 
-// electedNode takes leadership from a candidate as a controller does.
+// electedNode is a node that delegates leadership to a candidate, as a controller does.
 type electedNode struct {
 	*fakeNode
 	candidate *leadership.Candidate
@@ -156,8 +158,8 @@
 	n.candidate.ObserveTerm(leader, term)
 }
 
-// A late copy of a heartbeat of a lower term neither brings a deposed leader back nor announces
-// cancellations once more.
+// Guards against a late copy of a heartbeat that restores a deposed leader, although its term is
+// lower, or that announces the same cancellations again.
 func TestLateHeartbeatBringsBackDeposedLeader(t *testing.T) {
 	registerOfB := cancellation.New(3, cancelDeadline)
 	registerOfB.Add("wk-000001")
@@ -170,19 +172,19 @@
 	a := New(Config{Node: "a", Register: cancellation.New(3, cancelDeadline)}, nodeA)
 	for _, heartbeat := range [][]byte{b.newHeartbeat().message, late, late} {
 		if status := deliver(a, "POST", heartbeatPath, heartbeat); status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("status %d, want 200", status)
 		}
 	}
 	if leader, term := nodeA.Leadership(); leader != "b" || term != 7 {
 		t.Errorf("leader %q of term %d after a late copy, want b of term 7", leader, term)
 	}
 	if !slices.Equal(nodeA.cancelled, []string{"wk-000001"}) {
-		t.Errorf("announced as cancelled: %v, want wk-000001 once", nodeA.cancelled)
+		t.Errorf("cancelled jobs announced: %v, want wk-000001 once", nodeA.cancelled)
 	}
 }
 
-// Users are told of a cancellation only if a majority holds it: with both others cut off this
-// controller may be the only one that knows, and it may end at any moment.
+// Guards against a cancellation that is confirmed to a user and then lost: while both other members are
+// unreachable, this controller may be the only one that holds it, and it may crash at any moment.
 func TestCancellationConfirmedWithoutMajority(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -204,18 +206,19 @@
 					t.Errorf("replicated: %v, want %v", got, test.want)
 				}
 				if waited := time.Since(asked); waited > requestTimeout {
-					t.Errorf("waited %v for it", waited)
+					t.Errorf("waited %v, want at most %v", waited, requestTimeout)
 				}
 				held := g.registers["b"].Contains("wk-000001") || g.registers["c"].Contains("wk-000001")
 				if held != test.want {
-					t.Errorf("held by another member: %v, want %v", held, test.want)
+					t.Errorf("cancellation held by another member: %v, want %v", held, test.want)
 				}
 			})
 		})
 	}
 }
 
-// Each cancellation waits for a heartbeat that was sent after it: one that is over says nothing of it.
+// Guards against a cancellation that waits for a heartbeat that has already ended and so did not
+// contain it, instead of one that is sent afterwards.
 func TestCancellationWaitsForHeartbeatThatIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := startGroup(t)
@@ -230,26 +233,27 @@
 	})
 }
 
-// Before heartbeats are sent nobody else can hold a cancellation.
+// Guards against a cancellation that is confirmed before heartbeats are sent, when no other member can
+// hold it.
 func TestCancellationConfirmedBeforeRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		register := cancellation.New(3, cancelDeadline)
 		register.Add("wk-000001")
 		group := New(Config{Node: "a", Members: []Member{{Node: "b", Addr: "b"}, {Node: "c", Addr: "c"}}, Register: register}, &fakeNode{})
 		if group.ReplicateCancellation(t.Context(), "wk-000001") {
-			t.Error("replicated, though nothing was sent")
+			t.Error("replicated, although no heartbeat was sent")
 		}
 	})
 }
 
-// Callers that wait at the same time share a heartbeat: with one each, many cancellations at once
-// would leave no connections to anything else. One that is in flight already carries
+// Guards against one heartbeat for each concurrent caller: many cancellations at once would leave no
+// connections for other requests. Callers share a heartbeat. One that is already in flight contains
 // only what was registered before, so a second may follow it.
 func TestHeartbeatForEachWaitingCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers = 50
 		g := startGroup(t)
-		time.Sleep(100 * time.Millisecond) // the first heartbeats are over, the next not due
+		time.Sleep(100 * time.Millisecond) // the first heartbeats have ended, the next are not due
 		g.network.SetFaults(fake.NetworkFaults{RequestDelay: func(_, _ string) time.Duration { return 20 * time.Millisecond }})
 		before := g.network.Requests()
 		var calls sync.WaitGroup
@@ -272,8 +276,8 @@
 	})
 }
 
-// What a member said of itself counts as long as it answers, and is outdated then: only that its
-// version runs gangs goes on to count.
+// Guards against outdated reports of members that no longer answer. Only the report that a member's
+// version runs gangs remains valid.
 func TestStatementsOfMembersOutdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const recent = 5 * time.Second
@@ -283,28 +287,29 @@
 		g.nodes["c"].setRedirected(8)
 		time.Sleep(3 * time.Second)
 		if got := a.MostRedirected(recent); got != 8 {
-			t.Errorf("most redirected %d, want 8", got)
+			t.Errorf("MostRedirected returned %d, want 8", got)
 		}
 		if !a.AllRunGangs() || !a.StoreServesNobody(recent) {
-			t.Error("members that run gangs, without the store, do not count as such")
+			t.Error("want all members to run gangs, and none to be served by the store")
 		}
 		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, to string) bool { return from == "a" && to == "c" }})
 		time.Sleep(10 * time.Second)
 		if got := a.MostRedirected(recent); got != 3 {
-			t.Errorf("most redirected %d, want 3 of the member that answers", got)
+			t.Errorf("MostRedirected returned %d, want 3, as reported by the member that answers", got)
 		}
 		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
 		time.Sleep(10 * time.Second)
 		if got := a.MostRedirected(recent); got != 0 || a.StoreServesNobody(recent) {
-			t.Errorf("most redirected %d, store serves nobody %v: nobody has answered", got, a.StoreServesNobody(recent))
+			t.Errorf("MostRedirected returned %d and StoreServesNobody %v, want 0 and false without answers", got, a.StoreServesNobody(recent))
 		}
 		if !a.AllRunGangs() {
-			t.Error("not all run gangs, since members do not answer")
+			t.Error("AllRunGangs returned false for members that no longer answer, want true")
 		}
 	})
 }
 
-// A change goes to the leader alone, without the network if that is this controller.
+// Guards against notifications of changed jobs that reach controllers other than the leader. If this
+// controller leads, the notification does not use the network.
 func TestChangeSentToWrongMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, test := range []struct {
@@ -318,14 +323,14 @@
 			g.groups["a"].NotifyLeader(t.Context(), "wk-000001")
 			for name, node := range g.nodes {
 				if got, want := len(node.changed) == 1, name == test.leader; got != want {
-					t.Errorf("leader %q: received by %s: %v, want %v", test.leader, name, got, want)
+					t.Errorf("leader %q: notification received by %s: %v, want %v", test.leader, name, got, want)
 				}
 			}
 		}
 	})
 }
 
-// Requests that cannot be understood are refused, and nothing is learnt from them.
+// Guards against malformed requests that are accepted, or that change the state of the controller.
 func TestMalformedRequestTaken(t *testing.T) {
 	node := &fakeNode{}
 	group := New(Config{Node: "a", Register: cancellation.New(3, cancelDeadline)}, node)
@@ -343,10 +348,10 @@
 		{"change", "POST", changedPath, broken, 400},
 	} {
 		if got := deliver(group, test.method, test.path, test.body); got != test.want {
-			t.Errorf("%s: answered %d, want %d", test.name, got, test.want)
+			t.Errorf("%s: status %d, want %d", test.name, got, test.want)
 		}
 	}
 	if node.term != 0 || len(node.cancelled)+len(node.changed) > 0 {
-		t.Errorf("learnt term %d, cancelled %v, changed %v", node.term, node.cancelled, node.changed)
+		t.Errorf("term %d, cancelled jobs %v and changed jobs %v observed, want none", node.term, node.cancelled, node.changed)
 	}
 }
--- a/internal/relay/proxy_test.go
+++ b/internal/relay/proxy_test.go
@@ -23,24 +23,26 @@
 	storeAddr   = "10.9.0.1:2379"
 )
 
-// newTestProxy returns a proxy without a store, for tests of what it keeps.
+// newTestProxy returns a proxy without a store, for tests of its state.
 func newTestProxy() *Proxy { return &Proxy{Node: "shelf-1", ValueBytes: 64 << 10, TxnOps: 8} }
 
-// testHeartbeat is a heartbeat of testMachine with one task, running.
+// testHeartbeat returns a heartbeat of testMachine with one running task.
 func testHeartbeat(incarnation, sequence uint64) agent.Heartbeat {
 	return agent.Heartbeat{Machine: testMachine, Addr: agentAddr, Incarnation: incarnation, Sequence: sequence, FencingToken: 3,
 		Tasks: []agent.ReportedTask{{Task: "wk-000001/0", Attempt: 1, Status: agent.StatusRunning}}}
 }
 
-// haltCommands is a batch of commands of a term for one incarnation of testMachine.
+// haltCommands returns a batch, written in the given term, with one command for an incarnation of
+// testMachine.
 func haltCommands(term, incarnation uint64) CommandBatch {
 	return CommandBatch{Term: term, Machines: map[string]MachineCommands{
 		testMachine: {Incarnation: incarnation, Commands: []Command{{Verb: agent.VerbHalt, Task: "wk-000001/0", Attempt: 1}}},
 	}}
 }
 
-// A delta says nothing to a leader that does not have its base, so a heartbeat goes in full to each
-// new leader, for each new incarnation, with a termination notice, and when the leader asks.
+// Guards against deltas that the leader cannot decode, as it does not have the base: a heartbeat is
+// forwarded in full to a new leader, for a new incarnation, with a termination notice, and when the
+// leader requests it.
 func TestDeltaWithoutBase(t *testing.T) {
 	notice := 30.0
 	for _, test := range []struct {
@@ -84,7 +86,8 @@
 	}
 }
 
-// A heartbeat whose transaction failed is forwarded again to the base that the leader has.
+// Guards against deltas based on a heartbeat whose transaction failed: the leader has only an earlier
+// one.
 func TestDeltaToHeartbeatThatWasNotWritten(t *testing.T) {
 	p, now := newTestProxy(), time.Unix(0, 0)
 	for sequence := range uint64(3) {
@@ -101,7 +104,7 @@
 	}
 }
 
-// An old heartbeat, as a late copy is, does not take the place of a newer one.
+// Guards against an old heartbeat, such as a late copy, that replaces a newer one.
 func TestLateHeartbeatForwarded(t *testing.T) {
 	p := newTestProxy()
 	newest := testHeartbeat(2, 5)
@@ -121,7 +124,8 @@
 	}
 }
 
-// answerMachines has the proxy answer a heartbeat, with one running task, of each of so many machines.
+// answerMachines has the proxy answer one heartbeat, with one running task, of each of the given
+// number of machines.
 func answerMachines(p *Proxy, prefix string, machines int, sequence, attempt uint64) {
 	for i := range machines {
 		heartbeat := agent.Heartbeat{Machine: fmt.Sprintf("%s-%06d", prefix, i), Incarnation: 1, Sequence: sequence, FencingToken: 3,
@@ -130,8 +134,8 @@
 	}
 }
 
-// Heartbeats without news have room before those with news, however many those are: their machines
-// would count as silent.
+// Guards against machines without changes counting as silent: their heartbeats are packed before those
+// with changes, however many those are.
 func TestUnchangedHeartbeatStarved(t *testing.T) {
 	const quiet = 10
 	p, now := newTestProxy(), time.Unix(0, 0)
@@ -143,17 +147,17 @@
 	answerMachines(p, "new", 100, 1, 1)
 	batches, _ := p.nextBatches(now.Add(writeInterval))
 	if len(batches) != 1 || len(batches[0].Full) == 0 || len(batches[0].Full) == 100 {
-		t.Fatalf("forwarded %+v, want some of the machines with news", batches)
+		t.Fatalf("forwarded %+v, want some of the machines with changes in full", batches)
 	}
 	if got := len(batches[0].Deltas); got != quiet {
-		t.Errorf("%d machines without news forwarded, want all %d", got, quiet)
+		t.Errorf("%d machines without changes forwarded, want all %d", got, quiet)
 	}
 }
 
-// Where only some machines with news fit into a transaction they take turns, also if all have news
-// again each time.
+// Guards against machines that are never forwarded because only some of those with changes fit into a
+// transaction: they take turns, even if all have changes each time.
 func TestChangedHeartbeatStarved(t *testing.T) {
-	const machines, writes = 100, 8 // each carries a seventh of the machines at least
+	const machines, writes = 100, 8 // each write carries at least a seventh of the machines
 	p, now := newTestProxy(), time.Unix(0, 0)
 	p.ValueBytes, p.TxnOps = 2<<10, 1
 	forwardedOnce := map[string]bool{}
@@ -162,7 +166,7 @@
 		now = now.Add(writeInterval)
 		_, forwarded := p.nextBatches(now)
 		if len(forwarded) > machines/4 {
-			t.Fatalf("%d machines in one write: they need not take turns", len(forwarded))
+			t.Fatalf("%d of %d machines fit in one write, want at most a quarter so that they take turns", len(forwarded), machines)
 		}
 		p.markForwarded(forwarded)
 		for _, written := range forwarded {
@@ -174,13 +178,13 @@
 	}
 }
 
-// Commands are handed out only under the term and in the incarnation that they were written for: a
-// deposed leader's could start a task that runs elsewhere by now, and an agent that has
-// started anew has none of the tasks that they name.
+// Guards against commands delivered in another term or to another incarnation than they were written
+// for: a command of a deposed leader could start a task that already runs on another machine, and a
+// restarted agent has none of the tasks that the commands name.
 func TestCommandsOfAnotherTermOrIncarnation(t *testing.T) {
 	for _, test := range []struct {
 		name              string
-		term, incarnation uint64 // that they were written for
+		term, incarnation uint64 // for which the commands were written
 		want              int
 	}{
 		{"this term and incarnation", 3, 2, 1},
@@ -197,14 +201,14 @@
 			heartbeat := testHeartbeat(2, 1)
 			response := p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
 			if response.FencingToken != 3 || len(response.Commands) != test.want {
-				t.Errorf("answered %+v, want %d commands under token 3", response, test.want)
+				t.Errorf("response %+v, want %d commands under token 3", response, test.want)
 			}
 		})
 	}
 }
 
-// Commands of another term are not sent directly either, and those that were sent are not sent again
-// while they stay the same.
+// Guards against commands of another term that are sent directly, and against commands that are sent
+// again although they have not changed.
 func TestCommandsSentDirectlyTwiceOrInAnotherTerm(t *testing.T) {
 	p := newTestProxy()
 	heartbeat := testHeartbeat(2, 1)
@@ -223,16 +227,16 @@
 			t.Fatal(err)
 		}
 		if len(changed) != test.want {
-			t.Errorf("%s: %d sent, want %d", test.name, len(changed), test.want)
+			t.Errorf("%s: %d commands to send, want %d", test.name, len(changed), test.want)
 		}
 	}
 }
 
 // testAgent is an agent that answers direct commands with its next heartbeat.
 type testAgent struct {
-	mu       sync.Mutex // guards the fields below
-	sequence uint64
-	requests []agent.CommandRequest
+	mu       sync.Mutex             // guards the fields below
+	sequence uint64                 // sequence number of the last heartbeat
+	requests []agent.CommandRequest // requests received
 }
 
 func (a *testAgent) handle(_ context.Context, req *wire.Request) wire.Response {
@@ -247,16 +251,16 @@
 	return wire.Response{Status: 200, Body: wire.Marshal(testHeartbeat(2, a.sequence))}
 }
 
-// The whole way, through a store in memory: the leader finds the heartbeat under an up key, the agent
-// gets at once the commands that the leader writes, and the heartbeat with which it answers them
-// is forwarded in turn.
+// Guards against heartbeats and commands that are lost on their way through the store, here an
+// in-memory one: the leader finds the heartbeat under an up key, the agent directly receives the
+// commands that the leader writes, and the heartbeat in its response is forwarded as well.
 func TestHeartbeatsAndCommandsLostInTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(time.Minute) }) // until what is in flight has ended, as a bubble must be left empty
+		t.Cleanup(func() { time.Sleep(time.Minute) }) // requests in flight end: a bubble must be left empty
 		network, store, worker := fake.NewNetwork(t.Context()), fake.NewStore(), &testAgent{sequence: 1}
 		go network.Serve(t.Context(), storeAddr, store.Handle)
 		go network.Serve(t.Context(), agentAddr, worker.handle)
-		synctest.Wait() // until both serve
+		synctest.Wait() // until store and agent serve
 		leaderStore := kvstore.New(network.Dial("shelf-0"), storeAddr, 100, 100)
 		p := newTestProxy()
 		p.Store, p.Dial = kvstore.New(network.Dial("shelf-1"), storeAddr, 100, 100), network.Dial("shelf-1")
@@ -266,7 +270,7 @@
 		p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
 		time.Sleep(2 * time.Second)
 		if batch := readHeartbeats(t, leaderStore); len(batch.Full) != 1 || batch.Full[0].Sequence != 1 {
-			t.Errorf("the store has %+v, want the first heartbeat in full", batch)
+			t.Errorf("store contains %+v, want the first heartbeat in full", batch)
 		}
 		commands := kvstore.Mutation{Put: DownKey("shelf-1", 0), Value: wire.Marshal(haltCommands(3, 2))}
 		if _, err := leaderStore.Txn(t.Context(), nil, []kvstore.Mutation{commands}, kvstore.PriorityUser); err != nil {
@@ -277,15 +281,15 @@
 		requests := slices.Clone(worker.requests)
 		worker.mu.Unlock()
 		if len(requests) != 1 || requests[0].FencingToken != 3 || requests[0].Incarnation != 2 || len(requests[0].Commands) != 1 {
-			t.Errorf("the agent got %+v, want one command under token 3", requests)
+			t.Errorf("agent received %+v, want one command under token 3 for incarnation 2", requests)
 		}
 		if batch := readHeartbeats(t, leaderStore); len(batch.Deltas) != 1 || batch.Deltas[0].Sequence != 2 {
-			t.Errorf("the store has %+v, want a delta to the second heartbeat", batch)
+			t.Errorf("store contains %+v, want a delta to the second heartbeat", batch)
 		}
 	})
 }
 
-// readHeartbeats returns what the proxy has written last.
+// readHeartbeats returns the batch of heartbeats that the proxy shelf-1 has last written.
 func readHeartbeats(t *testing.T, store *kvstore.Client) HeartbeatBatch {
 	t.Helper()
 	item, err := store.Get(t.Context(), upKey("shelf-1", 0), kvstore.PriorityUser)
@@ -299,8 +303,8 @@
 	return batch
 }
 
-// Agents that hang keep at most maxDispatches connections: with one for each agent of a large zone
-// the controller would run out of sockets.
+// Guards against a controller that runs out of sockets: agents that hang occupy at most maxDispatches
+// connections, rather than one for each agent of a large zone.
 func TestConnectionForEachAgentThatHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
@@ -316,19 +320,19 @@
 		}
 		synctest.Wait()
 		if got := dialed.Load(); got != maxDispatches {
-			t.Errorf("%d connections at the same time, want %d", got, maxDispatches)
+			t.Errorf("%d concurrent connections, want %d", got, maxDispatches)
 		}
 		dispatcher.wait()
 		dispatcher.tryDispatch(t.Context(), directCommands{machine: testMachine, addr: agentAddr})
 		dispatcher.wait()
 		if got := dialed.Load(); got != maxDispatches+1 {
-			t.Errorf("%d connections in all, want one more once slots are free", got)
+			t.Errorf("%d connections in total, want %d: one more once slots are free", got, maxDispatches+1)
 		}
 	})
 }
 
-// What was kept for agents is dropped when they have gone: a leader elected meanwhile, or the same
-// one that has forgotten the machine, has no base for their deltas.
+// Guards against deltas without a base after the proxy was inactive: a leader elected meanwhile, or
+// the same leader after it has forgotten the machine, no longer has the base.
 func TestBaseKeptAfterAgentsHaveGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(time.Minute) })
@@ -343,7 +347,7 @@
 			p.AnswerHeartbeat(&heartbeat, "shelf-0", 3)
 			time.Sleep(idleTimeout + 2*writeInterval)
 			if batch := readHeartbeats(t, p.Store); len(batch.Full) != 1 || batch.Full[0].Sequence != sequence+1 {
-				t.Errorf("the store has %+v, want heartbeat %d in full", batch, sequence+1)
+				t.Errorf("store contains %+v, want heartbeat %d in full", batch, sequence+1)
 			}
 		}
 	})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,14 +13,14 @@
 	"tulipshelf/internal/wire"
 )
 
-// leaderView is what a leader makes of forwarded heartbeats.
+// leaderView is the state that a leader derives from forwarded heartbeats.
 type leaderView struct {
-	heartbeats map[string]agent.Heartbeat // the last, by machine
-	receivedAt map[string]time.Time
+	heartbeats map[string]agent.Heartbeat // last heartbeat, by machine
+	receivedAt map[string]time.Time       // time of the last heartbeat, by machine
 }
 
-// apply takes what a batch stands for, as the leader does, and fails the test if it lacks the base
-// of a delta.
+// apply applies the heartbeats of a batch, as the leader does, and fails the test if the base of a
+// delta is missing.
 func (v *leaderView) apply(t *testing.T, batch HeartbeatBatch, now time.Time) {
 	t.Helper()
 	for i := range batch.Full {
@@ -31,7 +31,7 @@
 		delta := &batch.Deltas[i]
 		base := v.heartbeats[delta.Machine]
 		if base.Sequence != delta.BaseSequence {
-			t.Fatalf("a delta to sequence %d, known is %d", delta.BaseSequence, base.Sequence)
+			t.Fatalf("delta based on sequence %d, but the leader has %d", delta.BaseSequence, base.Sequence)
 		}
 		v.heartbeats[delta.Machine], v.receivedAt[delta.Machine] = delta.Apply(base), now
 	}
@@ -39,14 +39,14 @@
 
 func zoneMachine(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// zoneHeartbeat is what machine i reports in a round: a new task that runs, and all but now and
-// then one of twelve that have exited.
+// zoneHeartbeat returns the heartbeat of machine i in a round: one new running task, and twelve exited
+// tasks, of which one is missing in every third round.
 func zoneHeartbeat(i, round int) agent.Heartbeat {
 	heartbeat := agent.Heartbeat{Machine: zoneMachine(i), Addr: "10.1.0.232:9000", Type: "box", Zone: "a",
 		Incarnation: 1, Sequence: uint64(round + 1), FencingToken: 3}
 	for k := range 12 {
 		if k == i%12 && round%3 == 0 {
-			continue // forgotten
+			continue // the agent has forgotten this task
 		}
 		heartbeat.Tasks = append(heartbeat.Tasks, agent.ReportedTask{Task: fmt.Sprintf("wk-%06d/%d", i, k), Attempt: 3<<24 + uint64(k),
 			Status: agent.StatusExited, Cause: agent.CauseDone})
@@ -55,14 +55,14 @@
 	return heartbeat
 }
 
-// Limits of the store that the zone is forwarded under.
+// Size of the zone, and limits of the store through which its heartbeats are forwarded.
 const (
 	zoneMachines   = 1000
 	zoneValueBytes = 8 << 10
 	zoneTxnOps     = 8
 )
 
-// applyWrite takes the batches of one write, and fails the test if the store would refuse it.
+// applyWrite applies the batches of one write, and fails the test if the store would refuse the write.
 func (v *leaderView) applyWrite(t *testing.T, batches []HeartbeatBatch, now time.Time) {
 	t.Helper()
 	total := 0
@@ -70,16 +70,17 @@
 		size := jsonSize(t, batch)
 		total += size
 		if size > zoneValueBytes {
-			t.Fatalf("a value of %d bytes", size)
+			t.Fatalf("value of %d bytes, want at most %d", size, zoneValueBytes)
 		}
 		v.apply(t, batch, now)
 	}
 	if len(batches) > zoneTxnOps || total > 64<<10 {
-		t.Fatalf("%d mutations of %d bytes", len(batches), total)
+		t.Fatalf("%d mutations of %d bytes in total, want at most %d of %d", len(batches), total, zoneTxnOps, 64<<10)
 	}
 }
 
-// requireSame fails the test unless what the leader knows is what was reported with that sequence.
+// requireSame fails the test if the leader's last heartbeat of a machine has the sequence number of the
+// last one reported, but differs from it.
 func (v *leaderView) requireSame(t *testing.T, reported map[string]agent.Heartbeat) {
 	t.Helper()
 	compareTasks := func(a, b agent.ReportedTask) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }
@@ -88,14 +89,15 @@
 		slices.SortFunc(known.Tasks, compareTasks)
 		slices.SortFunc(want.Tasks, compareTasks)
 		if known.Sequence == want.Sequence && !reflect.DeepEqual(known, want) {
-			t.Fatalf("the leader has %+v, reported was %+v", known, want)
+			t.Fatalf("leader has %+v, want %+v as reported", known, want)
 		}
 	}
 }
 
-// A zone of 1,000 machines is forwarded through values of 8 KiB, counted in their JSON form, in time
-// for none of them to count as silent, and what the leader makes of it is what the machines
-// have reported. A heartbeat that the leader asks for comes in full, once.
+// Guards against machines of a large zone that count as silent because their heartbeats do not all fit
+// into the transactions. A zone of 1,000 machines is forwarded through values of 8 KiB, counted in
+// their JSON form. The leader must receive each machine's heartbeats in time and as they were
+// reported. A heartbeat that it requests in full must be forwarded in full once.
 func TestLargeZoneCountsAsSilent(t *testing.T) {
 	proxy := &Proxy{Node: "shelf-1", ValueBytes: zoneValueBytes, TxnOps: zoneTxnOps}
 	start := time.Unix(0, 0)
@@ -116,22 +118,22 @@
 		leader.applyWrite(t, batches, now)
 		proxy.markForwarded(forwarded)
 		if now.Sub(start) < 15*time.Second {
-			continue // at first all of it is news
+			continue // at first the leader has no bases, so all heartbeats are full
 		}
 		for i := range zoneMachines {
 			if silent := now.Sub(leader.receivedAt[zoneMachine(i)]); silent > 8*time.Second {
-				t.Fatalf("machine %d not heard for %v", i, silent)
+				t.Fatalf("no heartbeat of machine %d for %v, want at most 8 s", i, silent)
 			}
 		}
 	}
 	leader.requireSame(t, reported)
 	if got := countFullOnRequest(t, proxy, reported[zoneMachine(7)], now); got != 1 {
-		t.Errorf("forwarded in full %d times", got)
+		t.Errorf("requested heartbeat forwarded in full %d times, want 1", got)
 	}
 }
 
-// countFullOnRequest has the leader ask for a machine's heartbeat in full, and returns how many of its
-// next two are forwarded so.
+// countFullOnRequest requests a machine's heartbeat in full, as the leader does, and returns how many
+// of the machine's next two heartbeats are forwarded in full.
 func countFullOnRequest(t *testing.T, proxy *Proxy, last agent.Heartbeat, now time.Time) int {
 	t.Helper()
 	commands := wire.Marshal(CommandBatch{Term: 3, Machines: map[string]MachineCommands{last.Machine: {ResendFull: true}}})
@@ -157,7 +159,7 @@
 	return inFull
 }
 
-// jsonSize returns the size of a value as the store counts it.
+// jsonSize returns the size of a value's JSON form in bytes, as counted by the store.
 func jsonSize(t *testing.T, v any) int {
 	var plain any
 	if err := wire.Unmarshal(wire.Marshal(v), &plain); err != nil {
@@ -170,7 +172,7 @@
 	return len(b)
 }
 
-// textKeys makes maps as CBOR decodes them fit for JSON.
+// textKeys converts the keys of maps decoded from CBOR to strings, as JSON requires.
 func textKeys(v any) any {
 	switch v := v.(type) {
 	case map[any]any:
