--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// cancellationsFreshness is how fresh the knowledge of cancellations is kept, beside what
+	// cancellationReadInterval is how fresh the knowledge of cancellations is kept, beside what
 	// users' questions do for it.
-	cancellationsFreshness = 2 * time.Second
+	cancellationReadInterval = 2 * time.Second
 
-	// leaseSlack is how much earlier than need be a lease is left to end.
-	leaseSlack = 2 * time.Second
+	// leaseExpiryMargin is how much earlier than need be a lease is left to end.
+	leaseExpiryMargin = 2 * time.Second
 )
 
 // refreshCancellations reads the records so often that this controller knows which jobs are
 // cancelled, and where their tasks are.
 func (n *Node) refreshCancellations(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := cancellationsFreshness
+		pause := cancellationReadInterval
 		if err := n.readCancellations(ctx); err != nil {
 			slog.Debug("cancellations not read", "err", err)
 			pause /= 4
@@ -31,7 +31,7 @@
 }
 
 func (n *Node) readCancellations(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, cancellationsFreshness)
+	ctx, cancel := context.WithTimeout(ctx, cancellationReadInterval)
 	defer cancel()
 	return n.api.Refresh(ctx)
 }
@@ -55,6 +55,6 @@
 	staleness, known := n.cancelled.Staleness()
 	workers := &n.settings.Workers
 	// Where a lease leaves no time at all the promise cannot be kept by leases.
-	limit := max(workers.CancelDeadline-workers.Lease-leaseSlack, 2*cancellationsFreshness)
+	limit := max(workers.CancelDeadline-workers.Lease-leaseExpiryMargin, 2*cancellationReadInterval)
 	return known && staleness < limit
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -38,7 +38,7 @@
 // refreshCatalog reads the machine types until they are known, and then now and again for the
 // prices. The leader keeps them in the key-value store.
 func (n *Node) refreshCatalog(ctx context.Context) {
-	var kept []byte
+	var stored []byte
 	for ctx.Err() == nil {
 		pause := catalogRetryInterval
 		types, err := n.cloud.Catalog(ctx)
@@ -51,23 +51,23 @@
 		case len(types) > 0:
 			pause = catalogRefreshInterval
 			n.types.Store(&types)
-			kept = n.keepCatalog(ctx, types, kept)
+			stored = n.storeCatalog(ctx, types, stored)
 		}
 		clock.Sleep(ctx, pause)
 	}
 }
 
-// keepCatalog writes the machine types for the others if this controller leads and they have
+// storeCatalog writes the machine types for the others if this controller leads and they have
 // changed, and returns what is kept from then on.
-func (n *Node) keepCatalog(ctx context.Context, types []cloud.Type, kept []byte) []byte {
+func (n *Node) storeCatalog(ctx context.Context, types []cloud.Type, stored []byte) []byte {
 	value := wire.Marshal(catalogValue{types})
 	tooLarge := len(value) > relay.UsableBytes(n.settings.Store.ValueBytes)
-	if n.leader.Load() == nil || bytes.Equal(value, kept) || tooLarge {
-		return kept
+	if n.leader.Load() == nil || bytes.Equal(value, stored) || tooLarge {
+		return stored
 	}
 	mutations := []kvstore.Mutation{{Put: catalogKey, Value: value}}
 	if _, err := n.store.Txn(ctx, nil, mutations, kvstore.PriorityBackground); err != nil {
-		return kept
+		return stored
 	}
 	return value
 }
--- a/internal/controller/expiring_set.go
+++ b/internal/controller/expiring_set.go
@@ -19,13 +19,13 @@
 	// nameBytes is about what keeping a name takes.
 	nameBytes = 128
 
-	// memoryShare is the part of the process's memory, one in so many, that one set may take.
-	memoryShare = 64
+	// memoryDivisor is the part of the process's memory, one in so many, that one set may take.
+	memoryDivisor = 64
 )
 
 // newExpiringSet returns an empty set for a process with so many bytes of memory.
 func newExpiringSet(retention time.Duration, memoryBytes int64) *expiringSet {
-	return &expiringSet{retention: retention, limit: int(memoryBytes / memoryShare / nameBytes), addedAt: map[string]time.Time{}}
+	return &expiringSet{retention: retention, limit: int(memoryBytes / memoryDivisor / nameBytes), addedAt: map[string]time.Time{}}
 }
 
 // add keeps a name from now on.
--- a/internal/controller/gone_attempts.go
+++ b/internal/controller/gone_attempts.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// machinesReturned takes the cloud's word that machines are gone.
-func (g *goneAttempts) machinesReturned(machines []string) {
+// confirmReturned takes the cloud's word that machines are gone.
+func (g *goneAttempts) confirmReturned(machines []string) {
 	for _, machine := range machines {
 		g.confirmOn(machine, func(jobstore.Location) bool { return true })
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -36,7 +36,7 @@
 	if response, ok := n.relayHeartbeat(heartbeat); ok {
 		return response
 	}
-	if n.mayExtendIsolated(heartbeat) {
+	if n.mayExtendWithoutLeader(heartbeat) {
 		answer := agent.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: n.haltCancelled(heartbeat)}
 		return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}
 	}
@@ -78,18 +78,18 @@
 	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, true
 }
 
-// isolatedAfter is for how long the key-value store must not have served a controller before it
+// storeUnreachableAfter is for how long the key-value store must not have served a controller before it
 // counts as isolated.
-const isolatedAfter = 3 * time.Second
+const storeUnreachableAfter = 3 * time.Second
 
-// isolated reports whether this controller can learn from nobody who leads: not from the key-value
+// leaderUnconfirmed reports whether this controller can learn from nobody who leads: not from the key-value
 // store, nor from the leader last known.
-func (n *Node) isolated() bool {
+func (n *Node) leaderUnconfirmed() bool {
 	name, _ := n.candidate.Leader()
-	return !n.store.ServedWithin(isolatedAfter) && !n.peers.LeadingWithin(name, leader.RelayAfterSilence)
+	return !n.store.ServedWithin(storeUnreachableAfter) && !n.peers.LeadingWithin(name, leader.RelayAfterSilence)
 }
 
-// mayExtendIsolated reports whether an isolated controller answers an agent. It answers one under
+// mayExtendWithoutLeader reports whether an isolated controller answers an agent. It answers one under
 // the token that the agent has itself, without commands, so that its lease and its tasks last until
 // a leader can be reached again; and turns it away with its next heartbeat, so that one that can
 // reach the leader does so. One that cannot is back in time.
@@ -97,8 +97,8 @@
 // It guards against the loss of all that runs where controllers come back in an outage of the
 // key-value store that outlasts the leases, or where a zone with a controller is cut off from
 // everything (docs/incidents/inc-008f.md). No rule depends on a lease's end.
-func (n *Node) mayExtendIsolated(heartbeat *agent.Heartbeat) bool {
-	if heartbeat.FencingToken == 0 || !n.isolated() || !n.mayExtendLeases() {
+func (n *Node) mayExtendWithoutLeader(heartbeat *agent.Heartbeat) bool {
+	if heartbeat.FencingToken == 0 || !n.leaderUnconfirmed() || !n.mayExtendLeases() {
 		return false
 	}
 	return n.extended.addIfAbsent(heartbeat.Machine, time.Now())
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -38,8 +38,8 @@
 // Times of readiness: for how long the key-value store may not have served this controller, and how
 // recently another must have said that it is not served either.
 const (
-	readyServedWithin = 4 * time.Second
-	readyHeardWithin  = 3 * time.Second
+	readyServedWithin   = 4 * time.Second
+	readyAnsweredWithin = 3 * time.Second
 )
 
 func (n *Node) handleReady() wire.Response {
@@ -59,7 +59,7 @@
 	if n.types.Load() == nil {
 		return false
 	}
-	return n.storeReachable() || n.peers.StoreServesNobody(readyHeardWithin)
+	return n.storeReachable() || n.peers.StoreServesNobody(readyAnsweredWithin)
 }
 
 // storeReachable reports whether the key-value store has lately served this controller.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -99,7 +99,7 @@
 		Teams:                 n.settings.Teams,
 		TasksPerChunk:         jobstore.TasksPerChunk(n.settings.Store.ValueBytes),
 		MachineTypes:          n.machineTypes,
-		OnJobChanged:          n.notifyChanged,
+		OnJobChanged:          n.queueChanged,
 		OnJobCancelled:        func(id string) { n.onCancelled(n.cancelled.Add(id)) },
 		GangsSupported:        n.gangsSupported.Load,
 		ReplicateCancellation: func(ctx context.Context, id string) bool { return n.peers.ReplicateCancellation(ctx, id) },
@@ -109,10 +109,10 @@
 
 // Shares of the sockets that servers may hold, and their timeouts.
 const (
-	idleTimeout     = 60 * time.Second
-	readTimeout     = 10 * time.Second
-	peerReadTimeout = 5 * time.Second
-	peerSocketShare = 16 // one socket in so many
+	idleTimeout       = 60 * time.Second
+	readTimeout       = 10 * time.Second
+	peerReadTimeout   = 5 * time.Second
+	peerSocketDivisor = 16 // one socket in so many
 )
 
 // Run serves until ctx ends or a listener cannot be opened.
@@ -171,15 +171,15 @@
 func (n *Node) peerServer() *wire.Server {
 	return &wire.Server{
 		Addr:        n.settings.PeerListen,
-		MaxConns:    n.settings.Resources.MaxSockets / peerSocketShare,
+		MaxConns:    n.settings.Resources.MaxSockets / peerSocketDivisor,
 		IdleTimeout: idleTimeout,
 		ReadTimeout: peerReadTimeout,
 		Handler:     n.peers.Serve,
 	}
 }
 
-// notifyChanged queues a job that was changed here for notifyLeader, if there is room.
-func (n *Node) notifyChanged(jobID string) {
+// queueChanged queues a job that was changed here for notifyLeader, if there is room.
+func (n *Node) queueChanged(jobID string) {
 	select {
 	case n.changedJobs <- jobID:
 	default:
--- a/internal/controller/reaper.go
+++ b/internal/controller/reaper.go
@@ -14,10 +14,10 @@
 const (
 	reaperInterval = time.Second
 
-	// reapAfter is the share of the cancellation deadline after which a controller itself returns
+	// reapOverdueShare is the share of the cancellation deadline after which a controller itself returns
 	// the machines that hold tasks of a cancelled job, if it knows of no leader that does: later
 	// than any leader returns them.
-	reapAfter = 0.75
+	reapOverdueShare = 0.75
 )
 
 // reapCancelled looks after tasks of cancelled jobs where no leader does.
@@ -27,7 +27,7 @@
 		if n.leaderReaps() {
 			continue
 		}
-		overdue := time.Duration(reapAfter * float64(n.settings.Workers.CancelDeadline))
+		overdue := time.Duration(reapOverdueShare * float64(n.settings.Workers.CancelDeadline))
 		machines := n.gone.machinesHolding(n.cancelledLocations(overdue), cloud.MaxReturn)
 		if len(machines) == 0 {
 			continue
@@ -37,7 +37,7 @@
 			continue
 		}
 		slog.Info("machines with cancelled tasks returned, nobody leads", "machines", machines)
-		n.gone.machinesReturned(machines)
+		n.gone.confirmReturned(machines)
 	}
 }
 
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -20,7 +20,7 @@
 // awaitGangSupport waits until all controllers are of a version that runs gangs: controllers are
 // replaced one at a time, and one of an earlier version would run a gang as it runs an array.
 func (n *Node) awaitGangSupport(ctx context.Context) {
-	for !n.gangSupportKnown(ctx) {
+	for !n.checkGangSupport(ctx) {
 		if !clock.Sleep(ctx, gangSupportInterval) {
 			return
 		}
@@ -29,8 +29,8 @@
 	n.gangsSupported.Store(true)
 }
 
-// gangSupportKnown reads whether all controllers run gangs, and writes it once they have said so.
-func (n *Node) gangSupportKnown(ctx context.Context) bool {
+// checkGangSupport reads whether all controllers run gangs, and writes it once they have said so.
+func (n *Node) checkGangSupport(ctx context.Context) bool {
 	if _, err := n.store.Get(ctx, gangsKey, kvstore.PriorityBackground); err == nil {
 		return true
 	}
