--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// cancellationReadInterval is how fresh the knowledge of cancellations is kept, beside what
-	// users' questions do for it.
+	// cancellationReadInterval is the pause between two reads of the cancellations, and the timeout of
+	// one read. Users' requests cause further reads.
 	cancellationReadInterval = 2 * time.Second
 
-	// leaseExpiryMargin is how much earlier than need be a lease is left to end.
+	// leaseExpiryMargin is the minimum time between the expiry of an extended lease and the
+	// cancellation deadline of a job whose cancellation this controller does not know.
 	leaseExpiryMargin = 2 * time.Second
 )
 
-// refreshCancellations reads the records so often that this controller knows which jobs are
-// cancelled, and where their tasks are.
+// refreshCancellations reads the job records regularly until ctx ends, so that this controller knows
+// which jobs are cancelled and where their tasks are. After a failed read it retries sooner.
 func (n *Node) refreshCancellations(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := cancellationReadInterval
@@ -36,25 +37,27 @@
 	return n.api.Refresh(ctx)
 }
 
-// onCancelled hands jobs that are newly known to be cancelled to the leader, if this controller
-// leads.
+// onCancelled passes jobs that are newly known to be cancelled to the leader, if this controller leads.
 func (n *Node) onCancelled(ids []string) {
 	if l := n.leader.Load(); l != nil && len(ids) > 0 {
 		l.JobsCancelled(ids)
 	}
 }
 
-// mayExtendLeases reports whether this controller may answer heartbeats so that leases go on. It
-// must know every cancellation that was confirmed to a user before a lease's time ago and more:
-// whatever it does not know of was confirmed so lately that a lease prolonged now ends in time.
+// mayExtendLeases reports whether this controller may extend the leases of worker agents by answering
+// their heartbeats. Its register of cancellations must be so fresh that a cancellation missing from it
+// was confirmed recently: a lease extended now expires at least leaseExpiryMargin before the deadline of
+// that cancellation.
 //
-// It guards against a controller, leading or not, that can learn of cancellations from nobody and
-// keeps their tasks alive for longer than users were promised. Its agents try the other
-// controllers, and where none may answer them their tasks end.
+// Guards against tasks of cancelled jobs that run past the deadline promised to users: a controller,
+// leading or not, that cannot learn of cancellations would extend the leases of their machines. Agents
+// that it does not answer try the other controllers. If none may answer, the leases expire and the tasks
+// end.
 func (n *Node) mayExtendLeases() bool {
 	staleness, known := n.cancelled.Staleness()
 	workers := &n.settings.Workers
-	// Where a lease leaves no time at all the promise cannot be kept by leases.
+	// The minimum applies if a lease leaves hardly any time before the deadline, or none. The expiry of
+	// leases cannot guarantee the promise then.
 	limit := max(workers.CancelDeadline-workers.Lease-leaseExpiryMargin, 2*cancellationReadInterval)
 	return known && staleness < limit
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -13,8 +13,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// catalogKey holds the machine types as last read, so that a controller that starts while the cloud
-// does not serve can still take submissions.
+// catalogKey is the key of the machine types that a leader last stored. A controller that starts in an
+// outage of the cloud can accept submissions with them.
 const catalogKey = "catalog"
 
 // catalogValue is the value under catalogKey.
@@ -22,7 +22,7 @@
 	Types []cloud.Type `cbor:"types"`
 }
 
-// machineTypes returns the cloud's catalog, or nil as long as it is not known.
+// machineTypes returns the cloud's catalog of machine types, or nil until it is known.
 func (n *Node) machineTypes() []cloud.Type {
 	if types := n.types.Load(); types != nil {
 		return *types
@@ -32,11 +32,12 @@
 
 const (
 	catalogRetryInterval   = time.Second
-	catalogRefreshInterval = time.Minute // prices change
+	catalogRefreshInterval = time.Minute // the catalog's prices change
 )
 
-// refreshCatalog reads the machine types until they are known, and then now and again for the
-// prices. The leader keeps them in the key-value store.
+// refreshCatalog reads the machine types from the cloud until ctx ends: every catalogRetryInterval until
+// a read succeeds, then every catalogRefreshInterval for new prices. If a read fails while no types are
+// known, it takes those in the key-value store, where the leader stores them.
 func (n *Node) refreshCatalog(ctx context.Context) {
 	var stored []byte
 	for ctx.Err() == nil {
@@ -57,8 +58,9 @@
 	}
 }
 
-// storeCatalog writes the machine types for the others if this controller leads and they have
-// changed, and returns what is kept from then on.
+// storeCatalog writes the machine types to the key-value store if this controller leads, they fit into one
+// value, and they differ from stored, the value of the last write (nil if none). It returns the value of
+// the last write, which a failed write does not change, so that the next refresh tries again.
 func (n *Node) storeCatalog(ctx context.Context, types []cloud.Type, stored []byte) []byte {
 	value := wire.Marshal(catalogValue{types})
 	tooLarge := len(value) > relay.UsableBytes(n.settings.Store.ValueBytes)
@@ -72,7 +74,8 @@
 	return value
 }
 
-// restoreCatalog takes the machine types that a leader has kept.
+// restoreCatalog takes the machine types from the key-value store. They stay unknown if the store does not
+// return them or they are unreadable.
 func (n *Node) restoreCatalog(ctx context.Context) {
 	item, err := n.store.Get(ctx, catalogKey, kvstore.PriorityBackground)
 	if err != nil {
--- a/internal/controller/gone_attempts.go
+++ b/internal/controller/gone_attempts.go
@@ -9,19 +9,21 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// goneAttempts remembers which recorded attempts of cancelled jobs were confirmed to be gone, by
-// heartbeats that came to this controller or to another. It is safe for concurrent use.
+// goneAttempts holds the recorded attempts of cancelled jobs, and which of them are confirmed gone: by a
+// heartbeat that this controller or another one received, or by the return of the machine to the cloud.
+// The zero value is ready for use. It is safe for concurrent use.
 //
-// It guards against tasks on machines that hang or are cut off when nobody leads, or no leader that
-// can learn of the cancellation, in an outage that outlasts the time in which they must be gone:
-// those who know of it return the machines.
+// Guards against cancelled tasks that outlive their deadline on machines that hang or are partitioned. In
+// an outage longer than the deadline there may be no leader, or none that can learn of the cancellation.
+// Controllers that know of it then return the machines (reapCancelled).
 type goneAttempts struct {
 	mu        sync.Mutex
-	watched   map[string][]jobstore.Location // by machine: not confirmed yet; guarded by mu
-	confirmed map[job.AttemptID]struct{}     // nil until watch was called; guarded by mu
+	watched   map[string][]jobstore.Location // by machine: not confirmed gone as of the last watch; guarded by mu
+	confirmed map[job.AttemptID]struct{}     // nil until the first call of watch; guarded by mu
 }
 
-// watch takes all recorded attempts of cancelled jobs. What is no longer recorded is forgotten.
+// watch replaces the held attempts by those of locations, which are all recorded attempts of cancelled
+// jobs. Attempts that are no longer recorded are dropped, also if they are confirmed gone.
 func (g *goneAttempts) watch(locations []jobstore.Location) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -37,8 +39,8 @@
 	g.confirmed = confirmed
 }
 
-// machinesHolding returns the machines, at most limit, of those locations that are not confirmed to
-// be gone.
+// machinesHolding returns the machines, each once and at most limit, of the locations whose attempts are
+// not confirmed gone.
 func (g *goneAttempts) machinesHolding(locations []jobstore.Location, limit int) (machines []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,7 +53,7 @@
 	return machines
 }
 
-// contains reports whether an attempt was confirmed to be gone.
+// contains reports whether an attempt is confirmed gone.
 func (g *goneAttempts) contains(id job.AttemptID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,14 +61,15 @@
 	return gone
 }
 
-// observeHeartbeat learns what a heartbeat confirms to be gone, by the same proofs as a leader.
+// observeHeartbeat marks as gone the watched attempts that a heartbeat proves gone, by the same rule that
+// a leader applies (agent.Heartbeat.ConfirmsGone).
 func (g *goneAttempts) observeHeartbeat(heartbeat *agent.Heartbeat) {
 	g.confirmOn(heartbeat.Machine, func(location jobstore.Location) bool {
 		return heartbeat.ConfirmsGone(location.Attempt, location.Incarnation)
 	})
 }
 
-// confirmReturned takes the cloud's word that machines are gone.
+// confirmReturned marks as gone all watched attempts on machines that have been returned to the cloud.
 func (g *goneAttempts) confirmReturned(machines []string) {
 	for _, machine := range machines {
 		g.confirmOn(machine, func(jobstore.Location) bool { return true })
@@ -84,7 +87,7 @@
 	}
 }
 
-// all returns what is confirmed to be gone, for the other controllers.
+// all returns the attempts that are confirmed gone, in no order, to be sent to the other controllers.
 func (g *goneAttempts) all() (ids []job.AttemptID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,7 +97,8 @@
 	return ids
 }
 
-// merge takes the word of another controller, once anything was watched here.
+// merge marks as gone the attempts that another controller reports as gone. It does nothing before the
+// first call of watch.
 func (g *goneAttempts) merge(ids []job.AttemptID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,8 +11,10 @@
 	"tulipshelf/internal/wire"
 )
 
-// handleHeartbeat answers a worker agent: as the leader, in the place of a leader that cannot be
-// reached, or by sending it on.
+// handleHeartbeat answers the heartbeat of a worker agent. If this controller leads, the leader handles
+// it. Otherwise this controller answers in the place of a leader that it cannot reach (relayHeartbeat),
+// extends the lease without a leader (mayExtendWithoutLeader), or redirects the agent. The answer to a
+// malformed heartbeat is wire.StatusBadRequest.
 func (n *Node) handleHeartbeat(ctx context.Context, body []byte) wire.Response {
 	var heartbeat agent.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
@@ -43,12 +45,13 @@
 	return n.redirect()
 }
 
-// redirection is the body of an answer that sends an agent to another controller.
+// redirection is the body of a response that redirects an agent to another controller.
 type redirection struct {
-	Leader string `cbor:"foreman,omitempty"` // empty: none is known
+	Leader string `cbor:"foreman,omitempty"` // name of the leader; empty if unknown
 }
 
-// redirect sends an agent to the leader, if another controller is known to lead.
+// redirect returns the response that redirects an agent. It names the leader if another controller is
+// the last known leader.
 func (n *Node) redirect() wire.Response {
 	name, _ := n.candidate.Leader()
 	if name == n.settings.Node {
@@ -57,14 +60,20 @@
 	return wire.Response{Status: wire.StatusMisdirectedRequest, Body: wire.Marshal(redirection{Leader: name})}
 }
 
-// leaderConfirmedWithin is how recently the key-value store must have named the leader for another
-// controller to answer in its place. A leader that has died loses its key sooner than that.
+// leaderConfirmedWithin is the maximum age of the last read of the key-value store that named another
+// controller as the leader, for this controller to answer agents in its place. With the default lease of
+// the leader, the key of a leader that has crashed expires sooner.
 const leaderConfirmedWithin = 8 * time.Second
 
 // relayHeartbeat answers an agent in the place of a leader that this controller, and so probably the
-// agent, cannot reach: with the leader's token, so that the agent's lease and its tasks outlive a
-// partition between zones, and with the commands that come through the key-value store. Once the
-// leader is heard again the agent is sent back to it. It returns false where it may not answer.
+// agent, cannot reach. The response carries the leader's fencing token, so that the agent's lease and its
+// tasks outlive a network partition between zones. It also carries the commands that the leader has
+// written to the key-value store for this agent, and halts of cancelled tasks.
+//
+// ok is false if this controller may not answer: the leader is not confirmed or is this controller, the
+// lease may not be extended (mayExtendLeases), the agent has seen a token above the leader's term, or the
+// leader has answered this controller within leader.RelayAfterSilence. The last case sends agents back
+// to the leader after a partition.
 func (n *Node) relayHeartbeat(heartbeat *agent.Heartbeat) (response wire.Response, ok bool) {
 	name, term, confirmed := n.candidate.ConfirmedLeader(leaderConfirmedWithin)
 	if !confirmed || !n.mayExtendLeases() || name == n.settings.Node {
@@ -78,25 +87,28 @@
 	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, true
 }
 
-// storeUnreachableAfter is for how long the key-value store must not have served a controller before it
-// counts as isolated.
+// storeUnreachableAfter is the time since the key-value store last served this controller from which on
+// leaderUnconfirmed counts the store as unreachable.
 const storeUnreachableAfter = 3 * time.Second
 
-// leaderUnconfirmed reports whether this controller can learn from nobody who leads: not from the key-value
-// store, nor from the leader last known.
+// leaderUnconfirmed reports whether neither source confirms to this controller who leads: the key-value
+// store is unreachable, and the last known leader has not said within leader.RelayAfterSilence that it
+// leads. The controller may be partitioned from both, or the store may be in an outage.
 func (n *Node) leaderUnconfirmed() bool {
 	name, _ := n.candidate.Leader()
 	return !n.store.ServedWithin(storeUnreachableAfter) && !n.peers.LeadingWithin(name, leader.RelayAfterSilence)
 }
 
-// mayExtendWithoutLeader reports whether an isolated controller answers an agent. It answers one under
-// the token that the agent has itself, without commands, so that its lease and its tasks last until
-// a leader can be reached again; and turns it away with its next heartbeat, so that one that can
-// reach the leader does so. One that cannot is back in time.
+// mayExtendWithoutLeader reports whether this controller extends an agent's lease although it cannot
+// confirm who leads. If so it records the machine in n.extended. The response repeats the agent's own
+// fencing token and carries no commands of a leader, so that the lease and the tasks last until a leader
+// can be reached again. The agent's next heartbeat is redirected, so that an agent that can reach the
+// leader does so. An agent that cannot returns before its lease expires.
 //
-// It guards against the loss of all that runs where controllers come back in an outage of the
-// key-value store that outlasts the leases, or where a zone with a controller is cut off from
-// everything (docs/incidents/inc-008f.md). No rule depends on a lease's end.
+// Guards against the loss of all running tasks in two cases: controllers restart in an outage of the
+// key-value store that outlasts the leases, or a zone with a controller is partitioned from everything
+// else (docs/incidents/inc-008f.md). No rule depends on the expiry of a lease, except that tasks of
+// cancelled jobs end in time, which mayExtendLeases ensures.
 func (n *Node) mayExtendWithoutLeader(heartbeat *agent.Heartbeat) bool {
 	if heartbeat.FencingToken == 0 || !n.leaderUnconfirmed() || !n.mayExtendLeases() {
 		return false
@@ -104,17 +116,21 @@
 	return n.extended.addIfAbsent(heartbeat.Machine, time.Now())
 }
 
-// agentRetryRound is the agents' wait for a response, and the pause behind it.
+// agentRetryRound is the time that an agent spends on a controller that does not answer: its wait for the
+// response, and the pause before it tries the next controller.
 const agentRetryRound = 5 * time.Second
 
-// redirectedCount returns how many machines have lately sent heartbeats to this controller though
-// it does not lead: within the time that an agent takes to come back from one that does not answer.
+// redirectedCount returns the number of machines that recently sent heartbeats to this controller while
+// it did not lead. Recently means within the time that an agent takes to return from a controller that
+// does not answer.
 func (n *Node) redirectedCount() int { return n.redirected.count(time.Now()) }
 
-// haltCancelled returns the commands that end tasks of cancelled jobs on a machine, as far as this
-// controller knows of the cancellations: for an agent that it answers without leading for certain.
-// They are right whoever leads, and nobody may in an outage that outlasts the time in which such
-// tasks must be gone.
+// haltCancelled returns commands that halt, without a grace period, the tasks in a heartbeat whose jobs
+// this controller knows to be cancelled, at most agent.MaxCommands. A controller that does not lead adds
+// them to its responses. The commands are correct whichever controller leads.
+//
+// Guards against tasks that outlive the cancellation deadline: in an outage there may be no leader for
+// longer than that.
 func (n *Node) haltCancelled(heartbeat *agent.Heartbeat) (commands []agent.Command) {
 	gracePeriod := 0.0
 	for i := range heartbeat.Tasks {
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -35,10 +35,13 @@
 	return wire.Response{Status: wire.StatusNotFound}
 }
 
-// Times of readiness: for how long the key-value store may not have served this controller, and how
-// recently another must have said that it is not served either.
 const (
-	readyServedWithin   = 4 * time.Second
+	// readyServedWithin is the time since the key-value store last served this controller up to which the
+	// store counts as reachable.
+	readyServedWithin = 4 * time.Second
+
+	// readyAnsweredWithin is the maximum age of other controllers' answers that count when ready checks
+	// whether the key-value store serves any of them.
 	readyAnsweredWithin = 3 * time.Second
 )
 
@@ -49,12 +52,14 @@
 	return wire.Response{Status: wire.StatusServiceUnavailable, RetryAfter: 1}
 }
 
-// ready reports whether users had better come to this controller. In an outage of the key-value
-// store they had: it says at once when to come back, and knows what is done or cancelled. A
-// controller that alone is refused sends them to the others.
+// ready reports whether load balancers should send users to this controller. It must know the machine
+// types, and either reach the key-value store or know from recent answers of other controllers that the
+// store serves none of them. In such an outage it is ready, as it tells users at once when to retry, and
+// which jobs it knows to be done or cancelled. A controller that alone cannot reach the store is not
+// ready, so that users are sent to the others.
 //
-// It guards against users who find no controller for up to a minute after an outage: with each
-// removal within two minutes the load balancer waits twice as long before it tries one again.
+// Guards against users who find no controller for up to a minute after an outage: after each removal
+// within two minutes a load balancer waits twice as long before it tries a controller again.
 func (n *Node) ready() bool {
 	if n.types.Load() == nil {
 		return false
@@ -62,5 +67,5 @@
 	return n.storeReachable() || n.peers.StoreServesNobody(readyAnsweredWithin)
 }
 
-// storeReachable reports whether the key-value store has lately served this controller.
+// storeReachable reports whether the key-value store has served this controller within readyServedWithin.
 func (n *Node) storeReachable() bool { return n.store.ServedWithin(readyServedWithin) }
--- a/internal/controller/leader_node.go
+++ b/internal/controller/leader_node.go
@@ -9,8 +9,7 @@
 	"tulipshelf/internal/leader"
 )
 
-// leaderNode is what package leader needs of a Node. It keeps those methods out of what Node
-// exports.
+// leaderNode adapts a Node to leader.Node, so that Node itself does not export these methods.
 type leaderNode struct{ node *Node }
 
 var _ leader.Node = leaderNode{}
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -9,10 +9,11 @@
 	"tulipshelf/internal/leadership"
 )
 
-// runLeader leads for one term, until ctx ends or the leader finds that it is deposed.
+// runLeader runs a leader for term until ctx ends or the leader returns an error, for example because
+// another term has begun. After an error it resigns.
 func (n *Node) runLeader(ctx context.Context, term *leadership.Term) {
 	l := n.newLeader(ctx, term)
-	n.leader.Store(l) // from here on heartbeats come, also before it runs (TestHeartbeatsWaitForLeaderLoop)
+	n.leader.Store(l) // it receives heartbeats even before its loop runs (TestHeartbeatsWaitForLeaderLoop)
 	defer n.leader.CompareAndSwap(l, nil)
 	err := l.Run()
 	if err == nil || ctx.Err() != nil {
@@ -31,8 +32,8 @@
 	return leader.New(ctx, cfg, term)
 }
 
-// prefersOther reports whether another controller, which far more machines reach, had better be
-// elected.
+// prefersOther reports whether another controller should be elected, as far more machines reach it than
+// this one.
 func (n *Node) prefersOther() bool {
 	return n.peers.MostRedirected(leader.RedirectionWindow) > leader.TransferMachineRatio*max(n.redirectedCount(), 1)
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,5 +1,6 @@
-// Package controller is one controller of the cluster: its servers, its candidacy for leadership,
-// and what it does whether it leads or not. While it leads, package leader owns jobs and machines.
+// Package controller runs one controller of the cluster: its servers, its candidacy for the leadership,
+// and the work that it does whether or not it leads. While it leads, package leader owns jobs and
+// machines.
 package controller
 
 import (
@@ -21,8 +22,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// Node is one controller. Its fields are set by New; those that change afterwards are safe for
-// concurrent use.
+// Node is one controller. New sets its fields. Those that change afterwards are safe for concurrent
+// use.
 type Node struct {
 	dial      wire.DialFunc
 	listen    func(context.Context, *wire.Server) error
@@ -36,28 +37,28 @@
 	proxy     *relay.Proxy
 	cancelled *cancellation.Register
 
-	leader      atomic.Pointer[leader.Leader] // nil: this controller does not lead
-	types       atomic.Pointer[[]cloud.Type]  // nil: not known yet
-	changedJobs chan string                   // to tell the leader of
+	leader      atomic.Pointer[leader.Leader] // nil while this controller does not lead
+	types       atomic.Pointer[[]cloud.Type]  // the cloud's machine types; nil until they are known
+	changedJobs chan string                   // IDs of jobs changed through this controller, for notifyLeader
 
-	extended   *expiringSet // machines whose leases were prolonged while this controller was isolated
-	redirected *expiringSet // machines that have come here though this controller does not lead
+	extended   *expiringSet // machines whose leases were recently extended by mayExtendWithoutLeader
+	redirected *expiringSet // machines that recently sent heartbeats here while this controller did not lead
 	gone       goneAttempts
 
-	valueBytes     atomic.Int64 // that a value may take, as far as the key-value store has shown
-	ratesLowered   atomic.Bool  // whether the lower rates to come are kept
-	gangsSupported atomic.Bool  // whether all controllers run gangs
+	valueBytes     atomic.Int64 // largest value, in bytes, that the key-value store is assumed to accept
+	ratesLowered   atomic.Bool  // whether onStoreRefused has lowered the rates of the store's client
+	gangsSupported atomic.Bool  // whether all controllers run a version that supports gangs
 }
 
-// Network is how a controller reaches others and is reached. The zero value is TCP; tests put an
-// in-memory network there.
+// Network holds the functions by which a controller connects to other hosts and listens. The zero value
+// uses TCP. Tests supply an in-memory network.
 type Network struct {
 	Dial   wire.DialFunc
 	Listen func(context.Context, *wire.Server) error
 }
 
-// maxChangedJobs bounds the jobs that wait for the leader to be told of. The leader's watch finds
-// the others.
+// maxChangedJobs is the capacity of Node.changedJobs. Jobs beyond it are dropped, as the leader's watch
+// on the records finds them too.
 const maxChangedJobs = 64
 
 // New returns a controller that has not been started.
@@ -107,15 +108,16 @@
 	})
 }
 
-// Shares of the sockets that servers may hold, and their timeouts.
+// Timeouts and socket limits of the servers.
 const (
 	idleTimeout       = 60 * time.Second
 	readTimeout       = 10 * time.Second
 	peerReadTimeout   = 5 * time.Second
-	peerSocketDivisor = 16 // one socket in so many
+	peerSocketDivisor = 16 // n in the share 1/n of the process's sockets that the peer server may hold
 )
 
-// Run serves until ctx ends or a listener cannot be opened.
+// Run runs the controller until ctx ends or a server fails, and waits until its goroutines have ended.
+// It returns the error of the server that failed, or nil if ctx ended.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -155,7 +157,7 @@
 	return err
 }
 
-// publicServer serves users, worker agents and load balancers.
+// publicServer returns the server for users, worker agents and load balancers.
 func (n *Node) publicServer() *wire.Server {
 	return &wire.Server{
 		Addr:        n.settings.Listen,
@@ -167,7 +169,7 @@
 	}
 }
 
-// peerServer serves the other controllers.
+// peerServer returns the server for the other controllers.
 func (n *Node) peerServer() *wire.Server {
 	return &wire.Server{
 		Addr:        n.settings.PeerListen,
@@ -178,7 +180,8 @@
 	}
 }
 
-// queueChanged queues a job that was changed here for notifyLeader, if there is room.
+// queueChanged queues a job that was changed through this controller for notifyLeader. It drops the job
+// if the queue is full.
 func (n *Node) queueChanged(jobID string) {
 	select {
 	case n.changedJobs <- jobID:
@@ -186,7 +189,8 @@
 	}
 }
 
-// notifyLeader tells the leader of jobs changed here, faster than its watch.
+// notifyLeader reports queued jobs to the leader until ctx ends. The leader's watch would also find
+// them, but later.
 func (n *Node) notifyLeader(ctx context.Context) {
 	for {
 		select {
@@ -198,7 +202,7 @@
 	}
 }
 
-// onChanged hands jobs that have changed elsewhere to the leader, if this controller leads.
+// onChanged passes changed jobs to the leader if this controller leads, and drops them otherwise.
 func (n *Node) onChanged(jobIDs []string) {
 	if l := n.leader.Load(); l != nil {
 		l.JobsChanged(jobIDs)
--- a/internal/controller/peer_node.go
+++ b/internal/controller/peer_node.go
@@ -5,13 +5,13 @@
 	"tulipshelf/internal/peer"
 )
 
-// peerNode is what package peer needs of a Node: the state that it tells the other controllers,
-// and the hooks for what they tell. It keeps those methods out of what Node exports.
+// peerNode adapts a Node to peer.Node, so that Node itself does not export these methods. It supplies the
+// state that is sent to the other controllers, and handles the state that they send.
 type peerNode struct{ node *Node }
 
 var _ peer.Node = peerNode{}
 
-// newPeerGroup returns the group of controllers that the settings name, as n sees it.
+// newPeerGroup returns the peer group of n, whose members are the other controllers in its settings.
 func newPeerGroup(n *Node) *peer.Group {
 	members := make([]peer.Member, 0, len(n.settings.Peers))
 	for _, other := range n.settings.Peers {
--- a/internal/controller/reaper.go
+++ b/internal/controller/reaper.go
@@ -14,13 +14,15 @@
 const (
 	reaperInterval = time.Second
 
-	// reapOverdueShare is the share of the cancellation deadline after which a controller itself returns
-	// the machines that hold tasks of a cancelled job, if it knows of no leader that does: later
-	// than any leader returns them.
+	// reapOverdueShare is the share of the cancellation deadline after which a controller returns the
+	// machines that hold tasks of a cancelled job, if it knows of no leader that does (leaderReaps). It
+	// exceeds the share after which a leader returns them, 0.55 (leader's cancelOverdueShare), except
+	// that of a leader that still reconciles, 0.8 (cancelOverdueShareReconciling).
 	reapOverdueShare = 0.75
 )
 
-// reapCancelled looks after tasks of cancelled jobs where no leader does.
+// reapCancelled returns the machines that hold overdue tasks of cancelled jobs while no leader is known
+// that does, until ctx ends. Each second it also updates the attempts that n.gone watches.
 func (n *Node) reapCancelled(ctx context.Context) {
 	for clock.Sleep(ctx, reaperInterval) {
 		n.gone.watch(n.cancelledLocations(0))
@@ -41,8 +43,10 @@
 	}
 }
 
-// leaderReaps reports whether a leader is known that knows of the cancellations what this
-// controller knows, and the locations better.
+// leaderReaps reports whether a leader is known that returns machines with overdue tasks of cancelled jobs:
+// this controller leads and has read the records, or the last known leader has said within
+// leader.RelayAfterSilence that it leads. Such a leader knows the cancellations that this controller
+// knows, and more about the locations of tasks.
 func (n *Node) leaderReaps() bool {
 	if l := n.leader.Load(); l != nil && l.Loaded() {
 		return true
@@ -51,8 +55,8 @@
 	return n.peers.LeadingWithin(name, leader.RelayAfterSilence)
 }
 
-// cancelledLocations returns where tasks may be of jobs that were learned to be cancelled at least
-// so long ago.
+// cancelledLocations returns the locations at which tasks may run of jobs whose cancellation this
+// controller learned at least age ago.
 func (n *Node) cancelledLocations(age time.Duration) (locations []jobstore.Location) {
 	for _, id := range n.cancelled.LearnedBefore(age) {
 		locations = append(locations, n.api.Locations(id)...)
--- a/internal/controller/store_limits.go
+++ b/internal/controller/store_limits.go
@@ -2,18 +2,18 @@
 
 import "log/slog"
 
-// Shares of the region's request rates that one controller may use. The parts overlap, since the
-// leader needs most and any controller may lead; where two need much at once the service's own
-// refusal decides.
+// Shares of the region's request rates that one controller may use. The shares of all controllers add up
+// to more than 1, as the leader needs most of a rate and any controller may lead. If two controllers need
+// much at the same time, the service refuses what exceeds the rate.
 const (
 	requestShare = 0.6
-	writeShare   = 0.8 // nearly all changes are the leader's
-	cloudShare   = 0.8 // all but the catalog is read by the leader
+	writeShare   = 0.8 // the leader makes nearly all changes
+	cloudShare   = 0.8 // the leader makes all reads except those of the catalog
 )
 
-// onStoreRefused learns that the key-value store's limits are lower by now, as settings announce
-// without saying when. One request too many shows less than a value that is too large: only rates
-// follow from it.
+// onStoreRefused applies the lower limits that the settings announce without a date (StoreLimits.Next),
+// after the key-value store has refused a transaction. Any refusal lowers the rates. Only a refusal as
+// too large also lowers the size of values: a refusal for the rate does not show that this limit applies.
 func (n *Node) onStoreRefused(tooLarge bool) {
 	next := n.settings.Store.Next
 	if !n.ratesLowered.Swap(true) {
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -11,14 +11,17 @@
 	"tulipshelf/internal/wire"
 )
 
-// gangsKey is written once all controllers run gangs. From then on none of an earlier version comes
-// back, so a controller that starts need not hear from the others to know.
+// gangsKey is the key that is written once all controllers support gangs. No controller of an earlier
+// version is started after that, so a controller that finds the key need not ask the others.
 const gangsKey = "version/gangs"
 
 const gangSupportInterval = time.Second
 
-// awaitGangSupport waits until all controllers are of a version that runs gangs: controllers are
-// replaced one at a time, and one of an earlier version would run a gang as it runs an array.
+// awaitGangSupport waits until all controllers run a version that supports gangs, and then sets
+// gangsSupported. It ends early with ctx.
+//
+// Guards against gangs that run as arrays: controllers are upgraded one at a time, and a leader of an
+// earlier version would run a gang as an array.
 func (n *Node) awaitGangSupport(ctx context.Context) {
 	for !n.checkGangSupport(ctx) {
 		if !clock.Sleep(ctx, gangSupportInterval) {
@@ -29,7 +32,8 @@
 	n.gangsSupported.Store(true)
 }
 
-// checkGangSupport reads whether all controllers run gangs, and writes it once they have said so.
+// checkGangSupport reports whether gangsKey exists. If every other controller has said that it supports
+// gangs, it writes the key first. It returns false if the write fails, unless the key exists already.
 func (n *Node) checkGangSupport(ctx context.Context) bool {
 	if _, err := n.store.Get(ctx, gangsKey, kvstore.PriorityBackground); err == nil {
 		return true
