--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -24,7 +24,7 @@
 	for ctx.Err() == nil {
 		pause := cancellationReadInterval
 		if err := n.readCancellations(ctx); err != nil {
-			slog.Debug("cancellations not read", "err", err)
+			slog.Debug("reading the cancellations failed", "err", err)
 			pause /= 4
 		}
 		clock.Sleep(ctx, pause)
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -45,7 +45,7 @@
 		types, err := n.cloud.Catalog(ctx)
 		switch {
 		case err != nil:
-			slog.Debug("catalog not read", "err", err)
+			slog.Debug("reading the catalog from the cloud failed", "err", err)
 			if n.types.Load() == nil {
 				n.restoreCatalog(ctx)
 			}
@@ -83,7 +83,7 @@
 	}
 	var value catalogValue
 	if err := wire.Unmarshal(item.Value, &value); err != nil || len(value.Types) == 0 {
-		slog.Error("kept catalog unreadable", "err", err)
+		slog.Error("catalog in the key-value store unreadable: machine types stay unknown until the cloud answers", "err", err)
 		return
 	}
 	slog.Info("catalog taken from the key-value store", "types", len(value.Types))
--- a/internal/controller/reaper.go
+++ b/internal/controller/reaper.go
@@ -38,7 +38,7 @@
 			slog.Info("machines with cancelled tasks not returned", "machines", machines, "err", err)
 			continue
 		}
-		slog.Info("machines with cancelled tasks returned, nobody leads", "machines", machines)
+		slog.Info("machines with cancelled tasks returned: no leader is known that returns them", "machines", machines)
 		n.gone.confirmReturned(machines)
 	}
 }
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -47,6 +47,6 @@
 	if err == nil || errors.As(err, &conflict) {
 		return true
 	}
-	slog.Debug("version not noted", "err", err)
+	slog.Debug("gang support not written to the key-value store", "err", err)
 	return false
 }
