--- a/internal/controller/autoscaling_test.go
+++ b/internal/controller/autoscaling_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// The autoscaler: how many machines are rented, and what happens while the cloud does not serve.
+// The autoscaler: the number of machines that are rented, and outages of the cloud.
 
 import (
 	"testing"
@@ -10,8 +10,8 @@
 	"tulipshelf/internal/job"
 )
 
-// Machines are rented for the resources of an array of small tasks and not for their number. Otherwise
-// larger tasks would be entitled to the surplus later.
+// Guards against renting machines for the number of small tasks in an array instead of for their resources.
+// Larger tasks would later be entitled to the surplus machines.
 func TestSmallTasksDoNotOverprovision(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(60, 1000)
@@ -20,13 +20,14 @@
 		c.waitUntil("small tasks done", 3*time.Minute, c.isDone("wk-000002"))
 		c.waitUntil("array done", 3*time.Minute, c.isDone("wk-000001"))
 		if n := len(c.cloud.Machines()) + len(c.cloud.Returned()); n > 52 {
-			t.Errorf("%d machines of 4 CPUs rented", n)
+			t.Errorf("%d machines of 4 CPUs rented, want at most 52", n)
 		}
 		c.checkStartedOnce()
 	})
 }
 
-// A new leader that has rented machines continues to scale out while they boot.
+// Guards against a new leader that rents no more machines while the first that it has rented still boot and
+// the cloud's list leaves them out.
 func TestScaleOutWhileMachinesBoot(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Lag = 4 * time.Second })
@@ -37,22 +38,22 @@
 	})
 }
 
-// In an outage of the cloud controllers that start accept submissions, by the machine types that were
-// stored, and what runs goes on.
+// Guards against rejected submissions in an outage of the cloud: controllers that start in the outage use
+// the machine types that a leader has stored. Running tasks continue.
 func TestSubmissionsAcceptedInCloudOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.runService(2)
-		time.Sleep(time.Minute) // the leader reads the catalog once a minute
+		time.Sleep(time.Minute) // by now the leader, which reads the catalog once a minute, has stored it
 		c.cloud.SetFaults(fake.CloudFaults{Down: true})
 		c.restartEach()
 		c.waitUntil("submission accepted", 15*time.Second, func() bool {
 			return c.submit(0, newJob("wk-000002", job.Array, 2, 5)) == 201
 		})
-		c.waitUntil("array done on the present machines", time.Minute, c.isDone("wk-000002"))
+		c.waitUntil("array done on the machines already rented", time.Minute, c.isDone("wk-000002"))
 		c.cloud.SetFaults(fake.CloudFaults{})
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
-			t.Errorf("replica started %d times", n)
+			t.Errorf("replica started %d times, want once", n)
 		}
 	})
 }
--- a/internal/controller/cluster_addresses_test.go
+++ b/internal/controller/cluster_addresses_test.go
@@ -11,9 +11,9 @@
 	storeAddr = "10.2.0.1:2379"
 	cloudAddr = "10.2.0.2:8443"
 
-	controllerSubnet = "10.0." // also of the addresses at which controllers listen for their peers
-	machineSubnet    = "10.1." // fake.Cloud gives machines addresses in it
-	userPrefix       = "user"  // hosts of users have no address, as nothing is sent to them
+	controllerSubnet = "10.0." // prefix of the addresses at which controllers serve users, agents and peers
+	machineSubnet    = "10.1." // prefix of the addresses that fake.Cloud gives to machines
+	userPrefix       = "user"  // prefix of the names of users' hosts; nothing is sent to them, so they have no address
 )
 
 // nodeAddr returns the address at which controller i serves users and agents.
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Waits and checks of the cluster tests, and what they count.
+// Waits and checks of the cluster tests, and the counts that they use.
 
 import (
 	"context"
@@ -14,7 +14,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// waitUntil waits for a condition, at most limit of simulated time, and fails the test otherwise.
+// waitUntil waits until a condition holds. It ends the test if the condition does not hold within limit of
+// simulated time.
 func (c *cluster) waitUntil(what string, limit time.Duration, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); !condition(); time.Sleep(100 * time.Millisecond) {
@@ -24,8 +25,8 @@
 	}
 }
 
-// waitForStatuses waits until each job has its final status, at most limit for each. It asks any
-// controller.
+// waitForStatuses waits, at most limit for each job, until it has the given status, as polled from random
+// controllers.
 func (c *cluster) waitForStatuses(limit time.Duration, want map[string]string) {
 	c.t.Helper()
 	for id, status := range want {
@@ -39,31 +40,31 @@
 	c.waitUntil("a leader", limit, func() bool { return c.leader() >= 0 })
 }
 
-// waitForLeaderOtherThan waits until another controller than the given one leads.
+// waitForLeaderOtherThan waits until a controller other than old leads.
 func (c *cluster) waitForLeaderOtherThan(old int, limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil("another leader", limit, func() bool { return c.leader() >= 0 && c.leader() != old })
 }
 
-// waitUntilReady waits until all controllers take requests.
+// waitUntilReady waits until all controllers are ready.
 func (c *cluster) waitUntilReady(limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil("all controllers ready", limit, func() bool { return c.isReady(0) && c.isReady(1) && c.isReady(2) })
 }
 
-// waitUntilRunning waits until so many tasks, of all jobs, are on machines.
+// waitUntilRunning waits until the number of tasks on machines, of all jobs, is as given.
 func (c *cluster) waitUntilRunning(tasks int, limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil("tasks run", limit, func() bool { return c.invariants.RunningTasks() == tasks })
 }
 
-// waitUntilRunningOf waits until so many tasks of a job are on machines.
+// waitUntilRunningOf waits until the number of a job's tasks on machines is as given.
 func (c *cluster) waitUntilRunningOf(id string, tasks int, limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil("tasks of "+id+" run", limit, func() bool { return c.invariants.RunningTasksOf(id) == tasks })
 }
 
-// waitUntilGone waits until no task of a cancelled job is left, at most for the deadline.
+// waitUntilGone waits until no task of a cancelled job is on a machine, at most cancelDeadline.
 func (c *cluster) waitUntilGone(id string) {
 	c.t.Helper()
 	c.waitUntil("cancelled tasks of "+id+" gone", cancelDeadline, func() bool { return c.invariants.RunningTasksOf(id) == 0 })
@@ -75,17 +76,17 @@
 	c.waitUntil(machine.Name+" returned", limit, func() bool { return slices.Contains(c.cloud.Returned(), machine.Name) })
 }
 
-// checkStartedOnce checks that no task was started twice.
+// checkStartedOnce checks that each task that has started was started once.
 func (c *cluster) checkStartedOnce() {
 	c.t.Helper()
 	for task, n := range c.invariants.StartsByTask() {
 		if n != 1 {
-			c.t.Errorf("%s started %d times", task, n)
+			c.t.Errorf("%s started %d times, want once", task, n)
 		}
 	}
 }
 
-// startsOf returns how many starts there were of a job's tasks.
+// startsOf returns the number of starts of a job's tasks.
 func (c *cluster) startsOf(id string) (starts int) {
 	for task, n := range c.invariants.StartsByTask() {
 		if strings.HasPrefix(task, id+"/") {
@@ -95,7 +96,7 @@
 	return starts
 }
 
-// restartsOf returns how many starts of a job's tasks there were after the first of each.
+// restartsOf returns the number of starts of a job's tasks, without the first start of each task.
 func (c *cluster) restartsOf(id string) (restarts int) {
 	for task, n := range c.invariants.StartsByTask() {
 		if strings.HasPrefix(task, id+"/") {
@@ -121,7 +122,7 @@
 	return all[:len(all)/2]
 }
 
-// heartbeats returns a copy of the heartbeat that each machine would send now.
+// heartbeats returns, for each machine, the body of a heartbeat that it would send now.
 func heartbeats(machines []*fake.Agent) (out [][]byte) {
 	for _, machine := range machines {
 		out = append(out, machine.CurrentHeartbeat())
@@ -129,13 +130,13 @@
 	return out
 }
 
-// storeClient returns a client of the store for the test itself, without a limit on its rate.
+// storeClient returns a client of the store for the test itself, with practically unlimited rates.
 func (c *cluster) storeClient(host string) *kvstore.Client {
 	const unlimited = 1e6
 	return kvstore.New(c.network.Dial(host), storeAddr, unlimited, unlimited)
 }
 
-// storedItems returns all that the store holds.
+// storedItems returns all items in the store, which must fit into one page.
 func (c *cluster) storedItems() []kvstore.Item {
 	c.t.Helper()
 	page, err := c.storeClient("reader").List(context.Background(), "", "", 1000, kvstore.PriorityLease)
@@ -143,27 +144,27 @@
 		c.t.Fatal(err)
 	}
 	if page.More {
-		c.t.Fatal("the store holds more than one page")
+		c.t.Fatal("the store has more items than fit into one page of 1000")
 	}
 	return page.Items
 }
 
-// storedTerm returns the highest term given out so far, as the store says.
+// storedTerm returns the highest term issued so far, as recorded in the store.
 func (c *cluster) storedTerm() uint64 {
 	var record struct {
 		Term uint64 `cbor:"term"`
 	}
 	item, err := c.storeClient("reader").Get(c.t.Context(), "lead/term", kvstore.PriorityLease)
 	if err != nil {
-		c.t.Fatalf("no term: %v", err)
+		c.t.Fatalf("read of the term: %v", err)
 	}
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		c.t.Fatalf("term: %v", err)
+		c.t.Fatalf("decoding the term: %v", err)
 	}
 	return record.Term
 }
 
-// messageCounts is how many messages have been sent so far.
+// messageCounts holds the numbers of requests sent so far, by receiver. storeChanges counts mutations.
 type messageCounts struct{ toStore, toCloud, storeChanges, toMachines, toControllers int }
 
 func (c *cluster) countMessages() messageCounts {
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -10,7 +10,7 @@
 	"tulipshelf/internal/fake"
 )
 
-// leader returns the number of the controller that leads; -1: none.
+// leader returns the index of the first controller that leads, or -1 if none does.
 func (c *cluster) leader() int {
 	return slices.IndexFunc(c.processes[:], func(p process) bool { return p.leads() })
 }
@@ -24,7 +24,7 @@
 	c.start(old)
 }
 
-// partition separates the pairs of hosts for which separated holds, and heals earlier partitions.
+// partition separates the pairs of hosts for which separated returns true, and heals earlier partitions.
 func (c *cluster) partition(separated func(from, to string) bool) {
 	c.network.UpdateFaults(func(faults *fake.NetworkFaults) { faults.Partition = separated })
 }
@@ -37,18 +37,18 @@
 	c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Down = true })
 }
 
-// endStoreOutage ends the outage and leaves other faults as they are.
+// endStoreOutage ends the outage of the store. Its other faults stay.
 func (c *cluster) endStoreOutage() {
 	c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Down = false })
 }
 
-// enforceStoreLimits lowers the limits of the store to those that the settings have announced.
+// enforceStoreLimits makes the store enforce the lower limits that the settings have announced.
 func (c *cluster) enforceStoreLimits(limits config.StoreLimits) {
 	c.store.SetLimits(fake.StoreLimits{ValueBytes: limits.ValueBytes, TxnOps: limits.TxnOps, WriteRPS: limits.WriteRPS})
 }
 
-// partitionLeader separates the leader from the store and the other controllers, but neither from
-// its machines nor from users, and waits until another controller leads.
+// partitionLeader separates the leader from the store and the other controllers, but not from the machines
+// or users. It waits until another controller leads and returns the separated one.
 func (c *cluster) partitionLeader() (old int) {
 	c.t.Helper()
 	old = c.leader()
@@ -95,16 +95,16 @@
 	c.partition(func(from, to string) bool { return isController(from) && isController(to) })
 }
 
-// partitionMachines separates the machines for which separated holds from everything.
+// partitionMachines separates the machines for which separated returns true from all other hosts.
 func (c *cluster) partitionMachines(separated func(addr string) bool) {
 	c.partition(func(from, to string) bool { return separated(from) || separated(to) })
 }
 
-// partitionZone separates all machines and one controller from the leader and the third one. The
-// store, the cloud and users belong to the region and reach everybody.
+// partitionZone separates all machines and one controller from the leader and the third controller. The
+// store, the cloud and users are regional and still reach all hosts.
 func (c *cluster) partitionZone() { c.partitionZoneWith((c.leader() + 1) % controllers) }
 
-// partitionZoneWith does the same with a given controller on the machines' side.
+// partitionZoneWith is partitionZone with the given controller on the machines' side.
 func (c *cluster) partitionZoneWith(node int) {
 	inside := func(addr string) bool {
 		return isMachine(addr) || addr == nodeAddr(node) || addr == peerAddr(node)
@@ -115,15 +115,15 @@
 	c.partition(func(from, to string) bool { return !regional(from) && !regional(to) && inside(from) != inside(to) })
 }
 
-// dropHeartbeats lets no heartbeat through of the machines for which from holds, while what
-// controllers send to them arrives.
+// dropHeartbeats separates the machines for which from returns true from the controllers in one direction:
+// their heartbeats are lost, while requests of controllers reach them.
 func (c *cluster) dropHeartbeats(from func(addr string) bool) {
 	c.partition(func(source, target string) bool {
 		return isMachine(source) && isController(target) && from(source)
 	})
 }
 
-// delayCommands lets each request to a machine arrive late; 0 ends that.
+// delayCommands delays each request to a machine; 0 ends the delay.
 func (c *cluster) delayCommands(delay time.Duration) {
 	c.network.UpdateFaults(func(faults *fake.NetworkFaults) {
 		faults.RequestDelay = func(_, to string) time.Duration {
@@ -138,7 +138,7 @@
 // hangMachines makes all machines hang.
 func (c *cluster) hangMachines() { c.setHung(true) }
 
-// resumeMachines ends hangMachines, and what else made machines hang.
+// resumeMachines ends the hang of all machines, also if hangMachines did not cause it.
 func (c *cluster) resumeMachines() { c.setHung(false) }
 
 func (c *cluster) setHung(hung bool) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// hangFirstMachineWith makes one machine hang that has tasks of a job.
+// hangFirstMachineWith makes the first machine that has tasks of a job hang.
 func (c *cluster) hangFirstMachineWith(id string) {
 	for _, machine := range c.cloud.Machines() {
 		if machine.HasTasksOf(id) {
--- a/internal/controller/cluster_gangs_test.go
+++ b/internal/controller/cluster_gangs_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Gangs on a test cluster. The fake agents run them by the platform's rules (fake.Gangs).
+// Gangs on a test cluster. The fake agents follow the platform's rules for gangs (fake.Gangs).
 
 import (
 	"fmt"
@@ -18,8 +18,8 @@
 	return newJob(gangID, job.Gang, tasks, seconds).withCheckpoints()
 }
 
-// withAndWithoutFailover runs f twice on a large fleet with machines that are up, once with a
-// failover where f calls its second argument.
+// withAndWithoutFailover runs f in two subtests, each on a large fleet with running machines. failOver, the
+// second argument of f, causes a failover in one of them and does nothing in the other.
 func withAndWithoutFailover(t *testing.T, f func(c *cluster, failOver func())) {
 	for name, change := range map[string]bool{"one leader": false, "failover": true} {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// runGang submits a gang and waits until an attempt of it has begun.
+// runGang submits a gang and waits until a further attempt of a gang has begun to run.
 func (c *cluster) runGang(r jobRequest) {
 	c.t.Helper()
 	began := c.cloud.Gangs.Counts().Began
@@ -44,7 +44,7 @@
 	c.waitUntil("gang runs", time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > began })
 }
 
-// waitForGangAttempts waits until so many attempts of gangs, of all jobs, have begun.
+// waitForGangAttempts waits until the number of gang attempts, of all jobs, that have begun to run is begun.
 func (c *cluster) waitForGangAttempts(begun int, limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil(fmt.Sprintf("%d attempts of gangs have begun", begun), limit, func() bool { return c.cloud.Gangs.Counts().Began == begun })
--- a/internal/controller/cluster_requests_test.go
+++ b/internal/controller/cluster_requests_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Descriptions of the jobs that users submit to a test cluster.
+// Requests with which users submit jobs to a test cluster.
 
 import (
 	"fmt"
@@ -14,22 +14,22 @@
 	highPriority = "high"
 )
 
-// jobRequest is the body of a submission, by the names of its fields on the wire. It is a map and
-// not a struct so that tests can send fields that are wrong, missing or unknown.
+// jobRequest is the body of a submission: values by the names of their fields on the wire. It is a map, not
+// a struct, so that tests can send wrong, missing or unknown fields.
 type jobRequest map[string]any
 
-// jobID returns the id of the i-th job.
+// jobID returns the ID of the i-th job.
 func jobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// newJob returns a valid request of the team for tasks of one CPU that run for so many seconds;
-// services ignore the latter.
+// newJob returns a valid request of the team for tasks of one CPU. Each task runs for the given number of
+// seconds, which services ignore.
 func newJob(id string, shape job.Shape, tasks int, seconds float64) jobRequest {
 	return jobRequest{"uid": id, "lane": "class", "crew": team, "shape": string(shape), "rank": "standard",
 		"tickets": tasks, "cpus": 1.0, "gpus": 0.0, "ram_gb": 2.0, "bundle": "img", "image_gb": 1.0,
 		"same_place": false, "apart": false, "loaners": false, "expect_s": seconds, "stash_every_s": 0.0, "stash_s": 0.0}
 }
 
-// with sets one field by its name on the wire; nil removes its value.
+// with sets a field, given by its name on the wire, in r and returns r. A nil value is sent as null.
 func (r jobRequest) with(field string, value any) jobRequest {
 	r[field] = value
 	return r
@@ -46,8 +46,8 @@
 	return r.with("cpus", cpus).with("ram_gb", gb)
 }
 
-// withCheckpoints makes tasks save their progress every 10 s, and as they are stopped gracefully,
-// for which they take 2 s.
+// withCheckpoints makes tasks save a checkpoint every 10 s and when they are stopped with a grace period.
+// Saving one takes 2 s.
 func (r jobRequest) withCheckpoints() jobRequest {
 	return r.with("stash_every_s", 10.0).with("stash_s", 2.0)
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,10 +1,10 @@
 package controller
 
-// The harness of the cluster tests: three controllers in simulated time, with fakes of all that they
-// talk to. cluster_addresses_test.go says who is where, cluster_requests_test.go describes jobs,
-// cluster_users_test.go sends users' requests, cluster_faults_test.go breaks things,
-// cluster_checks_test.go waits and checks, cluster_gangs_test.go runs gangs, and
-// leader_access_test.go is the one file that looks into a leader.
+// The harness of the cluster tests: three controllers in simulated time, with fakes of the store, the
+// cloud, the machines and the network. Names and addresses of hosts are in cluster_addresses_test.go, job
+// requests in cluster_requests_test.go, users in cluster_users_test.go, faults in cluster_faults_test.go,
+// waits and checks in cluster_checks_test.go, and gangs in cluster_gangs_test.go. leader_access_test.go is
+// the only file that accesses a leader's state.
 
 import (
 	"context"
@@ -24,19 +24,19 @@
 const (
 	controllers = 3
 
-	agentLease     = 26 * time.Second // after which an agent without a leader kills its tasks
-	cancelDeadline = 51 * time.Second // after which no task of a cancelled job may be left
+	agentLease     = 26 * time.Second // time without a response after which an agent kills its tasks
+	cancelDeadline = 51 * time.Second // time after a confirmed cancellation by which the job's tasks must be gone
 
-	// Names of the teams in the settings. The first has a guarantee and a maximum, the second
-	// neither, the third a large guarantee and no maximum.
+	// Names of the teams in the settings. The first has a guarantee and a limit, the second neither, the
+	// third a large guarantee and no limit.
 	team                 = "crew"
 	teamWithoutGuarantee = "guests"
 	teamWithoutMaximum   = "neighbours"
 )
 
-// cluster is three controllers with fakes of all that they talk to, in simulated time. Its fields
-// belong to the goroutine of the test; a change of settings counts for controllers that are started
-// afterwards.
+// cluster is a cluster of three controllers with fakes of all other hosts, in simulated time. Only the
+// goroutine of the test changes its fields, except users and answers, which are safe for concurrent use.
+// A change of settings applies to controllers that are started afterwards.
 type cluster struct {
 	t          *testing.T
 	network    *fake.Network
@@ -44,25 +44,25 @@
 	cloud      *fake.Cloud
 	invariants *fake.InvariantChecker
 	processes  [controllers]process
-	users      atomic.Int64 // that have sent a request so far, each from a host of its own
+	users      atomic.Int64 // number of users' requests so far, each from a host of its own
 	answers    answerLog
 
-	storeRPS        float64             // requests a second that the store allows a controller
-	teamCPUs        float64             // that the team may use at once
-	zones           []string            // controller i is in zone i modulo their number
-	nextStoreLimits *config.StoreLimits // announced in the settings; nil: none
+	storeRPS        float64             // rate of the store in the settings, in requests a second
+	teamCPUs        float64             // the team's limit, in CPUs
+	zones           []string            // controller i is in zone i modulo the number of zones
+	nextStoreLimits *config.StoreLimits // lower limits announced in the settings; nil if none
 }
 
 // process is one controller of the cluster.
 type process struct {
-	node         *Node        // nil: it runs an older version
-	olderVersion olderVersion // that it runs when it is started; nil: this version
+	node         *Node        // nil if it runs an older version
+	olderVersion olderVersion // version that start runs; nil for this version
 	leads        func() bool
 	cancel       context.CancelFunc
-	ended        chan struct{}
+	ended        chan struct{} // closed once the controller has ended
 }
 
-// olderVersion makes a controller of an older version with the given settings.
+// olderVersion returns a controller of an older version with the given settings.
 type olderVersion func(*config.Settings, *fake.Network) olderController
 
 // olderController is a controller of an older version that has not been started.
@@ -78,7 +78,8 @@
 	simulateFrom(t, nil, f)
 }
 
-// simulateFrom does the same with controllers that all run an older version at first.
+// simulateFrom is simulate with controllers that all run an older version at first; nil stands for this
+// version.
 func simulateFrom(t *testing.T, version olderVersion, f func(*cluster)) {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -111,11 +112,11 @@
 	return c
 }
 
-// shutDown ends the controllers, returns the machines and reports violated invariants. It waits
-// for what is still in flight, as goroutines may not outlive a synctest bubble.
+// shutDown ends the controllers, returns the machines and reports violated invariants. It waits for
+// requests in flight, as goroutines may not outlive a synctest bubble.
 func (c *cluster) shutDown(ctx context.Context, cancel context.CancelFunc) {
 	c.killAll()
-	time.Sleep(time.Second) // the cloud still carries out a rental that is in flight
+	time.Sleep(time.Second) // the cloud still carries out a rental in flight
 	for _, machine := range c.cloud.Machines() {
 		body := wire.Marshal(map[string][]string{"shelves": {machine.Name}})
 		c.cloud.Handle(ctx, &wire.Request{Method: "POST", Path: "/rentals/return", Body: body})
@@ -128,7 +129,7 @@
 	}
 }
 
-// start starts controller i with the cluster's present settings.
+// start starts controller i with the cluster's current settings.
 func (c *cluster) start(i int) {
 	c.invariants.SetMaxCPUs(team, c.teamCPUs)
 	settings := c.settings(i)
@@ -180,7 +181,7 @@
 	return s
 }
 
-// kill ends controller i at once, as a crash does, and waits until it has ended.
+// kill ends controller i at once, like a crash, and waits until it has ended.
 func (c *cluster) kill(i int) {
 	c.processes[i].cancel()
 	<-c.processes[i].ended
@@ -215,14 +216,14 @@
 	c.start(i)
 }
 
-// setCapacity sets how many machines the cloud has in all, and how many CPUs the team may use, in
-// the settings of controllers that are started afterwards.
+// setCapacity sets the number of machines that the cloud has in all, and the team's limit of CPUs in the
+// settings of controllers that are started afterwards.
 func (c *cluster) setCapacity(machines int, teamCPUs float64) {
 	c.cloud.Change(func(cloud *fake.Cloud) { cloud.Capacity = machines })
 	c.teamCPUs = teamCPUs
 }
 
-// restartWithCapacity restarts the controllers with another capacity and waits until one leads.
+// restartWithCapacity restarts the controllers with another capacity and waits for an election.
 func (c *cluster) restartWithCapacity(machines int, teamCPUs float64) {
 	c.setCapacity(machines, teamCPUs)
 	c.restartEach()
@@ -241,6 +242,6 @@
 	c.restartWithLargeFleet()
 }
 
-// waitForElection gives controllers that have just been started the time to elect a leader that has
-// loaded the records.
+// waitForElection waits for the time that controllers need after their start to elect a leader and for the
+// leader to load the records. It does not check that they have.
 func (c *cluster) waitForElection() { time.Sleep(2 * time.Second) }
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Users of a test cluster: they submit, query and cancel jobs, and no answer that they get may
-// contradict an earlier one.
+// Users of a test cluster: they submit, poll and cancel jobs. Each response is checked against the earlier
+// ones, which it must not contradict.
 
 import (
 	"context"
@@ -16,22 +16,23 @@
 	"tulipshelf/internal/wire"
 )
 
-// answerLog keeps the last status of each job in users' answers.
+// answerLog holds the most advanced status of each job in the responses to users. Its methods are safe for
+// concurrent use.
 type answerLog struct {
 	invariants *fake.InvariantChecker
 
 	mu         sync.Mutex        // guards lastStatus
-	lastStatus map[string]string // by job
+	lastStatus map[string]string // by job ID
 }
 
-// of returns the last status of a job in users' answers; "" if there was none.
+// of returns the most advanced status of a job in the responses so far, or "" if there was none.
 func (a *answerLog) of(id string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastStatus[id]
 }
 
-// progress orders the statuses of a job: none may be followed by one of lower progress.
+// progress orders the statuses of a job. A status must not be followed by one of lower progress.
 type progress int
 
 const (
@@ -50,18 +51,18 @@
 	return unfinished
 }
 
-// statusBody is the part of an answer about a job that tests read.
+// statusBody is the part of a response about a job that tests read.
 type statusBody struct {
 	Status string `cbor:"status"`
 }
 
-// record notes an answer about a job. It returns what is wrong with it, given the status that was
-// known before the request was sent, or "".
+// record records a response about a job. It returns a description of the fault if the response contradicts
+// an earlier one or knownBefore, the status known before the request was sent, and "" otherwise.
 func (a *answerLog) record(id, knownBefore string, resp wire.Response) string {
 	var body statusBody
 	accepted := resp.Status == wire.StatusOK || resp.Status == wire.StatusCreated
 	if resp.Status != wire.StatusNotFound && (!accepted || wire.Unmarshal(resp.Body, &body) != nil || body.Status == "") {
-		return "" // nothing about the job
+		return "" // the response says nothing about the job
 	}
 	status := body.Status
 	if status == jobstore.StatusCancelled {
@@ -72,18 +73,18 @@
 	last := a.lastStatus[id]
 	switch {
 	case progressOf(status) < progressOf(knownBefore):
-		return fmt.Sprintf("%q, was %q", status, knownBefore)
+		return fmt.Sprintf("status %q after %q", status, knownBefore)
 	case progressOf(last) == final && progressOf(status) == final && status != last:
-		return fmt.Sprintf("%q, was %q", status, last)
+		return fmt.Sprintf("status %q after %q", status, last)
 	case progressOf(status) >= progressOf(last):
 		a.lastStatus[id] = status
 	}
 	return ""
 }
 
-// request sends a user's request to a controller and returns the response; status 0: none. An
-// answer about a job may not be older than one that was there when the request was sent, whichever
-// controllers give them.
+// request sends a user's request to a controller and returns the response, with status 0 if there was none.
+// It fails the test if a response about a job is older than one received before the request was sent,
+// whichever controllers sent them.
 func (c *cluster) request(node int, method, path string, body []byte) wire.Response {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/v1/jobs/"), "/")
 	if path == "/v1/jobs" {
@@ -97,7 +98,7 @@
 	return resp
 }
 
-// requestUnchecked sends a request from a host of its own, without a look at what is answered.
+// requestUnchecked is request without the check of the response. Each request has a host of its own.
 func (c *cluster) requestUnchecked(node int, method, path string, body []byte) wire.Response {
 	client := wire.Client{Dial: c.network.Dial(fmt.Sprintf("%s-%d", userPrefix, c.users.Add(1))), Addr: nodeAddr(node)}
 	defer client.CloseIdle()
@@ -138,15 +139,15 @@
 	return c.request(node, wire.MethodPost, "/v1/jobs/"+id+"/abort", nil)
 }
 
-// cancel cancels a job, which a controller has to confirm at once.
+// cancel cancels a job. It ends the test unless the controller confirms the cancellation at once.
 func (c *cluster) cancel(node int, id string) {
 	c.t.Helper()
 	if status := c.requestCancel(node, id).Status; status != wire.StatusOK {
-		c.t.Fatalf("cancellation of %s: %d", id, status)
+		c.t.Fatalf("cancellation of %s: status %d, want 200", id, status)
 	}
 }
 
-// cancelUntilConfirmed repeats a cancellation until a controller confirms it, or that the job is
+// cancelUntilConfirmed repeats a cancellation until the controller confirms it or responds that the job is
 // done.
 func (c *cluster) cancelUntilConfirmed(limit time.Duration, node int, id string) {
 	c.t.Helper()
@@ -163,12 +164,12 @@
 	return body.Status
 }
 
-// isDone returns a condition for waitUntil: the job is done.
+// isDone returns a condition for waitUntil that holds once controller 2 reports the job as done.
 func (c *cluster) isDone(id string) func() bool {
 	return func() bool { return c.status(2, id) == jobstore.StatusDone }
 }
 
-// isReady reports whether a controller takes requests.
+// isReady reports whether a controller reports itself as ready.
 func (c *cluster) isReady(node int) bool {
 	return c.request(node, wire.MethodGet, "/ready", nil).Status == wire.StatusOK
 }
