--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -18,8 +18,7 @@
 func (n *Node) handleHeartbeat(ctx context.Context, body []byte) wire.Response {
 	var heartbeat agent.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
-		problem := wire.Problem{Error: fmt.Sprintf("malformed heartbeat: machine %q, incarnation %d (both are required): %v",
-			heartbeat.Machine, heartbeat.Incarnation, err)}
+		problem := wire.Problem{Error: fmt.Sprint("malformed report: ", err)}
 		return wire.Response{Status: wire.StatusBadRequest, Body: wire.Marshal(problem)}
 	}
 	n.gone.observeHeartbeat(&heartbeat)
