--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -17,14 +17,14 @@
 
 const (
 	heartbeatInterval = 3 * time.Second
-	// heartbeatAfterChange is the pause before a heartbeat that reports a task's change.
-	heartbeatAfterChange = 500 * time.Millisecond
+	// changeReportDelay is the pause before a heartbeat that reports a task's change.
+	changeReportDelay = 500 * time.Millisecond
 	// heartbeatTimeout is how long an agent waits for the response.
 	heartbeatTimeout = 4 * time.Second
-	// retryPause is the pause before the next controller is tried.
-	retryPause = time.Second
-	// hungPoll is how often a hung agent looks whether it may go on.
-	hungPoll = 100 * time.Millisecond
+	// retryDelay is the pause before the next controller is tried.
+	retryDelay = time.Second
+	// hungPollInterval is how often a hung agent looks whether it may go on.
+	hungPollInterval = 100 * time.Millisecond
 )
 
 // Agent is one machine with the agent on it.
@@ -179,7 +179,7 @@
 	controller := 0
 	for a.ctx.Err() == nil {
 		if a.currentFaults().Hung {
-			clock.Sleep(a.ctx, hungPoll)
+			clock.Sleep(a.ctx, hungPollInterval)
 			continue
 		}
 		a.checkLease()
@@ -197,7 +197,7 @@
 		a.acceptResponse(resp.Body, sentAt)
 		select {
 		case <-a.changes:
-			clock.Sleep(a.ctx, heartbeatAfterChange)
+			clock.Sleep(a.ctx, changeReportDelay)
 		case <-time.After(heartbeatInterval):
 		case <-a.ctx.Done():
 		}
@@ -207,7 +207,7 @@
 			return leader
 		}
 	}
-	clock.Sleep(a.ctx, retryPause)
+	clock.Sleep(a.ctx, retryDelay)
 	return (controller + 1) % len(a.cloud.controllerAddrs)
 }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -117,7 +117,7 @@
 	case req.Path == "/rentals":
 		return c.rent(req.Body)
 	case req.Path == "/rentals/return":
-		return c.takeBack(req.Body)
+		return c.returnMachines(req.Body)
 	}
 	return wire.Response{Status: wire.StatusBadRequest}
 }
@@ -169,8 +169,8 @@
 	return ok(map[string]any{"shelves": names})
 }
 
-// takeBack ends machines at once. The caller holds mu.
-func (c *Cloud) takeBack(body []byte) wire.Response {
+// returnMachines ends machines at once. The caller holds mu.
+func (c *Cloud) returnMachines(body []byte) wire.Response {
 	var request struct {
 		Names []string `cbor:"shelves"`
 	}
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -53,12 +53,12 @@
 
 // gangMember is one task of an attempt on its machine.
 type gangMember struct {
-	machine *Agent
-	task    *machineTask // guarded by the machine's lock
-	id      job.AttemptID
-	attempt *gangAttempt
-	saving  bool // it was halted and saves
-	absent  bool // it is gone, or its machine hangs
+	machine       *Agent
+	task          *machineTask // guarded by the machine's lock
+	id            job.AttemptID
+	attempt       *gangAttempt
+	checkpointing bool // it was halted and saves
+	absent        bool // it is gone, or its machine hangs
 }
 
 func newGangs(wait, notice time.Duration) *Gangs {
@@ -202,16 +202,16 @@
 	case attempt.beganAt.IsZero():
 		delete(attempt.members, member.id.Task) // the others keep waiting
 		return
-	case attempt.ended, member.saving && gracePeriodS > 0:
+	case attempt.ended, member.checkpointing && gracePeriodS > 0:
 		return
 	}
-	canSave := spec.CheckpointS > 0 && gracePeriodS >= spec.SaveS && !attempt.hasAbsentMember()
-	if member.task.status == agent.StatusRunning && canSave {
-		member.saving = true
+	canCheckpoint := spec.CheckpointS > 0 && gracePeriodS >= spec.SaveS && !attempt.hasAbsentMember()
+	if member.task.status == agent.StatusRunning && canCheckpoint {
+		member.checkpointing = true
 		member.task.status = agent.StatusCheckpointing
 		if attempt.haltedAt.IsZero() {
 			attempt.haltedAt = time.Now()
-			time.AfterFunc(g.notice, func() { g.save(attempt) })
+			time.AfterFunc(g.notice, func() { g.checkpoint(attempt) })
 		}
 		return
 	}
@@ -261,15 +261,15 @@
 	}
 }
 
-// save saves and stops an attempt if all of its tasks were halted in time; otherwise it fails.
-func (g *Gangs) save(attempt *gangAttempt) {
+// checkpoint saves and stops an attempt if all of its tasks were halted in time; otherwise it fails.
+func (g *Gangs) checkpoint(attempt *gangAttempt) {
 	g.mu.Lock()
 	if attempt.ended {
 		g.mu.Unlock()
 		return
 	}
 	for _, member := range attempt.members {
-		if !member.saving || member.absent {
+		if !member.checkpointing || member.absent {
 			g.mu.Unlock()
 			g.fail(attempt)
 			return
@@ -278,8 +278,8 @@
 	attempt.ended = true
 	attempt.job.progress += attempt.haltedAt.Sub(attempt.beganAt)
 	g.counts.Checkpointed++
-	saveTime := time.Duration(attempt.job.spec.SaveS * float64(time.Second))
-	left := time.Until(attempt.haltedAt.Add(saveTime))
+	checkpointDuration := time.Duration(attempt.job.spec.SaveS * float64(time.Second))
+	left := time.Until(attempt.haltedAt.Add(checkpointDuration))
 	g.mu.Unlock()
 	time.Sleep(left)
 	g.exitAll(attempt, agent.CauseStopped)
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -20,16 +20,16 @@
 	// It is set before the first use.
 	CancelDeadline time.Duration
 
-	mu         sync.Mutex         // guards all below
-	maxCPUs    map[string]float64 // by team; others may use any number
-	jobs       map[string]*job.Spec
-	running    map[string]placement // by task
-	cancelled  map[string]time.Time // when the cancellation was first confirmed, by job
-	lastZone   map[string]string    // where each task started last
-	starts     map[string]int       // by task
-	completed  map[string]bool      // by task
-	lateStarts int                  // starts after a confirmed cancellation
-	violations []string
+	mu                      sync.Mutex         // guards all below
+	maxCPUs                 map[string]float64 // by team; others may use any number
+	jobs                    map[string]*job.Spec
+	running                 map[string]placement // by task
+	cancelled               map[string]time.Time // when the cancellation was first confirmed, by job
+	lastZone                map[string]string    // where each task started last
+	starts                  map[string]int       // by task
+	completed               map[string]bool      // by task
+	startsAfterCancellation int                  // starts after a confirmed cancellation
+	violations              []string
 }
 
 // placement is where a task runs, in which attempt.
@@ -68,17 +68,17 @@
 	}
 	c.cancelled[id] = time.Now()
 	if c.CancelDeadline > 0 {
-		time.AfterFunc(c.CancelDeadline, func() { c.checkGone(id) })
+		time.AfterFunc(c.CancelDeadline, func() { c.checkCancelledTasksGone(id) })
 	}
 }
 
-// checkGone checks that no task of a cancelled job is left.
-func (c *InvariantChecker) checkGone(id string) {
+// checkCancelledTasksGone checks that no task of a cancelled job is left.
+func (c *InvariantChecker) checkCancelledTasksGone(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.running {
 		if jobOf(task) == id {
-			c.violated("%s is on a machine %v after its cancellation was confirmed", task, c.CancelDeadline)
+			c.addViolation("%s is on a machine %v after its cancellation was confirmed", task, c.CancelDeadline)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 func (c *InvariantChecker) StartsAfterCancellation() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lateStarts
+	return c.startsAfterCancellation
 }
 
 // RunningTasks returns how many tasks are on machines.
@@ -149,12 +149,12 @@
 		return nil
 	}
 	if other, isRunning := c.running[task]; isRunning {
-		c.violated("%s starts on %s while on %s", task, at.machine, other.machine)
+		c.addViolation("%s starts on %s while on %s", task, at.machine, other.machine)
 	}
 	if confirmed, isCancelled := c.cancelled[id]; isCancelled {
-		c.lateStarts++
+		c.startsAfterCancellation++
 		if c.CancelDeadline > 0 && time.Since(confirmed) > c.CancelDeadline {
-			c.violated("%s starts %v after its cancellation was confirmed", task, time.Since(confirmed))
+			c.addViolation("%s starts %v after its cancellation was confirmed", task, time.Since(confirmed))
 		}
 	}
 	c.running[task] = at
@@ -179,28 +179,28 @@
 		if otherAt.zone == at.zone {
 			tasksInZone++
 		}
-		c.checkTogether(spec, task, at, other, otherAt)
+		c.checkTaskPair(spec, task, at, other, otherAt)
 	}
-	const rounding = 1e-6 // of sums of CPUs
-	if maximum, isLimited := c.maxCPUs[spec.Team]; isLimited && usedCPUs > maximum+rounding {
-		c.violated("%s starts and %s uses %g of %g CPUs", task, spec.Team, usedCPUs, maximum)
+	const roundingTolerance = 1e-6 // of sums of CPUs
+	if maximum, isLimited := c.maxCPUs[spec.Team]; isLimited && usedCPUs > maximum+roundingTolerance {
+		c.addViolation("%s starts and %s uses %g of %g CPUs", task, spec.Team, usedCPUs, maximum)
 	}
 	if spec.Zone != "" && spec.Zone != at.zone {
-		c.violated("%s starts in zone %s, not in %s", task, at.zone, spec.Zone)
+		c.addViolation("%s starts in zone %s, not in %s", task, at.zone, spec.Zone)
 	}
 	if spec.Apart && tasksInZone > (spec.Tasks+1)/2 {
-		c.violated("%s starts as number %d in zone %s", task, tasksInZone, at.zone)
+		c.addViolation("%s starts as number %d in zone %s", task, tasksInZone, at.zone)
 	}
 }
 
-// checkTogether checks what a job demands of a task that starts and another that runs. The caller
+// checkTaskPair checks what a job demands of a task that starts and another that runs. The caller
 // holds mu.
-func (c *InvariantChecker) checkTogether(spec *job.Spec, task string, at placement, other string, otherAt placement) {
+func (c *InvariantChecker) checkTaskPair(spec *job.Spec, task string, at placement, other string, otherAt placement) {
 	if spec.Shape == job.Gang && otherAt.attempt != at.attempt {
-		c.violated("%s starts in attempt %d while %s is on in attempt %d", task, at.attempt, other, otherAt.attempt)
+		c.addViolation("%s starts in attempt %d while %s is on in attempt %d", task, at.attempt, other, otherAt.attempt)
 	}
 	if spec.OneZone && otherAt.zone != at.zone {
-		c.violated("%s starts in zone %s while %s is in %s", task, at.zone, other, otherAt.zone)
+		c.addViolation("%s starts in zone %s while %s is in %s", task, at.zone, other, otherAt.zone)
 	}
 }
 
@@ -214,8 +214,8 @@
 	c.completed[task] = c.completed[task] || completed
 }
 
-// violated records a violation. The caller holds mu.
-func (c *InvariantChecker) violated(format string, args ...any) {
+// addViolation records a violation. The caller holds mu.
+func (c *InvariantChecker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -144,8 +144,8 @@
 	statusNoResponse     = -2 // it ends after the client has given up
 )
 
-// giveUp is longer than any client waits for a response.
-const giveUp = 10 * time.Second
+// noResponseDelay is longer than any client waits for a response.
+const noResponseDelay = 10 * time.Second
 
 // serveConnection answers the requests on one connection, one after the other.
 func (n *Network) serveConnection(ends endpoints, server net.Conn, handler wire.Handler) {
@@ -170,7 +170,7 @@
 		}
 		resp := n.handle(ctx, ends, &req, handler)
 		if resp.Status == statusNoResponse {
-			time.Sleep(giveUp)
+			time.Sleep(noResponseDelay)
 		}
 		if resp.Status == statusDropConnection || resp.Status == statusNoResponse {
 			return
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -21,8 +21,8 @@
 const (
 	// storeLatency is the time that each request takes.
 	storeLatency = 5 * time.Millisecond
-	// keptChanges is how many changes the store keeps for watches.
-	keptChanges = 10_000
+	// maxRetainedEvents is how many changes the store keeps for watches.
+	maxRetainedEvents = 10_000
 	// A page of a listing has at most so many keys, and values of so many bytes.
 	maxPageKeys  = 1000
 	maxPageBytes = 512 << 10
@@ -30,21 +30,21 @@
 
 // Store is a key-value store.
 type Store struct {
-	mu        sync.Mutex // guards all below
-	rev       uint64
-	keys      map[string]entry
-	events    []kvstore.Event // the last keptChanges
-	dropped   uint64          // revision of the last change that is no longer kept
-	changed   chan struct{}   // closed and replaced at each change
-	leases    map[uint64]*lease
-	lastLease uint64
-	faults    StoreFaults
-	random    *rand.Rand   // decides which responses are lost
-	held      []func()     // apply the transactions that are held back
-	limits    *StoreLimits // nil: none
-	writes    *rate.Limiter
-	refusals  StoreRefusals
-	counts    storeCounts
+	mu                sync.Mutex // guards all below
+	rev               uint64
+	keys              map[string]entry
+	events            []kvstore.Event // the last maxRetainedEvents
+	compactedRevision uint64          // revision of the last change that is no longer kept
+	changed           chan struct{}   // closed and replaced at each change
+	leases            map[uint64]*lease
+	lastLease         uint64
+	faults            StoreFaults
+	random            *rand.Rand   // decides which responses are lost
+	held              []func()     // apply the transactions that are held back
+	limits            *StoreLimits // nil: none
+	writes            *rate.Limiter
+	refusals          StoreRefusals
+	counts            storeCounts
 }
 
 // storeCounts counts what came so far.
@@ -84,15 +84,15 @@
 }
 
 // Changes returns how many mutations of keys with a prefix transactions have asked for so far.
-func (s *Store) Changes(prefix string) (n int) {
+func (s *Store) Changes(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, mutations := range s.counts.mutations {
 		if strings.HasPrefix(key, prefix) {
-			n += mutations
+			count += mutations
 		}
 	}
-	return n
+	return count
 }
 
 // Requests returns how many requests there were so far.
@@ -303,8 +303,8 @@
 // addEvent keeps a change for watches and wakes those that wait. The caller holds mu.
 func (s *Store) addEvent(event kvstore.Event) {
 	s.events = append(s.events, event)
-	for len(s.events) > keptChanges {
-		s.dropped, s.events = s.events[0].Revision, s.events[1:]
+	for len(s.events) > maxRetainedEvents {
+		s.compactedRevision, s.events = s.events[0].Revision, s.events[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -316,7 +316,7 @@
 	after, _ := strconv.ParseUint(query["after"], 10, 64)
 	waitMS, _ := strconv.Atoi(query["wait_ms"])
 	// Not a timer's channel, on which a change may come at the very end (see the package).
-	wait, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
+	waitCtx, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
 	defer cancel()
 	for isOpen := false; ; isOpen = true {
 		s.mu.Lock()
@@ -324,7 +324,7 @@
 			s.mu.Unlock()
 			return wire.Response{Status: wire.StatusServiceUnavailable} // only watches that are open stay open
 		}
-		if s.dropped > after {
+		if s.compactedRevision > after {
 			s.mu.Unlock()
 			return wire.Response{Status: wire.StatusGone}
 		}
@@ -337,7 +337,7 @@
 		}
 		select {
 		case <-changed:
-		case <-wait.Done():
+		case <-waitCtx.Done():
 			if ctx.Err() != nil {
 				return wire.Response{Status: statusDropConnection}
 			}
