--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -1,6 +1,6 @@
 package fake
 
-// The agent on a rented machine: it sends heartbeats and holds a lease. The tasks that it runs are in
+// The worker agent on a rented machine: heartbeats, lease and command requests. Its tasks are in
 // agent_tasks.go.
 
 import (
@@ -17,59 +17,58 @@
 
 const (
 	heartbeatInterval = 3 * time.Second
-	// changeReportDelay is the pause before a heartbeat that reports a task's change.
+	// changeReportDelay is the delay of a heartbeat that reports the change of a task's status.
 	changeReportDelay = 500 * time.Millisecond
-	// heartbeatTimeout is how long an agent waits for the response.
+	// heartbeatTimeout is the time limit for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// retryDelay is the pause before the next controller is tried.
+	// retryDelay is the delay after a failed heartbeat before the next controller is tried.
 	retryDelay = time.Second
-	// hungPollInterval is how often a hung agent looks whether it may go on.
+	// hungPollInterval is the interval at which a hung agent checks whether the fault is over.
 	hungPollInterval = 100 * time.Millisecond
 )
 
-// Agent is one machine with the agent on it.
+// Agent is a rented machine and the worker agent that runs on it.
 type Agent struct {
 	Name, Addr, Zone string
 
 	cloud    *Cloud
 	rentedAt time.Time
-	ctx      context.Context // of the machine
+	ctx      context.Context // ends when the machine is terminated
 	cancel   context.CancelFunc
 
-	changes chan struct{} // holds an element if a change is to be reported soon
+	changes chan struct{} // capacity 1; an element requests a heartbeat after changeReportDelay
 
-	mu             sync.Mutex // guards all below, and the fields of tasks
+	mu             sync.Mutex // guards the fields below and those of the tasks
 	booted         bool
 	incarnation    uint64
-	sequence       uint64 // of heartbeats
-	fencingToken   uint64 // the highest seen
+	sequence       uint64 // sequence number of the last heartbeat
+	fencingToken   uint64 // highest fencing token seen
 	leaseRenewedAt time.Time
-	terminationAt  time.Time // as announced by the cloud; zero: not announced
+	terminationAt  time.Time // end of the termination notice; zero: no notice
 	tasks          map[job.AttemptID]*machineTask
 	faults         AgentFaults
 }
 
-// AgentFaults are the present faults of a machine.
+// AgentFaults is the set of active faults of a machine. The zero value means no fault.
 type AgentFaults struct {
-	// Hung stops the agent: it sends nothing, answers nothing and starts nothing, while its tasks stay
-	// on the machine. It stands for a frozen kernel or a machine out of memory.
+	// Hung stops the agent: it sends no heartbeats, answers no requests and starts no tasks, while its
+	// tasks stay on the machine. It simulates a frozen kernel or a machine out of memory.
 	Hung bool
-	// DropIncoming lets heartbeats leave the machine while no response and no command reaches it. It
-	// stands for an asymmetric partition and for a broken receive path.
+	// DropIncoming discards responses and commands to the machine, while its heartbeats still leave. It
+	// simulates an asymmetric network partition or a broken receive path.
 	DropIncoming bool
-	// FailTasks makes every task that starts fail at once. It stands for a full disk or a broken
-	// device.
+	// FailTasks makes each task fail as soon as it starts. It simulates a full disk or a broken device.
 	FailTasks bool
 }
 
-// newAgent returns the agent of a machine that has not booted.
+// newAgent returns a machine that has not booted.
 func newAgent(c *Cloud, name, zone string) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Agent{Name: name, Addr: "10.1.0.1:" + name, Zone: zone, cloud: c, rentedAt: time.Now(), ctx: ctx, cancel: cancel,
 		incarnation: 1, tasks: map[job.AttemptID]*machineTask{}, changes: make(chan struct{}, 1)}
 }
 
-// terminate ends the machine with all that is on it.
+// terminate shuts the machine down and kills all its tasks.
 func (a *Agent) terminate() {
 	a.cancel()
 	a.mu.Lock()
@@ -77,12 +76,12 @@
 	a.killTasks()
 }
 
-// SetFaults replaces all faults.
+// SetFaults replaces all active faults of the machine.
 func (a *Agent) SetFaults(faults AgentFaults) {
 	a.UpdateFaults(func(f *AgentFaults) { *f = faults })
 }
 
-// UpdateFaults changes some of the faults.
+// UpdateFaults changes some of the active faults of the machine and leaves the others.
 func (a *Agent) UpdateFaults(change func(*AgentFaults)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,7 +97,7 @@
 	}
 }
 
-// Restart kills all tasks and begins a new incarnation, as a machine does that reboots at once.
+// Restart kills all tasks and begins a new incarnation, as if the machine rebooted without any delay.
 func (a *Agent) Restart() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,7 +105,8 @@
 	a.signalChange()
 }
 
-// AnnounceTermination announces that the cloud takes the machine after the given time.
+// AnnounceTermination adds a termination notice to the heartbeats: the cloud takes the machine back
+// after the given time. The fake does not terminate the machine when that time is over.
 func (a *Agent) AnnounceTermination(after time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,15 +120,15 @@
 	return a.booted
 }
 
-// CurrentHeartbeat returns the body of a heartbeat that the agent would send now, for a test that
-// delivers it late. It takes up a sequence number.
+// CurrentHeartbeat returns the body of the heartbeat that the agent would send now, for tests that
+// deliver it late. The heartbeat consumes a sequence number.
 func (a *Agent) CurrentHeartbeat() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.nextHeartbeat()
 }
 
-// HasTasksOf reports whether a task of a job is on the machine.
+// HasTasksOf reports whether a task of the job is on the machine and has not exited.
 func (a *Agent) HasTasksOf(jobID string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -140,7 +140,7 @@
 	return false
 }
 
-// TaskCount returns how many tasks are on the machine.
+// TaskCount returns the number of tasks on the machine that have not exited.
 func (a *Agent) TaskCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -187,8 +187,9 @@
 	}
 }
 
-// reportTo sends a heartbeat to a controller, waits until the next is due, and returns the controller
-// that it goes to.
+// reportTo sends a heartbeat to a controller and waits until the next heartbeat is due. Controllers are
+// given as indexes of Cloud.controllerAddrs; next is the one that gets the next heartbeat. A refusal that
+// names another controller as the leader is followed without a delay.
 func (a *Agent) reportTo(controller int) (next int) {
 	sentAt := time.Now()
 	resp := a.sendHeartbeat(a.cloud.controllerAddrs[controller])
@@ -211,8 +212,8 @@
 	return (controller + 1) % len(a.cloud.controllerAddrs)
 }
 
-// namedLeader returns the controller that a refusal names as the leader, if that is another one than
-// the controller that has refused.
+// namedLeader returns the index of the controller that a refusal names as the leader. known is false if
+// the refusal names none, one that is not in Cloud.controllerNames, or the refusing controller itself.
 func (a *Agent) namedLeader(body []byte, refusing int) (leader int, known bool) {
 	var refusal struct {
 		Leader string `cbor:"foreman"`
@@ -244,7 +245,8 @@
 	a.leaseRenewedAt = time.Now()
 }
 
-// nextHeartbeat returns the body of the next heartbeat, with a sequence number of its own. The caller holds mu.
+// nextHeartbeat returns the body of the next heartbeat and consumes a sequence number. The caller holds
+// mu.
 func (a *Agent) nextHeartbeat() []byte {
 	a.sequence++
 	heartbeat := agent.Heartbeat{Machine: a.Name, Addr: a.Addr, Type: a.cloud.Type.Name, Zone: a.Zone,
@@ -260,7 +262,8 @@
 	return wire.Marshal(heartbeat)
 }
 
-// sendHeartbeat sends a heartbeat to a controller and returns its response; status 0: none.
+// sendHeartbeat sends a heartbeat to a controller and returns the response. Its status is 0 if the
+// request fails or no response arrives within heartbeatTimeout.
 func (a *Agent) sendHeartbeat(addr string) wire.Response {
 	a.mu.Lock()
 	body := a.nextHeartbeat()
@@ -280,8 +283,9 @@
 	return resp
 }
 
-// acceptResponse renews the lease from when the heartbeat was sent and carries out the commands, unless
-// the response is from a leader of an earlier term.
+// acceptResponse renews the lease as of sentAt, the time at which the heartbeat was sent, and executes
+// the commands. It ignores a response whose fencing token is lower than the highest seen, which comes
+// from a leader of an earlier term.
 func (a *Agent) acceptResponse(body []byte, sentAt time.Time) {
 	var resp agent.HeartbeatResponse
 	a.mu.Lock()
@@ -294,7 +298,7 @@
 	a.execute(resp.Commands)
 }
 
-// handle answers a controller's probe or commands.
+// handle answers a controller's status request or executes its commands.
 func (a *Agent) handle(_ context.Context, req *wire.Request) wire.Response {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -316,7 +320,8 @@
 	return wire.Response{Status: wire.StatusOK, Body: a.nextHeartbeat()}
 }
 
-// signalChange makes the next heartbeat leave soon.
+// signalChange makes the agent send its next heartbeat after changeReportDelay, to report a change of its
+// tasks.
 func (a *Agent) signalChange() {
 	select {
 	case a.changes <- struct{}{}:
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -1,6 +1,7 @@
 package fake
 
-// The tasks on an agent's machine: commands start and halt them, and they end by themselves.
+// The tasks on an agent's machine: they are started and halted by commands, and exit at the end of their
+// runtime.
 
 import (
 	"time"
@@ -9,21 +10,22 @@
 	"tulipshelf/internal/job"
 )
 
-// FailingClass is the class of jobs whose tasks fail on every machine.
+// FailingClass is the class of the jobs whose tasks fail as soon as they start, on every machine.
 const FailingClass = "mistaken"
 
-// serviceRuntime is the time after which a service ends by itself: longer than any test.
+// serviceRuntime is the runtime of a service's tasks, longer than any test runs.
 const serviceRuntime = 1000 * time.Hour
 
-// machineTask is one attempt on a machine, guarded by the machine's lock.
+// machineTask is an attempt of a task on a machine. Agent.mu guards its fields.
 type machineTask struct {
 	status agent.TaskStatus
 	cause  agent.ExitCause
-	end    *time.Timer // ends the task by itself
-	member *gangMember // nil: it belongs to no gang
+	end    *time.Timer // timer of the runtime or, for a gang's task, of Gangs.wait; nil if it failed to start
+	member *gangMember // nil if the task does not belong to a gang
 }
 
-// execute carries out commands in their order. The caller holds mu.
+// execute executes commands in order and ignores those that do not apply to the attempt's status. The
+// caller holds mu.
 func (a *Agent) execute(commands []agent.Command) {
 	for _, command := range commands {
 		attempt := job.AttemptID{Task: command.Task, Number: command.Attempt}
@@ -40,8 +42,8 @@
 	}
 }
 
-// haltTask stops a task, unless it belongs to a gang that saves a checkpoint in the grace period. The
-// caller holds mu.
+// haltTask stops a task. If its gang can save a checkpoint within the grace period, the task stays on
+// the machine while the checkpoint is saved. A nil grace period means 0. The caller holds mu.
 func (a *Agent) haltTask(attempt job.AttemptID, task *machineTask, gracePeriodS *float64) {
 	if task.member != nil {
 		gracePeriod := 0.0
@@ -58,14 +60,16 @@
 	a.exitTask(attempt, task, agent.CauseStopped)
 }
 
-// exitTask records that a task has exited. The caller holds mu.
+// exitTask marks a task as exited and reports this to the invariant checker. The caller holds mu.
 func (a *Agent) exitTask(attempt job.AttemptID, task *machineTask, cause agent.ExitCause) {
 	task.status, task.cause = agent.StatusExited, cause
 	a.cloud.invariants.taskEnded(attempt.Task, a.Name, cause == agent.CauseDone)
 	a.signalChange()
 }
 
-// startTask starts an attempt, or returns one that has exited at once. The caller holds mu.
+// startTask starts an attempt. The returned task has already exited if another attempt of the task is on
+// the machine, if the job's specification is unknown, or if FailTasks or FailingClass makes it fail. The
+// caller holds mu.
 func (a *Agent) startTask(attempt job.AttemptID) *machineTask {
 	for other, task := range a.tasks {
 		if other.Task == attempt.Task && task.status != agent.StatusExited {
@@ -101,7 +105,7 @@
 	return task
 }
 
-// killTasks kills and forgets all tasks. The caller holds mu.
+// killTasks kills and removes all tasks, so that heartbeats no longer list them. The caller holds mu.
 func (a *Agent) killTasks() {
 	for attempt, task := range a.tasks {
 		if task.status != agent.StatusExited {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,6 +1,6 @@
 package fake
 
-// The cloud: it rents machines, on each of which an agent runs, and takes them back.
+// The cloud: requests that list, rent and return machines. A worker agent runs on each machine.
 
 import (
 	"context"
@@ -15,44 +15,48 @@
 )
 
 const (
-	// cloudLatency is the time that each request takes.
+	// cloudLatency is the processing time of each request.
 	cloudLatency = 100 * time.Millisecond
-	// GangWait and GangNotice of the gangs on a cloud, as in the settings of the cluster tests.
+	// Gangs.wait and Gangs.notice of the gangs on a cloud. They equal GangWait and GangNotice in the
+	// settings of the cluster tests.
 	defaultGangWait   = 45 * time.Second
 	defaultGangNotice = 4 * time.Second
 )
 
-// Cloud rents machines of one type. Its exported fields may be changed before it serves, and by Change
-// afterwards.
+// Cloud rents out machines of one type. Its exported fields may be set directly before it serves
+// requests, and only through Change afterwards.
 type Cloud struct {
 	Type     cloud.Type
-	Capacity int           // machines in all
-	Lag      time.Duration // for which a list leaves out a machine that was just rented
-	Gangs    *Gangs        // that run on its machines
+	Capacity int           // maximum number of machines that are rented at the same time
+	Lag      time.Duration // time after the rental during which lists omit a machine
+	Gangs    *Gangs        // gangs on the machines of the cloud
 
 	network         *Network
 	invariants      *InvariantChecker
 	controllerNames []string
-	controllerAddrs []string // to which agents send heartbeats, in the order of the names
+	controllerAddrs []string // destinations of heartbeats, in the order of controllerNames
 	lease           time.Duration
 
-	mu          sync.Mutex // guards all below, and the exported fields
-	machines    map[string]*Agent
-	rentals     map[string][]string // names of machines, by the name of the request
-	nextMachine int
-	returned    []string
+	// mu guards the fields below and the exported fields, except Type.Name and Gangs, which agents read
+	// without it.
+	mu          sync.Mutex
+	machines    map[string]*Agent   // rented machines by name
+	rentals     map[string][]string // names of the rented machines, by name of the rent request
+	nextMachine int                 // number in the name of the machine that is rented next
+	returned    []string            // names of the returned machines, in the order of their return
 	faults      CloudFaults
 }
 
-// CloudFaults are the present faults of a cloud.
+// CloudFaults is the set of active faults of a cloud. The zero value means no fault.
 type CloudFaults struct {
-	// Down refuses all requests with status 503. It stands for an outage of the cloud's interface;
-	// machines run on.
+	// Down refuses all requests with status 503. It simulates an outage of the cloud's API; machines
+	// keep running.
 	Down bool
 }
 
-// NewCloud returns a cloud with so many machines of one type. Their agents hold a lease and send
-// heartbeats to the controllers that the names and addresses give.
+// NewCloud returns a cloud that rents out up to capacity machines of one type. Their agents send
+// heartbeats to the given controllers and kill their tasks when they get no response for the duration of
+// lease. controllerNames and controllerAddrs are in the same order.
 func NewCloud(network *Network, invariants *InvariantChecker, controllerNames, controllerAddrs []string, lease time.Duration,
 	machineType cloud.Type, capacity int) *Cloud {
 	return &Cloud{Type: machineType, Capacity: capacity, Gangs: newGangs(defaultGangWait, defaultGangNotice), network: network,
@@ -60,29 +64,29 @@
 		rentals: map[string][]string{}, machines: map[string]*Agent{}}
 }
 
-// Change changes the exported fields while the cloud serves.
+// Change calls change to modify the exported fields, with the lock of the cloud held.
 func (c *Cloud) Change(change func(*Cloud)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c)
 }
 
-// SetFaults replaces all faults.
+// SetFaults replaces all active faults of the cloud.
 func (c *Cloud) SetFaults(faults CloudFaults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = faults
 }
 
-// NumberMachinesFrom numbers the machines that are rented next from first on, as if the cloud had
-// rented the others before.
+// NumberMachinesFrom numbers the machines that are rented from now on from first upwards, as if those
+// with lower numbers had been rented before.
 func (c *Cloud) NumberMachinesFrom(first int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextMachine = first
 }
 
-// Machines returns the machines that are rented, by name.
+// Machines returns the rented machines, sorted by name.
 func (c *Cloud) Machines() []*Agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,14 +98,14 @@
 	return machines
 }
 
-// Returned returns the names of the machines that were returned, in that order.
+// Returned returns the names of the machines that were returned, in the order of their return.
 func (c *Cloud) Returned() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.returned...)
 }
 
-// Handle answers one request.
+// Handle answers a request to the cloud.
 func (c *Cloud) Handle(_ context.Context, req *wire.Request) wire.Response {
 	time.Sleep(cloudLatency)
 	c.mu.Lock()
@@ -122,8 +126,8 @@
 	return wire.Response{Status: wire.StatusBadRequest}
 }
 
-// list answers with a page of the machines, without those that were rented within Lag. The caller
-// holds mu.
+// list responds with a page of the machines, sorted by name, without those rented within the last Lag.
+// The caller holds mu.
 func (c *Cloud) list(query map[string]string) wire.Response {
 	var page []cloud.Machine
 	for _, machine := range c.machines {
@@ -143,7 +147,8 @@
 	return ok(map[string]any{"shelves": page[:min(limit, len(page))], "has_next": hasMore})
 }
 
-// rent rents machines, once for each name of a request, and boots them. The caller holds mu.
+// rent rents and boots machines up to the capacity. Spot instances are never available. A request that
+// repeats the name of an earlier successful one gets the machines of that one. The caller holds mu.
 func (c *Cloud) rent(body []byte) wire.Response {
 	var rental cloud.Rental
 	if wire.Unmarshal(body, &rental) != nil || rental.Count > cloud.MaxRent {
@@ -169,7 +174,8 @@
 	return ok(map[string]any{"shelves": names})
 }
 
-// returnMachines ends machines at once. The caller holds mu.
+// returnMachines terminates machines immediately and ignores names that are not rented. The caller holds
+// mu.
 func (c *Cloud) returnMachines(body []byte) wire.Response {
 	var request struct {
 		Names []string `cbor:"shelves"`
--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -1,6 +1,7 @@
 package fake
 
-// Gangs: tasks on several machines that run, save and complete together, by the platform's rules.
+// Gangs: tasks on several machines that run, save checkpoints and complete together, by the platform's
+// rules.
 
 import (
 	"math"
@@ -11,68 +12,71 @@
 	"tulipshelf/internal/job"
 )
 
-// Gangs runs the gangs on the machines of a cloud. The tasks of an attempt wait for each other, run and
-// complete together, notice when one of them is gone, and save a checkpoint together or not at all.
+// Gangs runs the gangs on the machines of a cloud. The members of an attempt wait until all have started,
+// run and complete together, exit when one of them is gone, and save a checkpoint together or not at all.
 //
-// A method that an agent calls holds that agent's lock, so locks are taken in the order agent, Gangs,
-// InvariantChecker.
+// Locks are acquired in the order Agent.mu, Gangs.mu, InvariantChecker.mu, because an agent holds its lock
+// while it calls a method of Gangs.
 type Gangs struct {
-	wait   time.Duration // for which a task waits for the others of its attempt
-	notice time.Duration // within which tasks notice that one is gone, and all must be halted to save
+	wait time.Duration // maximum time that a member waits for the others of its attempt to start
+	// notice is the time after which members detect that another one is gone. It is also the time, from
+	// the first halted member on, within which all must be halted for a checkpoint.
+	notice time.Duration
 
-	mu     sync.Mutex // guards all below, and gangJob, gangAttempt and gangMember
+	mu     sync.Mutex // guards the fields below and those of gangJob, gangAttempt and gangMember
 	jobs   map[string]*gangJob
 	counts GangCounts
 }
 
-// GangCounts is what has happened to gangs so far.
+// GangCounts counts events of all gangs since the start.
 type GangCounts struct {
-	Began        int // attempts that began to run
+	Began        int // attempts whose members all started
 	Done         int // attempts that completed
-	Checkpointed int // attempts that saved and stopped
-	MembersGone  int // tasks that ended because another one of their attempt was gone
-	Incomplete   int // tasks that gave up waiting for the others
+	Checkpointed int // attempts that saved a checkpoint and stopped
+	MembersGone  int // tasks that exited because another member of their attempt was gone
+	Incomplete   int // tasks that exited because not all members started within Gangs.wait
 }
 
-// gangJob is one gang over all its attempts.
+// gangJob is a gang with all its attempts.
 type gangJob struct {
 	spec     *job.Spec
-	progress time.Duration // that the next attempt continues from
+	progress time.Duration // saved runtime, from which the next attempt continues
 	attempts map[uint64]*gangAttempt
 }
 
-// gangAttempt is one attempt of a gang.
+// gangAttempt is an attempt to run a gang.
 type gangAttempt struct {
 	job        *gangJob
 	members    map[string]*gangMember // by task
-	beganAt    time.Time              // zero: tasks wait for each other
-	haltedAt   time.Time              // when the first task was halted to save; zero: none was
+	beganAt    time.Time              // time at which all members had started; zero: some are missing
+	haltedAt   time.Time              // time at which the first member was halted to checkpoint; zero: none was
 	ended      bool
-	rolledBack bool // the job's progress is that of the last checkpoint
+	rolledBack bool // whether the job's progress was reset to the last checkpoint
 }
 
-// gangMember is one task of an attempt on its machine.
+// gangMember is a task of an attempt on its machine.
 type gangMember struct {
 	machine       *Agent
-	task          *machineTask // guarded by the machine's lock
+	task          *machineTask // guarded by Agent.mu of the machine
 	id            job.AttemptID
 	attempt       *gangAttempt
-	checkpointing bool // it was halted and saves
-	absent        bool // it is gone, or its machine hangs
+	checkpointing bool // whether the member was halted and takes part in a checkpoint
+	absent        bool // whether the member is gone or its machine hangs
 }
 
 func newGangs(wait, notice time.Duration) *Gangs {
 	return &Gangs{wait: wait, notice: notice, jobs: map[string]*gangJob{}}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the counts of events so far.
 func (g *Gangs) Counts() GangCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-// Progress returns the saved progress that a gang's next attempt continues from.
+// Progress returns the saved runtime from which a gang's next attempt continues. It is 0 for an unknown
+// job.
 func (g *Gangs) Progress(jobID string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,8 +86,8 @@
 	return 0
 }
 
-// join adds a task that waits to its attempt, and begins the attempt if it is the last. The caller holds
-// the machine's lock.
+// join adds a waiting task to its attempt and begins the attempt once all members have joined. The caller
+// holds the machine's lock.
 func (g *Gangs) join(spec *job.Spec, machine *Agent, id job.AttemptID, task *machineTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,12 +110,12 @@
 	}
 }
 
-// begin lets all tasks of an attempt run, for what is left of the job's runtime. The caller holds mu.
+// begin sets all tasks of an attempt running, for the rest of the job's runtime. The caller holds mu.
 func (g *Gangs) begin(attempt *gangAttempt) {
 	attempt.beganAt = time.Now()
 	g.counts.Began++
 	for _, member := range attempt.members {
-		go func() { // later, as the caller holds another machine's lock
+		go func() { // in a goroutine, as the caller holds the lock of one of the machines
 			member.machine.mu.Lock()
 			defer member.machine.mu.Unlock()
 			if member.task.status == agent.StatusWaiting {
@@ -125,7 +129,8 @@
 	time.AfterFunc(left, func() { g.complete(attempt) })
 }
 
-// complete ends an attempt whose runtime is over, unless it was stopped or a task is missing.
+// complete completes an attempt at the end of its runtime, unless it has ended, one of its members was
+// halted, or one is absent.
 func (g *Gangs) complete(attempt *gangAttempt) {
 	g.mu.Lock()
 	if attempt.ended || !attempt.haltedAt.IsZero() || attempt.hasAbsentMember() {
@@ -138,7 +143,7 @@
 	g.exitAll(attempt, agent.CauseDone)
 }
 
-// hasAbsentMember reports whether a task is gone or its machine hangs. The caller holds mu.
+// hasAbsentMember reports whether a member is gone or its machine hangs. The caller holds Gangs.mu.
 func (a *gangAttempt) hasAbsentMember() bool {
 	for _, member := range a.members {
 		if member.absent {
@@ -148,14 +153,16 @@
 	return false
 }
 
-// exitAll ends all tasks of an attempt that is over. The caller holds no lock.
+// exitAll makes all tasks of an ended attempt exit. The caller holds no lock.
 func (g *Gangs) exitAll(attempt *gangAttempt, cause agent.ExitCause) {
 	for _, member := range attempt.members {
 		g.exit(member, cause)
 	}
 }
 
-// exit ends a task on its machine; on one that hangs, once it goes on. The caller holds no lock.
+// exit makes a task exit, on a hung machine only after the machine has resumed. It does nothing if the
+// task has exited or was killed, or if cause is CauseIncomplete and the task no longer waits. The caller
+// holds no lock.
 func (g *Gangs) exit(member *gangMember, cause agent.ExitCause) {
 	machine, task := member.machine, member.task
 	machine.mu.Lock()
@@ -176,7 +183,8 @@
 	machine.exitTask(member.id, task, cause)
 }
 
-// countExit counts a task that ends, and removes it from an attempt that has not begun.
+// countExit counts the exit of a task by its cause, and removes the task from an attempt that has not
+// begun.
 func (g *Gangs) countExit(member *gangMember, cause agent.ExitCause) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -191,8 +199,11 @@
 	}
 }
 
-// memberHalted is called when a task is halted. The task saves first, and its status says so, if
-// the grace period allows it and the gang can save whole. The caller holds the machine's lock.
+// memberHalted handles the halt of a task with a grace period in seconds, 0 if the task must stop at once.
+// Before the attempt has begun, it removes the task from the attempt. Afterwards it sets a running task to
+// StatusCheckpointing if the job takes checkpoints, the grace period is at least SaveS and no member is
+// absent; otherwise the member counts as gone. It ignores halts after the end of the attempt and repeated
+// halts with a grace period. The caller holds the machine's lock.
 func (g *Gangs) memberHalted(member *gangMember, gracePeriodS float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,7 +229,7 @@
 	g.memberGone(member)
 }
 
-// memberKilled is called when a task is killed with all others on its machine. The caller holds the
+// memberKilled handles the kill of a task together with all others on its machine. The caller holds the
 // machine's lock.
 func (g *Gangs) memberKilled(member *gangMember) {
 	g.mu.Lock()
@@ -232,14 +243,15 @@
 	}
 }
 
-// memberGone makes the other tasks notice that one is gone. The caller holds mu.
+// memberGone marks a member as absent, rolls the gang back to its last checkpoint and makes the attempt
+// fail after Gangs.notice. The caller holds mu.
 func (g *Gangs) memberGone(member *gangMember) {
 	member.absent = true
 	member.attempt.rollBack()
 	time.AfterFunc(g.notice, func() { g.fail(member.attempt) })
 }
 
-// memberHung is called when a task's machine hangs or goes on. The caller holds the machine's lock.
+// memberHung handles that a task's machine has hung or resumed. The caller holds the machine's lock.
 func (g *Gangs) memberHung(member *gangMember, hung bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,7 +261,8 @@
 	}
 }
 
-// rollBack returns the gang to its last checkpoint, once in an attempt. The caller holds Gangs.mu.
+// rollBack sets the gang's progress back to the last checkpoint, at most once per attempt. The caller
+// holds Gangs.mu.
 func (a *gangAttempt) rollBack() {
 	if a.rolledBack {
 		return
@@ -261,7 +274,8 @@
 	}
 }
 
-// checkpoint saves and stops an attempt if all of its tasks were halted in time; otherwise it fails.
+// checkpoint saves a checkpoint and stops an attempt if all its members were halted within Gangs.notice
+// and none is absent; otherwise the attempt fails.
 func (g *Gangs) checkpoint(attempt *gangAttempt) {
 	g.mu.Lock()
 	if attempt.ended {
@@ -285,8 +299,9 @@
 	g.exitAll(attempt, agent.CauseStopped)
 }
 
-// fail ends an attempt of which a task is gone, or that could not save whole: the others notice, and the
-// gang returns to its last checkpoint. A machine that hung and went on in time fails nothing.
+// fail ends an attempt that has an absent member or whose checkpoint failed. Its tasks exit with
+// CauseMembersGone, and the gang is rolled back to its last checkpoint. A machine that hung but
+// resumed within Gangs.notice does not make the attempt fail, unless a member was halted to checkpoint.
 func (g *Gangs) fail(attempt *gangAttempt) {
 	g.mu.Lock()
 	if attempt.ended || !attempt.hasAbsentMember() && attempt.haltedAt.IsZero() {
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -1,7 +1,7 @@
 package fake
 
-// The checker of the rules that no controller may break, whatever fails. Agents report to it which
-// tasks start and end; docs/safety.md lists the rules.
+// The checker of the invariants, the rules that no controller may break under any fault. Agents report
+// the starts and ends of tasks to it; docs/safety.md lists the rules.
 
 import (
 	"fmt"
@@ -13,53 +13,53 @@
 	"tulipshelf/internal/job"
 )
 
-// InvariantChecker records violations of the rules. It also keeps the jobs' specifications, which
-// agents look up as real ones do at the place where users upload them.
+// InvariantChecker records violations of the rules. It also stores the specifications of jobs. Agents look
+// them up in it, as real agents do in the storage to which users upload them.
 type InvariantChecker struct {
-	// CancelDeadline is the time in which all tasks of a cancelled job must be gone; 0: not checked.
-	// It is set before the first use.
+	// CancelDeadline is the time from the confirmation of a job's cancellation until all its tasks must be
+	// gone; 0 disables the check. It must be set before the first use.
 	CancelDeadline time.Duration
 
-	mu                      sync.Mutex         // guards all below
-	maxCPUs                 map[string]float64 // by team; others may use any number
+	mu                      sync.Mutex         // guards the fields below
+	maxCPUs                 map[string]float64 // by team; teams without an entry have no maximum
 	jobs                    map[string]*job.Spec
 	running                 map[string]placement // by task
-	cancelled               map[string]time.Time // when the cancellation was first confirmed, by job
-	lastZone                map[string]string    // where each task started last
-	starts                  map[string]int       // by task
+	cancelled               map[string]time.Time // time of the first confirmed cancellation, by job
+	lastZone                map[string]string    // zone of the latest start, by task
+	starts                  map[string]int       // number of starts, by task
 	completed               map[string]bool      // by task
-	startsAfterCancellation int                  // starts after a confirmed cancellation
+	startsAfterCancellation int                  // number of starts after a confirmed cancellation
 	violations              []string
 }
 
-// placement is where a task runs, in which attempt.
+// placement is the machine, zone and attempt number of a running task.
 type placement struct {
 	machine, zone string
 	attempt       uint64
 }
 
-// NewInvariantChecker returns a checker that has seen nothing.
+// NewInvariantChecker returns a checker without jobs, maximums and violations.
 func NewInvariantChecker() *InvariantChecker {
 	return &InvariantChecker{maxCPUs: map[string]float64{}, jobs: map[string]*job.Spec{}, running: map[string]placement{},
 		cancelled: map[string]time.Time{}, lastZone: map[string]string{}, starts: map[string]int{}, completed: map[string]bool{}}
 }
 
-// SetMaxCPUs sets how many CPUs a team may use at once.
+// SetMaxCPUs sets the maximum number of CPUs that the running tasks of a team may use together.
 func (c *InvariantChecker) SetMaxCPUs(team string, cpus float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxCPUs[team] = cpus
 }
 
-// AddJob uploads a job's specification, as users do before they submit it.
+// AddJob stores a job's specification, as users upload it before they submit the job.
 func (c *InvariantChecker) AddJob(spec *job.Spec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[spec.ID] = spec
 }
 
-// CancellationConfirmed records that the cancellation of a job was confirmed to a user. From the first
-// time on its tasks have CancelDeadline to be gone.
+// CancellationConfirmed records that the cancellation of a job was confirmed to a user. All its tasks must
+// be gone CancelDeadline after the first confirmation.
 func (c *InvariantChecker) CancellationConfirmed(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// checkCancelledTasksGone checks that no task of a cancelled job is left.
+// checkCancelledTasksGone records a violation for each task of a cancelled job that is still on a machine.
 func (c *InvariantChecker) checkCancelledTasksGone(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,14 +83,14 @@
 	}
 }
 
-// Violations returns what has broken a rule so far.
+// Violations returns a message for each violation so far.
 func (c *InvariantChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// StartsAfterCancellation returns how many tasks were started after the cancellation of their job was
+// StartsAfterCancellation returns the number of starts of tasks after the cancellation of their job was
 // confirmed.
 func (c *InvariantChecker) StartsAfterCancellation() int {
 	c.mu.Lock()
@@ -98,14 +98,14 @@
 	return c.startsAfterCancellation
 }
 
-// RunningTasks returns how many tasks are on machines.
+// RunningTasks returns the number of tasks on all machines.
 func (c *InvariantChecker) RunningTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running)
 }
 
-// RunningTasksOf returns how many tasks of a job are on machines.
+// RunningTasksOf returns the number of tasks of a job on all machines.
 func (c *InvariantChecker) RunningTasksOf(id string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 	return count
 }
 
-// Zones returns the zone in which each task started last.
+// Zones returns the zone of the latest start of each task, by task.
 func (c *InvariantChecker) Zones() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,15 +131,15 @@
 	return c.completed[task]
 }
 
-// StartsByTask returns how often each task has started so far.
+// StartsByTask returns the number of starts of each task so far, by task.
 func (c *InvariantChecker) StartsByTask() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.starts)
 }
 
-// taskStarted checks and records the start of a task. It returns the specification of the job; nil if
-// there is none, and then nothing starts.
+// taskStarted checks and records the start of a task, and returns the specification of its job. For an
+// unknown job it records nothing and returns nil, and the caller must not start the task.
 func (c *InvariantChecker) taskStarted(task string, at placement) *job.Spec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,8 +164,8 @@
 	return spec
 }
 
-// checkPlacement checks the team's maximum and the job's rules on zones and attempts as a task starts.
-// The caller holds mu.
+// checkPlacement checks the start of a task against the maximum of CPUs of its team and the rules of its
+// job on zones and attempts. The task is already in running. The caller holds mu.
 func (c *InvariantChecker) checkPlacement(task string, spec *job.Spec, at placement) {
 	usedCPUs, tasksInZone := 0.0, 0
 	for other, otherAt := range c.running {
@@ -181,7 +181,7 @@
 		}
 		c.checkTaskPair(spec, task, at, other, otherAt)
 	}
-	const roundingTolerance = 1e-6 // of sums of CPUs
+	const roundingTolerance = 1e-6 // CPUs; tolerance for rounding errors in the sum
 	if maximum, isLimited := c.maxCPUs[spec.Team]; isLimited && usedCPUs > maximum+roundingTolerance {
 		c.addViolation("%s starts and %s uses %g of %g CPUs", task, spec.Team, usedCPUs, maximum)
 	}
@@ -193,8 +193,8 @@
 	}
 }
 
-// checkTaskPair checks what a job demands of a task that starts and another that runs. The caller
-// holds mu.
+// checkTaskPair checks a task that starts against a running task of the same job: the tasks of a gang must
+// be of one attempt, and those of a job with OneZone in one zone. The caller holds mu.
 func (c *InvariantChecker) checkTaskPair(spec *job.Spec, task string, at placement, other string, otherAt placement) {
 	if spec.Shape == job.Gang && otherAt.attempt != at.attempt {
 		c.addViolation("%s starts in attempt %d while %s is on in attempt %d", task, at.attempt, other, otherAt.attempt)
@@ -204,7 +204,7 @@
 	}
 }
 
-// taskEnded records that a task is no longer on a machine, and whether it has completed.
+// taskEnded records that a task is no longer on a machine. A task that has completed once stays completed.
 func (c *InvariantChecker) taskEnded(task, machine string, completed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,7 +219,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// jobOf returns the id of the job that a task belongs to.
+// jobOf returns the ID of the job to which a task belongs.
 func jobOf(task string) string {
 	id, _, _ := job.ParseTaskName(task)
 	return id
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,6 +1,6 @@
 package fake
 
-// The network in memory: servers by address, and faults between pairs of hosts.
+// The in-memory network: servers by address, and faults between pairs of hosts.
 
 import (
 	"context"
@@ -15,45 +15,45 @@
 
 // Network connects clients to servers by address.
 type Network struct {
-	ctx context.Context // ends all connections
+	ctx context.Context // all connections are closed when it ends
 
-	mu          sync.Mutex // guards all below
-	servers     map[string]wire.Handler
-	connections map[net.Conn]endpoints // by the client's side
+	mu          sync.Mutex              // guards the fields below
+	servers     map[string]wire.Handler // by address
+	connections map[net.Conn]endpoints  // by the client's side of the connection
 	faults      NetworkFaults
-	requests    map[string]int // so far, by server
+	requests    map[string]int // number of requests received, by address of the server
 }
 
-// endpoints are the two hosts of a connection.
+// endpoints holds the client host and the server address of a connection.
 type endpoints struct{ from, to string }
 
-// NetworkFaults are the present faults of a network. Functions get the host that sends a request and the
-// address that it is sent to; nil means no such fault.
+// NetworkFaults is the set of active faults of a network. The functions are called with the host that sends
+// a request and the address to which it is sent; a nil function means that the fault is not active.
 type NetworkFaults struct {
-	// Partition separates hosts: new connections hang, and open ones are closed. It stands for a
-	// network partition, also one that is asymmetric or concerns a single pair of hosts.
+	// Partition separates hosts: new connections hang, and open ones are closed. It simulates a network
+	// partition, which may be asymmetric or affect a single pair of hosts.
 	Partition func(from, to string) bool
-	// RequestDelay lets a request arrive so much later, also when its sender has given up. It stands
-	// for congestion and for queues in front of a server.
+	// RequestDelay delays the processing of a request, which is processed even if its sender has timed out
+	// meanwhile. It simulates congestion and queues in front of a server.
 	RequestDelay func(from, to string) time.Duration
-	// ResponseDelay lets the response to a request leave so much later.
+	// ResponseDelay delays the response to a request.
 	ResponseDelay func(from, to string) time.Duration
-	// DuplicateAfter delivers each request again after each of these times, without anybody waiting
-	// for the response. It stands for retransmissions and for proxies that retry.
+	// DuplicateAfter delivers each request again after each of these times and discards the responses to
+	// the duplicates. It simulates retransmissions and proxies that retry.
 	DuplicateAfter []time.Duration
 }
 
-// NewNetwork returns a network without servers that lasts until ctx ends.
+// NewNetwork returns a network without servers, whose connections are closed when ctx ends.
 func NewNetwork(ctx context.Context) *Network {
 	return &Network{ctx: ctx, servers: map[string]wire.Handler{}, connections: map[net.Conn]endpoints{}, requests: map[string]int{}}
 }
 
-// SetFaults replaces all faults.
+// SetFaults replaces all active faults of the network.
 func (n *Network) SetFaults(faults NetworkFaults) {
 	n.UpdateFaults(func(f *NetworkFaults) { *f = faults })
 }
 
-// UpdateFaults changes some of the faults.
+// UpdateFaults changes some of the active faults of the network and leaves the others.
 func (n *Network) UpdateFaults(change func(*NetworkFaults)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,12 +65,12 @@
 	}
 }
 
-// partitioned reports whether two hosts are separated. The caller holds mu.
+// partitioned reports whether Partition separates from and to. The caller holds mu.
 func (n *Network) partitioned(from, to string) bool {
 	return n.faults.Partition != nil && n.faults.Partition(from, to)
 }
 
-// Serve answers requests to addr until ctx ends, and then closes the connections to it.
+// Serve passes requests to addr to handler until ctx ends, and then closes the connections to addr.
 func (n *Network) Serve(ctx context.Context, addr string, handler wire.Handler) {
 	n.mu.Lock()
 	n.servers[addr] = handler
@@ -86,21 +86,22 @@
 	}
 }
 
-// RequestsTo returns how many requests a server has had.
+// RequestsTo returns the number of requests that the server at addr has received.
 func (n *Network) RequestsTo(addr string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.requests[addr]
 }
 
-// Requests returns how many requests each server has had, by address.
+// Requests returns the number of requests that each server has received, by address.
 func (n *Network) Requests() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.requests)
 }
 
-// Dial returns the dial function of the host from.
+// Dial returns a function that dials addresses from the host from. If the two are partitioned at the time
+// of the call, it blocks until its context ends. For an address without a server it returns an error.
 func (n *Network) Dial(from string) wire.DialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		n.mu.Lock()
@@ -130,7 +131,7 @@
 	network *Network
 }
 
-// Close removes the connection from its network and closes it.
+// Close closes the connection and removes it from its network.
 func (c *connection) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.connections, c.Conn)
@@ -138,16 +139,17 @@
 	return c.Conn.Close()
 }
 
-// Statuses by which a fake's handler has no response sent.
+// Statuses with which a handler of a fake suppresses the response.
 const (
-	statusDropConnection = -1 // the connection ends at once
-	statusNoResponse     = -2 // it ends after the client has given up
+	statusDropConnection = -1 // the connection is closed at once
+	statusNoResponse     = -2 // the connection is closed after noResponseDelay
 )
 
-// noResponseDelay is longer than any client waits for a response.
+// noResponseDelay is the delay before a connection without a response is closed. It is longer than any
+// client waits for a response.
 const noResponseDelay = 10 * time.Second
 
-// serveConnection answers the requests on one connection, one after the other.
+// serveConnection answers the requests on a connection sequentially.
 func (n *Network) serveConnection(ends endpoints, server net.Conn, handler wire.Handler) {
 	defer server.Close()
 	ctx, cancel := context.WithCancel(n.ctx)
@@ -182,7 +184,7 @@
 	}
 }
 
-// handle carries out one request, with the delays that hold as it arrives.
+// handle passes a request to handler, with the delays that are active when the request arrives.
 func (n *Network) handle(ctx context.Context, ends endpoints, req *wire.Request, handler wire.Handler) wire.Response {
 	n.countAndDuplicate(ends.to, *req)
 	n.mu.Lock()
@@ -198,8 +200,8 @@
 	return resp
 }
 
-// countAndDuplicate counts a request and schedules its duplicates, which go to whatever serves the
-// address by then.
+// countAndDuplicate counts a request and schedules its duplicates. A duplicate goes to the handler that
+// serves the address at the time of its delivery, and is dropped if there is none.
 func (n *Network) countAndDuplicate(addr string, req wire.Request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,7 +1,7 @@
 package fake
 
-// The key-value store: revisions, transactions on conditions, leases and watches. Its faults and limits
-// are in store_faults.go.
+// The key-value store: revisions, conditional transactions, leases and watches. Its faults and limits are
+// in store_faults.go.
 
 import (
 	"context"
@@ -19,47 +19,47 @@
 )
 
 const (
-	// storeLatency is the time that each request takes.
+	// storeLatency is the processing time of each request.
 	storeLatency = 5 * time.Millisecond
-	// maxRetainedEvents is how many changes the store keeps for watches.
+	// maxRetainedEvents is the number of latest changes that the store retains for watches.
 	maxRetainedEvents = 10_000
-	// A page of a listing has at most so many keys, and values of so many bytes.
+	// Limits of a page of a listing: the number of keys, and the sum of the sizes of the values.
 	maxPageKeys  = 1000
 	maxPageBytes = 512 << 10
 )
 
-// Store is a key-value store.
+// Store is an in-memory key-value store with leases and watches.
 type Store struct {
-	mu                sync.Mutex // guards all below
-	rev               uint64
+	mu                sync.Mutex // guards the fields below
+	rev               uint64     // current revision; 1 for a new store
 	keys              map[string]entry
-	events            []kvstore.Event // the last maxRetainedEvents
-	compactedRevision uint64          // revision of the last change that is no longer kept
+	events            []kvstore.Event // latest changes, at most maxRetainedEvents, oldest first
+	compactedRevision uint64          // revision of the latest change no longer in events; 0: none was removed
 	changed           chan struct{}   // closed and replaced at each change
 	leases            map[uint64]*lease
 	lastLease         uint64
 	faults            StoreFaults
-	random            *rand.Rand   // decides which responses are lost
-	held              []func()     // apply the transactions that are held back
-	limits            *StoreLimits // nil: none
+	random            *rand.Rand   // selects the responses that LoseOneResponseIn loses
+	held              []func()     // functions that apply the transactions held back by HoldNext
+	limits            *StoreLimits // nil: no limits
 	writes            *rate.Limiter
 	refusals          StoreRefusals
 	counts            storeCounts
 }
 
-// storeCounts counts what came so far.
+// storeCounts counts requests since the start.
 type storeCounts struct {
 	requests       int
-	transactions   int            // within the limits
+	transactions   int            // transactions that did not exceed the limits
 	unacknowledged int            // transactions without a response
-	mutations      map[string]int // that transactions asked for, by key
+	mutations      map[string]int // mutations by key, also of transactions whose compares failed
 }
 
 // entry is a stored value.
 type entry struct {
 	value wire.Raw
 	rev   uint64
-	lease uint64 // 0: none
+	lease uint64 // ID of the lease with which the key is deleted; 0: none
 }
 
 // lease is a lease that has not expired.
@@ -72,10 +72,11 @@
 func NewStore() *Store {
 	return &Store{keys: map[string]entry{}, changed: make(chan struct{}), leases: map[uint64]*lease{}, rev: 1,
 		counts: storeCounts{mutations: map[string]int{}},
-		random: rand.New(rand.NewPCG(7, 11))} // any fixed seed
+		random: rand.New(rand.NewPCG(7, 11))} // arbitrary fixed seed
 }
 
-// Put writes a key, as another client did before the test began.
+// Put writes a key without an event for watches, as if another client had written it before the test
+// began.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +84,8 @@
 	s.keys[key] = entry{value: value, rev: s.rev}
 }
 
-// Changes returns how many mutations of keys with a prefix transactions have asked for so far.
+// Changes returns the number of mutations of keys with a prefix in the transactions executed so far,
+// including those whose compares failed.
 func (s *Store) Changes(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,21 +97,21 @@
 	return count
 }
 
-// Requests returns how many requests there were so far.
+// Requests returns the number of requests received so far.
 func (s *Store) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts.requests
 }
 
-// Keys returns the keys with a prefix, in order.
+// Keys returns the keys with a prefix in ascending order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sortedKeys(prefix)
 }
 
-// sortedKeys does so for a caller that holds mu.
+// sortedKeys returns the keys with a prefix in ascending order. The caller holds mu.
 func (s *Store) sortedKeys(prefix string) []string {
 	var keys []string
 	for key := range s.keys {
@@ -121,7 +123,7 @@
 	return keys
 }
 
-// Handle answers one request.
+// Handle answers a request to the store.
 func (s *Store) Handle(ctx context.Context, req *wire.Request) wire.Response {
 	s.mu.Lock()
 	s.counts.requests++
@@ -157,10 +159,10 @@
 	return wire.Response{Status: wire.StatusBadRequest}
 }
 
-// ok answers with a value.
+// ok returns a response with status OK and a value as its body.
 func ok(v any) wire.Response { return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(v)} }
 
-// parseQuery returns the parameters of a request by name.
+// parseQuery returns the parameters of a query string by name.
 func parseQuery(text string) map[string]string {
 	parameters := map[string]string{}
 	for _, part := range strings.Split(text, "&") {
@@ -170,7 +172,7 @@
 	return parameters
 }
 
-// list answers with a page of the keys with a prefix. The caller holds mu.
+// list responds with a page of the keys that have a prefix and follow a key. The caller holds mu.
 func (s *Store) list(query map[string]string) wire.Response {
 	limit, _ := strconv.Atoi(query["limit"])
 	page, size := kvstore.Page{Revision: s.rev}, 0
@@ -188,7 +190,7 @@
 	return ok(page)
 }
 
-// get answers with a key's value. The caller holds mu.
+// get responds with the value and revision of a key. The caller holds mu.
 func (s *Store) get(key string) wire.Response {
 	stored, found := s.keys[key]
 	if !found {
@@ -197,7 +199,7 @@
 	return ok(kvstore.Item{Key: key, Value: stored.value, Revision: stored.rev})
 }
 
-// grantLease answers with a new lease. The caller holds mu.
+// grantLease creates a lease with the requested time to live and responds with its ID. The caller holds mu.
 func (s *Store) grantLease(body []byte) wire.Response {
 	var request struct {
 		TTL int64 `cbor:"ttl_ms"`
@@ -215,7 +217,7 @@
 	return ok(map[string]uint64{"hold": id})
 }
 
-// extendLease renews a lease for its full time. The caller holds mu.
+// extendLease renews a lease for its full time to live. The caller holds mu.
 func (s *Store) extendLease(id uint64) wire.Response {
 	l := s.leases[id]
 	if l == nil {
@@ -225,7 +227,7 @@
 	return ok(map[string]uint64{"hold": id})
 }
 
-// revokeLease ends a lease at once. The caller holds mu.
+// revokeLease ends a lease before it expires. The caller holds mu.
 func (s *Store) revokeLease(id uint64) wire.Response {
 	if s.leases[id] == nil {
 		return wire.Response{Status: wire.StatusNotFound}
@@ -234,7 +236,7 @@
 	return ok(map[string]uint64{"hold": id})
 }
 
-// endLease removes a lease with its keys; in an outage it stays. The caller holds mu.
+// endLease removes a lease and deletes its keys. During an outage it does nothing. The caller holds mu.
 func (s *Store) endLease(id uint64) {
 	l := s.leases[id]
 	if l == nil || s.faults.Down {
@@ -251,7 +253,8 @@
 	}
 }
 
-// transact carries out a transaction if its conditions hold. The caller holds mu.
+// transact applies a transaction if all its compares succeed, and otherwise responds with the keys whose
+// compares failed. The caller holds mu.
 func (s *Store) transact(body []byte) wire.Response {
 	var transaction struct {
 		Compares  []kvstore.Compare  `cbor:"when"`
@@ -289,7 +292,7 @@
 	return ok(map[string]uint64{"epoch": s.rev})
 }
 
-// mutate puts or deletes one key at the present revision. The caller holds mu.
+// mutate puts or deletes one key at the current revision. The caller holds mu.
 func (s *Store) mutate(mutation kvstore.Mutation) {
 	if mutation.Put != "" {
 		s.keys[mutation.Put] = entry{mutation.Value, s.rev, mutation.Lease}
@@ -300,7 +303,7 @@
 	}
 }
 
-// addEvent keeps a change for watches and wakes those that wait. The caller holds mu.
+// addEvent adds a change to events and wakes the open watches. The caller holds mu.
 func (s *Store) addEvent(event kvstore.Event) {
 	s.events = append(s.events, event)
 	for len(s.events) > maxRetainedEvents {
@@ -310,19 +313,21 @@
 	s.changed = make(chan struct{})
 }
 
-// watch answers with the changes of keys with a prefix after a revision, as soon as there are any, or
-// with none after a time.
+// watch responds with the changes of keys with a prefix after a revision. It waits for the first change
+// for at most wait_ms milliseconds and then responds with none. It responds with StatusGone if changes
+// after the revision are no longer retained. The caller does not hold mu.
 func (s *Store) watch(ctx context.Context, query map[string]string) wire.Response {
 	after, _ := strconv.ParseUint(query["after"], 10, 64)
 	waitMS, _ := strconv.Atoi(query["wait_ms"])
-	// Not a timer's channel, on which a change may come at the very end (see the package).
+	// A context, not a timer: a change may arrive just as the time ends, and the loop would then wait on the
+	// channel of an expired timer (see the package comment).
 	waitCtx, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
 	defer cancel()
 	for isOpen := false; ; isOpen = true {
 		s.mu.Lock()
 		if s.faults.Down && !isOpen {
 			s.mu.Unlock()
-			return wire.Response{Status: wire.StatusServiceUnavailable} // only watches that are open stay open
+			return wire.Response{Status: wire.StatusServiceUnavailable} // an outage refuses only new watches
 		}
 		if s.compactedRevision > after {
 			s.mu.Unlock()
@@ -346,7 +351,7 @@
 	}
 }
 
-// changesAfter returns the changes of keys with a prefix after a revision. The caller holds mu.
+// changesAfter returns the retained changes of keys with a prefix after a revision. The caller holds mu.
 func (s *Store) changesAfter(revision uint64, prefix string) (found []kvstore.Event) {
 	for _, event := range s.events {
 		if event.Revision > revision && strings.HasPrefix(event.Put+event.Delete, prefix) {
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -15,43 +15,46 @@
 	"tulipshelf/internal/wire"
 )
 
-// StoreFaults are the present faults of a store. Transactions are counted as they come, by all clients.
+// StoreFaults is the set of active faults of a store. The zero value means no fault. Faults that affect a
+// number of transactions count those of all clients, in the order of their arrival.
 type StoreFaults struct {
-	// Down refuses all requests with status 503, but for watches that are open, which stay so. It
-	// stands for a store without a quorum. Leases do not expire meanwhile, and have their full time
-	// afterwards.
+	// Down refuses all requests with status 503, except that open watches stay open. It simulates a store
+	// without a quorum. Leases do not expire during the outage and get their full time to live after it.
 	Down bool
-	// DownAfterPrefix begins an outage after the next transaction, still answered, that changes a key
-	// with this prefix; "": none.
+	// DownAfterPrefix sets Down after the next successful transaction that changes a key with this prefix.
+	// That transaction still gets its response. "" disables the fault.
 	DownAfterPrefix string
-	// Delay lets every request take so much longer. It stands for a slow disk or an overloaded store.
+	// Delay is added to the processing time of each request. It simulates a slow disk or an overloaded
+	// store.
 	Delay time.Duration
-	// WatchDelay lets watches tell of changes so much later than the responses to the transactions that
-	// made them. Without it both are sent at one instant of simulated time, and which of them is read
-	// first is up to the scheduler of the Go runtime.
+	// WatchDelay delays the responses to watches relative to those to the transactions that made the
+	// changes. Without it both are sent at the same instant of simulated time, and the scheduler of the Go
+	// runtime determines which of them is read first.
 	WatchDelay time.Duration
-	// LoseNextResponses applies so many of the next transactions without a response. It stands for
-	// connections that break between commit and response.
+	// LoseNextResponses is the number of next transactions that are applied without a response. It
+	// simulates connections that break between commit and response.
 	LoseNextResponses int
-	// LoseOneResponseIn does so with one in so many transactions, at random; 0: none.
+	// LoseOneResponseIn applies a random one in this many transactions without a response; 0 disables the
+	// fault.
 	LoseOneResponseIn int
-	// HoldNext holds back so many of the next transactions, without a response, until ReleaseHeld; of
-	// those only that change a key with the prefix HoldPrefix. It stands for requests that are stuck
-	// in a queue.
+	// HoldNext is the number of next transactions that get no response and are not applied before
+	// ReleaseHeld. Only transactions that change a key with the prefix HoldPrefix are held. It simulates
+	// requests that are stuck in a queue.
 	HoldNext   int
 	HoldPrefix string
-	// DelayOneWriteIn applies one in so many transactions 2 to 12 s late, after newer ones of the same
-	// client, without a response; 0: none. It stands for a proxy that goes on after its client has
-	// given up.
+	// DelayOneWriteIn applies one in this many transactions 2 to 12 s late and without a response, so that
+	// newer transactions of the same client may overtake it; 0 disables the fault. It simulates a proxy
+	// that forwards a request after its client has timed out.
 	DelayOneWriteIn int
 }
 
-// SetFaults replaces all faults.
+// SetFaults replaces all active faults of the store.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.UpdateFaults(func(f *StoreFaults) { *f = faults })
 }
 
-// UpdateFaults changes some of the faults. Those that count transactions hold what is left.
+// UpdateFaults changes some of the active faults of the store and leaves the others. LoseNextResponses and
+// HoldNext count down, so change gets the number of transactions that remain.
 func (s *Store) UpdateFaults(change func(*StoreFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,8 +65,8 @@
 	}
 }
 
-// suspendLeases stops the timers of leases as an outage begins, and restarts them with their full time
-// as it ends. The caller holds mu.
+// suspendLeases stops the timers of all leases when an outage begins, and restarts them with their full
+// time to live when it ends. The caller holds mu.
 func (s *Store) suspendLeases(suspend bool) {
 	for _, l := range s.leases {
 		if suspend {
@@ -74,7 +77,7 @@
 	}
 }
 
-// ReleaseHeld applies the transactions that HoldNext has held back, late.
+// ReleaseHeld applies the transactions that HoldNext has held back, in the order of their arrival.
 func (s *Store) ReleaseHeld() {
 	s.mu.Lock()
 	held := s.held
@@ -85,15 +88,14 @@
 	}
 }
 
-// Unacknowledged returns how many transactions have had no response so far.
+// Unacknowledged returns the number of transactions so far that a fault has left without a response.
 func (s *Store) Unacknowledged() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts.unacknowledged
 }
 
-// transactWithFaults carries out a transaction under the present faults and limits. The caller holds
-// mu.
+// transactWithFaults executes a transaction under the active faults and limits. The caller holds mu.
 func (s *Store) transactWithFaults(body []byte) wire.Response {
 	if resp := s.checkLimits(body); resp.Status != 0 {
 		return resp
@@ -134,14 +136,14 @@
 	})
 }
 
-// StoreLimits are the limits that a store enforces.
+// StoreLimits is the set of limits that a store enforces on transactions.
 type StoreLimits struct {
-	ValueBytes int     // of a value in JSON
-	TxnOps     int     // mutations in a transaction
-	WriteRPS   float64 // mutations a second, and as a burst
+	ValueBytes int     // maximum size of a value in its JSON form, in bytes
+	TxnOps     int     // maximum number of mutations in a transaction
+	WriteRPS   float64 // maximum number of mutations per second, also as a burst
 }
 
-// SetLimits enforces limits from now on. Without it the store has none.
+// SetLimits makes the store enforce limits from now on. Without a call the store has no limits.
 func (s *Store) SetLimits(limits StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,18 +151,19 @@
 	s.writes = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
-// StoreRefusals is how many transactions a store has refused for its limits.
+// StoreRefusals counts the transactions that exceeded a limit: TooLarge those refused for ValueBytes or
+// TxnOps, and TooMany those for WriteRPS.
 type StoreRefusals struct{ TooLarge, TooMany int }
 
-// Refusals returns how many transactions were refused so far.
+// Refusals returns the numbers of transactions refused so far.
 func (s *Store) Refusals() StoreRefusals {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refusals
 }
 
-// checkLimits returns the response to a transaction that exceeds the limits, or status 0. The caller
-// holds mu.
+// checkLimits returns the response to a transaction that exceeds the limits, and a response with status 0
+// if it does not. The caller holds mu.
 func (s *Store) checkLimits(body []byte) wire.Response {
 	var transaction struct {
 		Mutations []struct {
@@ -186,7 +189,7 @@
 	return wire.Response{}
 }
 
-// jsonValue returns a decoded CBOR value in the form that JSON has.
+// jsonValue converts a decoded CBOR value to one that json.Marshal accepts.
 func jsonValue(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
