--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -78,7 +78,7 @@
 	defer c.mu.Unlock()
 	for task := range c.running {
 		if jobOf(task) == id {
-			c.addViolation("%s is on a machine %v after its cancellation was confirmed", task, c.CancelDeadline)
+			c.addViolation("%s is still on a machine %v after its cancellation was confirmed", task, c.CancelDeadline)
 		}
 	}
 }
@@ -149,12 +149,12 @@
 		return nil
 	}
 	if other, isRunning := c.running[task]; isRunning {
-		c.addViolation("%s starts on %s while on %s", task, at.machine, other.machine)
+		c.addViolation("%s starts on %s while it is still on %s", task, at.machine, other.machine)
 	}
 	if confirmed, isCancelled := c.cancelled[id]; isCancelled {
 		c.startsAfterCancellation++
 		if c.CancelDeadline > 0 && time.Since(confirmed) > c.CancelDeadline {
-			c.addViolation("%s starts %v after its cancellation was confirmed", task, time.Since(confirmed))
+			c.addViolation("%s starts %v after its cancellation was confirmed; at most %v is allowed", task, time.Since(confirmed), c.CancelDeadline)
 		}
 	}
 	c.running[task] = at
@@ -183,13 +183,13 @@
 	}
 	const roundingTolerance = 1e-6 // CPUs; tolerance for rounding errors in the sum
 	if maximum, isLimited := c.maxCPUs[spec.Team]; isLimited && usedCPUs > maximum+roundingTolerance {
-		c.addViolation("%s starts and %s uses %g of %g CPUs", task, spec.Team, usedCPUs, maximum)
+		c.addViolation("%s starts and team %s uses %g CPUs; at most %g are allowed", task, spec.Team, usedCPUs, maximum)
 	}
 	if spec.Zone != "" && spec.Zone != at.zone {
 		c.addViolation("%s starts in zone %s, not in %s", task, at.zone, spec.Zone)
 	}
 	if spec.Apart && tasksInZone > (spec.Tasks+1)/2 {
-		c.addViolation("%s starts as number %d in zone %s", task, tasksInZone, at.zone)
+		c.addViolation("%s starts as task %d of its job in zone %s; at most %d are allowed", task, tasksInZone, at.zone, (spec.Tasks+1)/2)
 	}
 }
 
@@ -197,7 +197,7 @@
 // be of one attempt, and those of a job with OneZone in one zone. The caller holds mu.
 func (c *InvariantChecker) checkTaskPair(spec *job.Spec, task string, at placement, other string, otherAt placement) {
 	if spec.Shape == job.Gang && otherAt.attempt != at.attempt {
-		c.addViolation("%s starts in attempt %d while %s is on in attempt %d", task, at.attempt, other, otherAt.attempt)
+		c.addViolation("%s starts in attempt %d while %s is on a machine in attempt %d", task, at.attempt, other, otherAt.attempt)
 	}
 	if spec.OneZone && otherAt.zone != at.zone {
 		c.addViolation("%s starts in zone %s while %s is in %s", task, at.zone, other, otherAt.zone)
