--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -107,7 +107,7 @@
 		c.waitForElection()
 		c.runService(4)
 		var mu sync.Mutex
-		answered, asked := 0, 0 // queries about a running job; guarded by mu
+		answered, sent := 0, 0 // queries about a running job; guarded by mu
 		end := time.Now().Add(time.Minute)
 		for user := range 40 { // two queries a second each
 			go func() {
@@ -121,7 +121,7 @@
 					if status == "running" {
 						answered++
 					}
-					asked++
+					sent++
 					mu.Unlock()
 					time.Sleep(time.Second)
 				}
@@ -141,8 +141,8 @@
 			time.Sleep(3 * time.Second)
 		}
 		mu.Lock()
-		if answered < asked*9/10 {
-			t.Errorf("%d of %d queries about a running job answered", answered, asked)
+		if answered < sent*9/10 {
+			t.Errorf("%d of %d queries about a running job answered", answered, sent)
 		}
 		mu.Unlock()
 		for i := 2; i < 20; i++ {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -144,10 +144,10 @@
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 15))
 		time.Sleep(12 * time.Second)
-		separated := c.gangMachines()[0]
-		c.partitionMachines(func(addr string) bool { return addr == separated.Addr })
+		partitioned := c.gangMachines()[0]
+		c.partitionMachines(func(addr string) bool { return addr == partitioned.Addr })
 		c.waitUntil("the tasks are done", 10*time.Second, func() bool { return c.cloud.Gangs.Counts().Done == 1 })
-		separated.SetFaults(fake.AgentFaults{Hung: true})
+		partitioned.SetFaults(fake.AgentFaults{Hung: true})
 		time.Sleep(time.Second)
 		failOver()
 		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -100,12 +100,12 @@
 				c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 8, 0))
 				c.waitUntilRunning(32, time.Minute)
 				half := c.halfOfMachinesWithTasks()
-				silent := addresses(half)
+				affected := addresses(half)
 				if all {
-					silent = addresses(c.cloud.Machines())
+					affected = addresses(c.cloud.Machines())
 				}
 				requestsBefore := c.network.RequestsTo(half[0].Addr)
-				c.dropHeartbeats(func(addr string) bool { return silent[addr] })
+				c.dropHeartbeats(func(addr string) bool { return affected[addr] })
 				time.Sleep(time.Second)
 				c.cancel(1, "wk-000001")
 				c.waitUntilGone("wk-000001")
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -14,8 +14,8 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// lowered are the announced limits of the smallest deployment.
-var lowered = &config.StoreLimits{RPS: 80, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
+// loweredLimits are the announced limits of the smallest deployment.
+var loweredLimits = &config.StoreLimits{RPS: 80, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 
 // The limits are lowered while large arrays and a large gang run and many cancellations wait to be
 // recorded as ended; without a further fault, in an election, and with lost responses. Every job ends
@@ -35,8 +35,8 @@
 
 func testLimitsLoweredDuringCancellations(t *testing.T, c *cluster, inject func(c *cluster)) {
 	const cancelled = 24 // the jobs wk-000200 to wk-000223
-	ended := func() int { return len(c.store.Keys(jobstore.EndKey("wk-0002"))) }
-	c.nextStoreLimits = lowered
+	recordedEnds := func() int { return len(c.store.Keys(jobstore.EndKey("wk-0002"))) }
+	c.nextStoreLimits = loweredLimits
 	c.restartWithCapacity(60, 240)
 	c.runService(8)
 	want := map[string]string{"wk-000100": jobstore.StatusDone, "wk-000101": jobstore.StatusDone, gangID: jobstore.StatusDone}
@@ -59,15 +59,15 @@
 		c.cancelUntilConfirmed(10*time.Second, i%controllers, id)
 		want[id] = jobstore.StatusCancelled
 	}
-	if ended() == cancelled {
+	if recordedEnds() == cancelled {
 		t.Error("no cancellation waits to be recorded as ended")
 	}
 
-	c.enforceStoreLimits(*lowered)
+	c.enforceStoreLimits(*loweredLimits)
 	inject(c)
 	c.waitForStatuses(8*time.Minute, want)
 	c.store.SetFaults(fake.StoreFaults{})
-	c.waitUntil("all ends are recorded", 2*time.Minute, func() bool { return ended() == cancelled })
+	c.waitUntil("all ends are recorded", 2*time.Minute, func() bool { return recordedEnds() == cancelled })
 
 	checkOnlyServiceLeft(t, c)
 	if refused := c.store.Refusals(); refused.TooLarge > 0 || refused.TooMany == 0 {
