--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Users' requests: what is refused, and that answers come in time and stay consistent.
+// Users' requests: refusals of invalid ones, and timely and consistent answers.
 
 import (
 	"strings"
@@ -12,8 +12,8 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// Invalid bodies, fields and methods are refused with the status that the users' pages give; unknown
-// fields are ignored.
+// Invalid bodies, fields, methods and paths are refused with the status that the users' pages give, and
+// unknown fields are ignored.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -25,19 +25,19 @@
 			body jobRequest
 			want int
 		}{
-			{"bad id", with("uid", "job-1"), 400},
-			{"negative", with("cpus", -1.0), 400},
+			{"malformed ID", with("uid", "job-1"), 400},
+			{"negative CPUs", with("cpus", -1.0), 400},
 			{"too many tasks", with("tickets", 100_001), 400},
 			{"unknown shape", with("shape", "tree"), 400},
-			{"unknown rank", with("rank", "top"), 400},
+			{"unknown priority", with("rank", "top"), 400},
 			{"missing field", with("lane", nil), 400},
 			{"unknown team", with("crew", "others"), 422},
-			{"too large", with("cpus", 5.0), 422},
+			{"task larger than a machine", with("cpus", 5.0), 422},
 			{"no such zone", with("depot", "z"), 422},
 			{"unknown field", with("colour", "red"), 201},
 		} {
 			if got := c.submit(1, submission.body); got != submission.want {
-				t.Errorf("%s: %d, want %d", submission.name, got, submission.want)
+				t.Errorf("%s: status %d, want %d", submission.name, got, submission.want)
 			}
 		}
 		for _, request := range []struct {
@@ -57,14 +57,15 @@
 			{"GET", "/ready", "", 200},
 		} {
 			if got := c.request(1, request.method, request.path, []byte(request.body)).Status; got != request.want {
-				t.Errorf("%s %s %q: %d, want %d", request.method, request.path, request.body, got, request.want)
+				t.Errorf("%s %s %q: status %d, want %d", request.method, request.path, request.body, got, request.want)
 			}
 		}
 	})
 }
 
-// Concurrent polls are confirmed by one read of the store, as one read a poll exceeds the store's rate
-// in large deployments. What another controller has answered is never followed by an older status.
+// Guards against one read of the store per poll, which exceeds the store's rate in large
+// deployments: one read confirms concurrent polls. No answer is older than an earlier answer of
+// another controller.
 func TestConcurrentPollsShareStoreReads(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -80,26 +81,27 @@
 		}
 		for range jobs {
 			if status := <-answers; status != "pending" && status != "running" {
-				t.Errorf("poll: %s", status)
+				t.Errorf("poll: %s, want pending or running", status)
 			}
 		}
 		if n := c.store.Requests() - before; n > jobs/4 {
-			t.Errorf("%d concurrent polls took %d requests", jobs, n)
+			t.Errorf("%d concurrent polls took %d requests to the store, want at most %d", jobs, n, jobs/4)
 		}
 		for i := range 20 {
 			if status := c.requestCancel(i%controllers, jobID(i)).Status; status != 200 {
-				t.Errorf("cancellation: %d", status)
+				t.Errorf("cancellation of %s: status %d, want 200", jobID(i), status)
 			}
 			if status := c.status((i+1)%controllers, jobID(i)); status != jobstore.StatusCancelled {
-				t.Errorf("another controller answers %s after the cancellation was confirmed", status)
+				t.Errorf("another controller answers %s for %s after the cancellation was confirmed, want %s", status, jobID(i), jobstore.StatusCancelled)
 			}
 		}
 	})
 }
 
-// Polls come many times as often as usual for a while, most of them about jobs that nobody has
-// submitted or that have ended: submissions are still accepted at once, queries about unfinished jobs
-// are answered, and a job that was queried before its submission is known afterwards.
+// Guards against an overload of polls that delays other requests: for a minute polls arrive at many
+// times the usual rate, half of them about jobs that were never submitted. Submissions are still
+// accepted at once, queries about unfinished jobs are answered, and a job that was queried before
+// its submission is known after it.
 func TestSubmissionsAcceptedUnderPollLoad(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.storeRPS = 60
@@ -114,7 +116,7 @@
 				for i := 0; time.Now().Before(end); i++ {
 					status := c.status(user%controllers, jobID(500+(user*37+i)%400))
 					if status != "404" && status != "503" {
-						t.Errorf("a job that nobody submitted is %s", status)
+						t.Errorf("query of a job that was never submitted: %s, want 404 or 503", status)
 					}
 					status = c.status(user%controllers, "wk-000001")
 					mu.Lock()
@@ -130,29 +132,30 @@
 		for i := 2; i < 20; i++ {
 			id := jobID(i)
 			if status := c.status(0, id); status != "404" && status != "503" {
-				t.Errorf("%s before its submission: %s", id, status)
+				t.Errorf("query of %s before its submission: %s, want 404 or 503", id, status)
 			}
 			if status := c.submit(i%controllers, newJob(id, job.Array, 1, 2)); status != 201 {
-				t.Errorf("submission under load: %d", status)
+				t.Errorf("submission of %s under load: status %d, want 201", id, status)
 			}
 			if status := c.status((i+1)%controllers, id); status == "404" {
-				t.Errorf("%s unknown after its submission", id)
+				t.Errorf("query of %s after its submission: 404, want its status", id)
 			}
 			time.Sleep(3 * time.Second)
 		}
 		mu.Lock()
 		if answered < sent*9/10 {
-			t.Errorf("%d of %d queries about a running job answered", answered, sent)
+			t.Errorf("%d of %d queries about a running job answered, want at least nine tenths", answered, sent)
 		}
 		mu.Unlock()
 		for i := 2; i < 20; i++ {
-			c.waitUntil("array done", time.Minute, c.isDone(jobID(i)))
+			c.waitUntil(jobID(i)+" done", time.Minute, c.isDone(jobID(i)))
 		}
 	})
 }
 
-// The users' rule: once all faults are over, each job that is queried is answered within 75 s. The store
-// allows fewer requests than there are queries, which come in the same order each time.
+// Guards against queries that are never answered after an outage: the store allows fewer requests
+// than there are queries, and the queries arrive in the same order each time. The users' rule is
+// that once all faults are over, each job that is queried is answered within 75 s.
 func TestAllPollsAnsweredAfterOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.storeRPS = 30
@@ -183,13 +186,14 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(answered) != jobs {
-			t.Errorf("%d of %d jobs were answered", len(answered), jobs)
+			t.Errorf("%d jobs answered within 75 s after the outage, want all %d", len(answered), jobs)
 		}
 	})
 }
 
-// Users query all controllers, again and again within milliseconds, and repeat the submission, right
-// after a job was accepted, has ended or was confirmed as cancelled; some cancel at once.
+// Guards against answers that are older than earlier ones: users query all controllers several times
+// within milliseconds, and repeat the submission, right after a job was accepted, has ended or was
+// confirmed as cancelled. Some jobs are cancelled right after their acceptance.
 func TestReadsAreConsistentAfterWrites(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.storeRPS = 400
@@ -210,13 +214,13 @@
 				continue
 			}
 			if i%3 == 1 {
-				c.waitUntil("done", time.Minute, c.isDone(id))
+				c.waitUntil(id+" done", time.Minute, c.isDone(id))
 				readers.read(id, request)
 			}
 		}
 		readers.running.Wait()
 		if readers.answered < 400 {
-			t.Errorf("only %d requests were answered", readers.answered)
+			t.Errorf("%d requests answered, want at least 400", readers.answered)
 		}
 	})
 }
@@ -231,8 +235,9 @@
 	answered int
 }
 
-// read lets 12 users send a request within 6 ms, without waiting for them. One in four repeats the
-// submission; none may get the answer that the job is unknown.
+// read has 12 users send one request each within 6 ms, and does not wait for the responses. One user
+// in four repeats the submission, the others query the job. No response may say that the job is
+// unknown.
 func (r *consistentReaders) read(id string, request jobRequest) {
 	for user := range 12 {
 		r.running.Add(1)
@@ -244,13 +249,13 @@
 				status := r.c.submit(user%controllers, request)
 				ok = status == 200
 				if status == 201 || status == 404 {
-					r.t.Errorf("repeated submission of %s: %d", id, status)
+					r.t.Errorf("repeated submission of %s: status %d, want neither 201 nor 404", id, status)
 				}
 			} else {
 				status := r.c.status(user%controllers, id)
 				ok = status != "503"
 				if status == "404" {
-					r.t.Errorf("%s is unknown", id)
+					r.t.Errorf("query of the accepted job %s: 404, want its status", id)
 				}
 			}
 			r.mu.Lock()
--- a/internal/controller/gang_recovery_test.go
+++ b/internal/controller/gang_recovery_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Gangs that lose a machine or have to leave one: they save as a whole or not at all, and continue
-// from the last checkpoint.
+// Gangs that lose a machine or have to leave one: they save a checkpoint as a whole or not at all, and
+// continue from the last one.
 
 import (
 	"strings"
@@ -11,8 +11,8 @@
 	"tulipshelf/internal/fake"
 )
 
-// A machine of a gang is lost, which ends the attempt; the next one continues from the last checkpoint
-// once all of it is gone.
+// A gang loses a machine, which ends the attempt. The next attempt starts once no task of the first is
+// left, and continues from the last checkpoint.
 func TestGangRestartsFromCheckpointAfterMachineLoss(t *testing.T) {
 	for name, hang := range map[string]bool{"machine restarts": false, "machine hangs": true} {
 		t.Run(name, func(t *testing.T) {
@@ -29,23 +29,23 @@
 				failOver()
 				c.waitForGangAttempts(2, time.Minute)
 				if checkpoint := c.cloud.Gangs.Progress(gangID); checkpoint != 20*time.Second {
-					t.Errorf("continues from %v", checkpoint)
+					t.Errorf("the second attempt continues from %v, want 20s", checkpoint)
 				}
 				resumedAt := time.Now()
-				c.waitUntil("done", time.Minute, c.isDone(gangID))
+				c.waitUntil(gangID+" done", time.Minute, c.isDone(gangID))
 				if took := time.Since(resumedAt); took > 25*time.Second {
-					t.Errorf("the rest took %v", took)
+					t.Errorf("the second attempt took %v, want at most 25s", took)
 				}
 				if got := c.cloud.Gangs.Counts(); got.Incomplete != 0 || got.Done != 1 {
-					t.Errorf("%+v", got)
+					t.Errorf("gang counts %+v, want Incomplete:0 Done:1", got)
 				}
 			})
 		})
 	}
 }
 
-// After a termination notice for one machine the whole gang saves, and continues on other machines from
-// where it was.
+// After a termination notice for one of its machines the whole gang saves a checkpoint, and
+// continues from it on other machines.
 func TestGangCheckpointsOnTerminationNotice(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 60))
@@ -53,24 +53,25 @@
 		machine := c.gangMachines()[0]
 		machine.AnnounceTermination(24 * time.Second)
 		failOver()
-		c.waitUntil("saved", 24*time.Second, func() bool { return c.cloud.Gangs.Counts().Checkpointed == 1 })
+		c.waitUntil("gang checkpointed", 24*time.Second, func() bool { return c.cloud.Gangs.Counts().Checkpointed == 1 })
 		saved := c.cloud.Gangs.Progress(gangID)
 		if saved < 15*time.Second || saved%(10*time.Second) == 0 {
-			t.Errorf("saved %v", saved)
+			t.Errorf("checkpoint at %v, want at least 15s and no multiple of 10s, at which periodic checkpoints are saved", saved)
 		}
 		c.waitForGangAttempts(2, 30*time.Second)
 		if machine.HasTasksOf(gangID) {
-			t.Error("it runs on the machine that will be terminated")
+			t.Errorf("%s has tasks of the gang after its termination notice, want none", machine.Name)
 		}
-		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 90*time.Second, c.isDone(gangID))
 		if got := c.cloud.Gangs.Counts(); got.MembersGone != 0 || got.Incomplete != 0 {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want MembersGone:0 Incomplete:0", got)
 		}
 	})
 }
 
-// If one of a gang's machines cannot be reached in time to save, no task is halted: a checkpoint that is
-// not complete would stop the others for nothing.
+// Guards against a gang that stops without a checkpoint: one of its machines will be terminated, while
+// another cannot be reached in time to save. No task is halted, as the checkpoint would be
+// incomplete and stop the other tasks for nothing.
 func TestGangNotStoppedWhileMemberUnreachable(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 30))
@@ -78,20 +79,20 @@
 		machines := c.gangMachines()
 		unreachable := machines[1].Addr
 		c.partitionMachines(func(addr string) bool { return addr == unreachable })
-		time.Sleep(9 * time.Second) // its heartbeats are overdue, while its tasks run on
+		time.Sleep(9 * time.Second) // its heartbeats are overdue, but its tasks still run
 		machines[0].AnnounceTermination(12 * time.Second)
 		failOver()
 		time.Sleep(8 * time.Second)
 		if got := c.cloud.Gangs.Counts(); got.Checkpointed != 0 || got.MembersGone != 0 {
-			t.Errorf("stopped in part: %+v", got)
+			t.Errorf("gang stopped in part: counts %+v, want Checkpointed:0 MembersGone:0", got)
 		}
 		c.heal()
-		c.waitUntil("done", 2*time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 2*time.Minute, c.isDone(gangID))
 	})
 }
 
-// A gang that is bound to one zone loses machines and moves only once nothing of it is left there; the
-// invariant checker compares zones.
+// Guards against a zone-bound gang that has tasks in two zones: it loses machines, and may move to
+// another zone only once no task of it is left in the first. The invariant checker compares zones.
 func TestGangStaysInOneZoneAfterMachineLoss(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartInTwoZones()
@@ -105,7 +106,7 @@
 			machines[0].SetFaults(fake.AgentFaults{Hung: true})
 			c.failOver()
 		}
-		c.waitUntil("done", 4*time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 4*time.Minute, c.isDone(gangID))
 		zones := map[string]bool{}
 		for task, zone := range c.invariants.Zones() {
 			if strings.HasPrefix(task, gangID) {
@@ -113,7 +114,7 @@
 			}
 		}
 		if len(zones) != 1 {
-			t.Errorf("it ended in %v", zones)
+			t.Errorf("zones of the last starts of the gang's tasks: %v, want one", zones)
 		}
 	})
 }
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -12,7 +12,8 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// A service that needs the room of a gang of lower priority preempts all of it, gracefully.
+// A service that needs the capacity of a gang of lower priority preempts the whole gang, and with a
+// grace period, so that the gang saves a checkpoint.
 func TestGangIsPreemptedWhole(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(4, 96)
@@ -21,15 +22,15 @@
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Service, 4, 0).withPriority(highPriority))
 		c.waitUntilRunningOf("wk-000002", 4, 30*time.Second)
 		if got := c.cloud.Gangs.Counts(); got.Checkpointed != 1 || got.MembersGone != 0 {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want Checkpointed:1 MembersGone:0", got)
 		}
 		c.cancel(0, "wk-000002")
-		c.waitUntil("done", 2*time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 2*time.Minute, c.isDone(gangID))
 	})
 }
 
-// Small tasks of the same priority come all the time and fill every gap; a large gang begins all the
-// same.
+// Guards against starvation of a large gang: small tasks of the same priority arrive all the time
+// and take every CPU that becomes free.
 func TestGangNotStarvedBySmallTasks(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(6, 96)
@@ -44,17 +45,18 @@
 		}()
 		time.Sleep(40 * time.Second)
 		if n := c.invariants.RunningTasks(); n < 20 {
-			t.Errorf("machines are not full: %d tasks run", n)
+			t.Errorf("%d tasks run, want at least 20: the machines are not full", n)
 		}
 		c.submitUntilAccepted(10*time.Second, 0, newGang(16, 10))
 		c.waitForGangAttempts(1, 40*time.Second)
 		stop.Store(true)
 		<-ended
-		c.waitUntil("done", time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", time.Minute, c.isDone(gangID))
 	})
 }
 
-// Gangs that fit only one after the other never hold a part of the machines each.
+// Guards against a deadlock of gangs that fit only one after the other: each would hold a part of the
+// machines and wait for the rest.
 func TestCompetingGangsHoldNoPartialAllocations(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(6, 96)
@@ -70,33 +72,33 @@
 				}
 			}
 			if gangsWithTasks > 1 {
-				t.Fatalf("%d gangs hold room that fits one", gangsWithTasks)
+				t.Fatalf("%d gangs have tasks on machines that fit one gang, want at most 1", gangsWithTasks)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 		for _, id := range ids {
-			c.waitUntil("done", 3*time.Minute, c.isDone(id))
+			c.waitUntil(id+" done", 3*time.Minute, c.isDone(id))
 		}
 		if got := c.cloud.Gangs.Counts(); got.Began != 3 || got.Incomplete != 0 {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want Began:3 Incomplete:0", got)
 		}
 	})
 }
 
-// Room that is reserved for gangs that may come keeps no other job waiting for long, though machines are
-// full of earlier jobs.
+// Guards against starvation of other jobs by capacity that is reserved for anticipated gangs: no job
+// waits for long, even while machines are full of earlier jobs.
 func TestGangReservationsDoNotStarveOtherJobs(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(6, 96)
-		c.runGang(newGang(16, 60)) // one as large may come again
+		c.runGang(newGang(16, 60)) // another gang as large is anticipated after it
 		for i := 1; i <= 3; i++ {
 			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(i), job.Array, 8, 600))
 		}
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000009", job.Array, 2, 600).withPriority(lowPriority))
 		for i := 1; i <= 3; i++ {
-			c.waitUntil("array has begun", 90*time.Second, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
+			c.waitUntil(jobID(i)+" has running tasks", 90*time.Second, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
 		}
-		c.waitUntil("the array of low priority has begun", 90*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000009") > 0 })
+		c.waitUntil("wk-000009, of low priority, has running tasks", 90*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000009") > 0 })
 	})
 }
 
@@ -111,22 +113,22 @@
 		c.submitUntilAccepted(10*time.Second, 0, newGang(4, 10).withPriority(highPriority))
 		c.waitForGangAttempts(1, 10*time.Second)
 		if n := c.invariants.RunningTasksOf("wk-000002"); n != 20 {
-			t.Errorf("%d of 24 tasks of lower priority left", n)
+			t.Errorf("%d of 24 tasks of lower priority run beside the gang, want 20", n)
 		}
-		c.waitUntil("done", 30*time.Second, c.isDone(gangID))
-		c.waitUntil("array done", 3*time.Minute, c.isDone("wk-000002"))
+		c.waitUntil(gangID+" done", 30*time.Second, c.isDone(gangID))
+		c.waitUntil("wk-000002 done", 3*time.Minute, c.isDone("wk-000002"))
 		if restarts := c.restartsOf("wk-000002"); restarts != 4 {
-			t.Errorf("%d tasks of lower priority started again, not 4", restarts)
+			t.Errorf("%d restarts of tasks of lower priority, want 4", restarts)
 		}
 	})
 }
 
-// Gangs of a team that is beyond its guarantee begin while arrays within another team's guarantee fill
-// all machines, one after the other (docs/incidents/inc-82e5.md).
+// Guards against starvation of gangs of a team that is beyond its guarantee: arrays within another
+// team's guarantee fill all machines, one after the other (docs/incidents/inc-82e5.md).
 func TestGangBeyondGuaranteeNotStarvedByArrays(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
-		c.runService(10) // more than is guaranteed
+		c.runService(10) // exceeds the team's guarantee
 		for i := range 4 {
 			c.submitUntilAccepted(10*time.Second, 0, newJob(jobID(100+i), job.Array, 250, 20).ofTeam(teamWithoutMaximum))
 		}
@@ -137,10 +139,10 @@
 		submittedAt := time.Now()
 		c.waitForGangAttempts(3, time.Minute)
 		if c.startsOf(jobID(103)) == 250 {
-			t.Errorf("the arrays were done after %v", time.Since(submittedAt))
+			t.Errorf("all 250 tasks of wk-000103 had started when the gangs began, %v after their submission; want some not started", time.Since(submittedAt))
 		}
 		for i := range 4 {
-			c.waitUntil("array done", 5*time.Minute, c.isDone(jobID(100+i)))
+			c.waitUntil(jobID(100+i)+" done", 5*time.Minute, c.isDone(jobID(100+i)))
 		}
 	})
 }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -11,28 +11,28 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// All tasks run at the same time and once, and are done together.
+// All tasks of a gang run once and at the same time, and complete together.
 func TestGangTasksRunAndCompleteTogether(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 30))
 		if n := c.invariants.RunningTasksOf(gangID); n != 10 {
-			t.Errorf("%d of 10 tasks run", n)
+			t.Errorf("%d tasks of the gang run, want 10", n)
 		}
 		failOver()
-		c.waitUntil("done", time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", time.Minute, c.isDone(gangID))
 		c.checkStartedOnce()
 		if got := c.cloud.Gangs.Counts(); got != (fake.GangCounts{Began: 1, Done: 1}) {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want Began:1 Done:1 and no others", got)
 		}
 	})
 }
 
-// A gang that exceeds its team's maximum is refused; one for which other jobs of the team leave no quota
-// waits as a whole and holds nothing.
+// A gang that exceeds its team's maximum is refused. A gang for which other jobs of the team leave
+// no quota waits as a whole and holds no capacity.
 func TestGangExceedingQuotaIsRefusedOrWaitsWhole(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		if status := c.submit(1, newGang(97, 10)); status != 422 {
-			t.Errorf("more than the maximum of 96 CPUs: %d", status)
+			t.Errorf("submission of 97 CPUs, more than the maximum of 96: status %d, want 422", status)
 		}
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Service, 80, 0))
 		c.waitUntilRunningOf("wk-000002", 80, time.Minute)
@@ -41,21 +41,22 @@
 		failOver()
 		time.Sleep(10 * time.Second)
 		if n := c.invariants.RunningTasksOf(gangID); n != 0 {
-			t.Errorf("%d tasks run of a gang for which the team has no quota left", n)
+			t.Errorf("%d tasks run of a gang for which the team has no quota left, want 0", n)
 		}
 		c.cancel(0, "wk-000002")
-		c.waitUntil("done", 2*time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 2*time.Minute, c.isDone(gangID))
 	})
 }
 
-// Only some of the starts arrive, and the leader ends: the next leader withdraws the attempt, long before
-// its tasks give up waiting for the others, and the gang runs whole.
+// Guards against a gang that waits incomplete: only some of its start commands reach machines before the
+// leader fails. The next leader withdraws the attempt long before the started tasks time out waiting for
+// the others, and the gang then runs whole.
 func TestGangPartiallyDispatchedThenLeaderFails(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
 		c.runService(30)
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Array, 24, 3))
-		c.waitUntil("machines are up", time.Minute, c.isDone("wk-000002"))
+		c.waitUntil("wk-000002 done, machines booted", time.Minute, c.isDone("wk-000002"))
 		unreachable := map[string]bool{}
 		for i, machine := range c.cloud.Machines() {
 			unreachable[machine.Addr] = i%2 == 0
@@ -65,7 +66,7 @@
 			return unreachable[from] && isController(to) || from == nodeAddr(old) && unreachable[to]
 		})
 		c.submitUntilAccepted(10*time.Second, old, newGang(12, 10))
-		c.waitUntil("some tasks wait", 10*time.Second, func() bool {
+		c.waitUntil("some, but not all, tasks of the gang on machines", 10*time.Second, func() bool {
 			waiting := c.invariants.RunningTasksOf(gangID)
 			return waiting > 0 && waiting < 12
 		})
@@ -74,15 +75,16 @@
 		c.heal()
 		failedOverAt := time.Now()
 		c.waitForGangAttempts(1, 40*time.Second)
-		c.waitUntil("done", time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", time.Minute, c.isDone(gangID))
 		if got := c.cloud.Gangs.Counts(); got.Incomplete != 0 {
-			t.Errorf("%d tasks gave up waiting, %v after the failover", got.Incomplete, time.Since(failedOverAt))
+			t.Errorf("%d tasks timed out waiting for the others by %v after the failover, want 0", got.Incomplete, time.Since(failedOverAt))
 		}
 	})
 }
 
-// Transactions that record a gang's starts have no response and are applied late, under the leader that
-// wrote them: it sends no start, and the next leader does not leave the gang as it is.
+// Guards against a gang that stays recorded in part: transactions that record its starts get no
+// response and are applied late, in the term of the leader that sent them. That leader sends no
+// start command, and the next leader does not leave the gang in that state.
 func TestGangPartiallyRecordedThenLeaderFails(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -91,19 +93,20 @@
 		c.submitUntilAccepted(10*time.Second, 0, newGang(8, 10))
 		time.Sleep(4 * time.Second)
 		if n := c.invariants.RunningTasksOf(gangID); n != 0 {
-			t.Errorf("%d tasks run whose starts are not recorded", n)
+			t.Errorf("%d tasks run whose starts are not recorded, want 0", n)
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		old := c.leader()
 		c.kill(old)
 		c.store.ReleaseHeld()
 		c.start(old)
-		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 90*time.Second, c.isDone(gangID))
 		c.checkStartedOnce()
 	})
 }
 
-// A running gang is cancelled while one of its machines hangs.
+// A running gang is cancelled while one of its machines hangs: its tasks are gone by the deadline,
+// and it does not start again.
 func TestGangCancelledWithHungMachine(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 300))
@@ -113,12 +116,13 @@
 		c.waitUntilGone(gangID)
 		time.Sleep(time.Minute)
 		if n := c.invariants.StartsByTask()[gangID+"/0"]; n != 1 {
-			t.Errorf("started %d times", n)
+			t.Errorf("%s/0 started %d times, want 1", gangID, n)
 		}
 	})
 }
 
-// Stale heartbeats, of the attempt before, end nothing of the attempt that runs.
+// Guards against stale heartbeats that end a running attempt: a machine restarts, the gang begins a
+// second attempt, and heartbeats of the first attempt reach every controller.
 func TestGangIgnoresHeartbeatsOfEarlierAttempt(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 40))
@@ -131,28 +135,28 @@
 				c.requestUnchecked(node, "POST", "/v1/report", body)
 			}
 		}
-		c.waitUntil("done", 2*time.Minute, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 2*time.Minute, c.isDone(gangID))
 		if got := c.cloud.Gangs.Counts(); got.Began != 2 || got.Done != 1 {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want Began:2 Done:1", got)
 		}
 	})
 }
 
-// The tasks complete together: one that cannot report it, because its machine is gone, does not make the
-// gang run again.
+// Guards against a completed gang that runs again: its tasks complete together, but one of them cannot
+// report it, as its machine is partitioned and then hangs.
 func TestGangCompletesWithUnreachableMember(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 15))
 		time.Sleep(12 * time.Second)
 		partitioned := c.gangMachines()[0]
 		c.partitionMachines(func(addr string) bool { return addr == partitioned.Addr })
-		c.waitUntil("the tasks are done", 10*time.Second, func() bool { return c.cloud.Gangs.Counts().Done == 1 })
+		c.waitUntil("the attempt completed", 10*time.Second, func() bool { return c.cloud.Gangs.Counts().Done == 1 })
 		partitioned.SetFaults(fake.AgentFaults{Hung: true})
 		time.Sleep(time.Second)
 		failOver()
-		c.waitUntil("done", 90*time.Second, c.isDone(gangID))
+		c.waitUntil(gangID+" done", 90*time.Second, c.isDone(gangID))
 		if got := c.cloud.Gangs.Counts(); got.Began != 1 {
-			t.Errorf("%+v", got)
+			t.Errorf("gang counts %+v, want Began:1", got)
 		}
 		c.heal()
 	})
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -1,6 +1,7 @@
 package controller
 
-// Heartbeats that are missing, late or duplicated, and what a new leader learns from the first ones.
+// Heartbeats that are missing, late or duplicated, and the state that a new leader takes from the
+// first ones.
 
 import (
 	"strings"
@@ -10,15 +11,16 @@
 	"tulipshelf/internal/job"
 )
 
-// A late copy of a heartbeat is no sign of life, neither to the leader that has returned the machine
-// nor to a new one, which has never registered it.
+// Guards against tasks that are placed on a returned machine because a late copy of one of its
+// heartbeats arrives: at the leader that has returned it, or at a new one, which has never
+// registered it.
 func TestDuplicateHeartbeatIsNoSignOfLife(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.submit(0, newJob("wk-000001", job.Array, 8, 5))
-		c.waitUntil("array done", time.Minute, c.isDone("wk-000001"))
+		c.waitUntil("wk-000001 done", time.Minute, c.isDone("wk-000001"))
 		copies := heartbeats(c.cloud.Machines())
-		c.waitUntil("machines returned", 2*time.Minute, func() bool { return len(c.cloud.Machines()) == 0 })
+		c.waitUntil("all machines returned", 2*time.Minute, func() bool { return len(c.cloud.Machines()) == 0 })
 		deliver := func() {
 			for _, body := range copies {
 				c.heartbeat(c.leader(), body)
@@ -26,7 +28,7 @@
 		}
 		deliver()
 		if n := c.registeredMachines(c.leader()); n > len(copies) {
-			t.Errorf("%d machines registered, %d were rented", n, len(copies))
+			t.Errorf("%d machines registered, want at most the %d that were rented", n, len(copies))
 		}
 		c.failOver()
 		time.Sleep(time.Second)
@@ -37,15 +39,16 @@
 			time.Sleep(2 * time.Second)
 			deliver()
 		}
-		// Booting takes 10 s; a start on a machine that is gone would take longer.
+		// A new machine boots in 10 s. A start on a returned machine would delay the service further.
 		if c.invariants.RunningTasks() < 2 {
-			t.Errorf("service not running %v after its submission", time.Since(begin))
+			t.Errorf("service not running %v after its submission, want it within 16s", time.Since(begin))
 		}
 	})
 }
 
-// Stale heartbeats reach every controller just as a new leader begins, before any current one, or once
-// it has started tasks: they bring back nothing that has ended, and end nothing that runs.
+// Guards against stale heartbeats that restore ended tasks or end running ones: they reach every
+// controller just as a new leader begins, before any current heartbeat, or once it has started
+// tasks.
 func TestNewLeaderIgnoresStaleHeartbeats(t *testing.T) {
 	for name, hasStartedTasks := range map[string]bool{"as it begins": false, "once it has started tasks": true} {
 		t.Run(name, func(t *testing.T) {
@@ -53,9 +56,9 @@
 				c.waitForElection()
 				c.runService(4)
 				c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Array, 8, 4))
-				c.waitUntil("array runs", time.Minute, func() bool { return c.invariants.RunningTasksOf("wk-000002") > 0 })
-				stale := heartbeats(c.cloud.Machines()) // with tasks that run now, and without later ones
-				c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
+				c.waitUntil("tasks of wk-000002 run", time.Minute, func() bool { return c.invariants.RunningTasksOf("wk-000002") > 0 })
+				stale := heartbeats(c.cloud.Machines()) // report tasks that run now and lack those started later
+				c.waitUntil("wk-000002 done", time.Minute, c.isDone("wk-000002"))
 				c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000003", job.Array, 8, 25))
 				c.waitUntilRunningOf("wk-000003", 8, time.Minute)
 				if !hasStartedTasks {
@@ -75,13 +78,13 @@
 					}
 				}
 				if accepted == 0 {
-					t.Error("the new leader accepted no stale heartbeat")
+					t.Error("no stale heartbeat accepted, want the new leader to accept some")
 				}
 				time.Sleep(3 * time.Second)
 				c.heal()
-				c.waitUntil("done", 2*time.Minute, c.isDone("wk-000003"))
+				c.waitUntil("wk-000003 done", 2*time.Minute, c.isDone("wk-000003"))
 				if n := c.invariants.RunningTasksOf("wk-000001"); n != 4 {
-					t.Errorf("%d of 4 replicas run", n)
+					t.Errorf("%d replicas of wk-000001 run, want 4", n)
 				}
 				c.checkStartedOnce()
 			})
@@ -89,8 +92,8 @@
 	}
 }
 
-// Heartbeats of machines are lost while commands still reach them: a cancelled task there is gone in
-// time, and tasks that the machines could not keep run elsewhere.
+// Guards against cancelled tasks that outlive the deadline on machines whose heartbeats are lost, while
+// commands still reach the machines. Other tasks that these machines lose run elsewhere in the end.
 func TestCancelOnMachinesWithoutHeartbeats(t *testing.T) {
 	for name, all := range map[string]bool{"half of the machines": false, "all machines": true} {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +113,7 @@
 				c.cancel(1, "wk-000001")
 				c.waitUntilGone("wk-000001")
 				if c.network.RequestsTo(half[0].Addr) == requestsBefore {
-					t.Error("no command was sent to a machine without heartbeats")
+					t.Errorf("no request sent to %s, whose heartbeats are lost, want a command", half[0].Addr)
 				}
 				c.heal()
 				c.waitUntilRunningOf("wk-000002", 8, 2*time.Minute)
@@ -119,8 +122,9 @@
 	}
 }
 
-// A new leader has had no heartbeat of the machines, while commands reach them: it probes them, and so
-// stops cancelled tasks long before the machines would have to be returned.
+// Guards against a new leader that can only end cancelled tasks by returning machines, as it has
+// received no heartbeat from them. Commands reach the machines: the leader probes them, and so stops
+// the tasks long before it would have to return the machines.
 func TestNewLeaderProbesMachinesWithoutHeartbeats(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -132,23 +136,23 @@
 		c.waitUntil("cancellation confirmed", 10*time.Second, func() bool {
 			return c.requestCancel(c.leader(), "wk-000001").Status == 200
 		})
-		c.waitUntil("cancelled tasks gone", 20*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000001") == 0 })
+		c.waitUntil("cancelled tasks of wk-000001 gone", 20*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000001") == 0 })
 		if returned := c.cloud.Returned(); len(returned) > 0 {
-			t.Errorf("machines returned: %v", returned)
+			t.Errorf("machines returned: %v, want none", returned)
 		}
 		c.checkStartedOnce()
 	})
 }
 
-// A new leader learns from a machine's first heartbeat which images it holds, those of tasks that have
-// ended there included.
+// A new leader takes from a machine's first heartbeat which images the machine holds, including those of
+// tasks that have ended there.
 func TestNewLeaderLearnsImagesFromHeartbeats(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.submit(0, newJob("wk-000001", job.Array, 100, 3).withImage("img-array"))
-		c.waitUntil("some tasks done", time.Minute, func() bool { return len(c.invariants.StartsByTask()) >= 20 })
-		c.submit(0, newJob("wk-000002", job.Service, 16, 0).withPriority(highPriority)) // all that the team may use
-		c.waitUntil("only the service runs", 30*time.Second, func() bool {
+		c.waitUntil("20 tasks of wk-000001 started", time.Minute, func() bool { return len(c.invariants.StartsByTask()) >= 20 })
+		c.submit(0, newJob("wk-000002", job.Service, 16, 0).withPriority(highPriority)) // all CPUs that the team may use
+		c.waitUntil("all 16 replicas and no other tasks run", 30*time.Second, func() bool {
 			started := 0
 			for task := range c.invariants.StartsByTask() {
 				if strings.HasPrefix(task, "wk-000002/") {
@@ -162,7 +166,7 @@
 		c.waitForLeader(20 * time.Second)
 		time.Sleep(12 * time.Second)
 		if c.machinesWithImage(c.leader(), "img-array") == 0 {
-			t.Error("no machine is known to hold the image")
+			t.Error("no machine registered with the image img-array at the new leader, want at least one")
 		}
 		c.start(old)
 	})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// The key-value store lowers its limits at a moment that nobody announces.
+// The key-value store lowers its limits to announced values at a time that is not announced.
 
 import (
 	"fmt"
@@ -14,12 +14,13 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// loweredLimits are the announced limits of the smallest deployment.
+// loweredLimits are the limits that are announced to the smallest deployment.
 var loweredLimits = &config.StoreLimits{RPS: 80, WriteRPS: 18, ValueBytes: 2 << 10, TxnOps: 4}
 
-// The limits are lowered while large arrays and a large gang run and many cancellations wait to be
-// recorded as ended; without a further fault, in an election, and with lost responses. Every job ends
-// as it should, no task starts again once it is done, and nothing is left behind.
+// The store's limits are lowered while large arrays and a large gang run and many cancelled jobs
+// wait for their ends to be recorded: without a further fault, during an election, and with lost
+// responses. Every job ends with the expected status, no task starts again once it is done, and no
+// record is left behind.
 func TestStoreLimitsLoweredDuringCancellations(t *testing.T) {
 	faults := map[string]func(c *cluster){
 		"no further fault": func(*cluster) {},
@@ -33,6 +34,8 @@
 	}
 }
 
+// testLimitsLoweredDuringCancellations runs the test on a cluster; inject adds the further fault,
+// right after the limits are lowered.
 func testLimitsLoweredDuringCancellations(t *testing.T, c *cluster, inject func(c *cluster)) {
 	const cancelled = 24 // the jobs wk-000200 to wk-000223
 	recordedEnds := func() int { return len(c.store.Keys(jobstore.EndKey("wk-0002"))) }
@@ -46,7 +49,7 @@
 	for i := range cancelled {
 		c.submitUntilAccepted(20*time.Second, i%controllers, newJob(jobID(200+i), job.Array, 2, 300))
 	}
-	c.waitUntil("all have begun", 3*time.Minute, func() bool {
+	c.waitUntil("tasks of all jobs to cancel and all 80 tasks of the gang run", 3*time.Minute, func() bool {
 		for i := range cancelled {
 			if c.invariants.RunningTasksOf(jobID(200+i)) == 0 {
 				return false
@@ -60,30 +63,31 @@
 		want[id] = jobstore.StatusCancelled
 	}
 	if recordedEnds() == cancelled {
-		t.Error("no cancellation waits to be recorded as ended")
+		t.Errorf("all %d ends recorded before the limits are lowered, want some missing", cancelled)
 	}
 
 	c.enforceStoreLimits(*loweredLimits)
 	inject(c)
 	c.waitForStatuses(8*time.Minute, want)
 	c.store.SetFaults(fake.StoreFaults{})
-	c.waitUntil("all ends are recorded", 2*time.Minute, func() bool { return recordedEnds() == cancelled })
+	c.waitUntil("ends of all cancelled jobs recorded", 2*time.Minute, func() bool { return recordedEnds() == cancelled })
 
 	checkOnlyServiceLeft(t, c)
 	if refused := c.store.Refusals(); refused.TooLarge > 0 || refused.TooMany == 0 {
-		t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
+		t.Errorf("%d transactions refused for their size and %d for the rate, want 0 and at least 1", refused.TooLarge, refused.TooMany)
 	}
 	for i := range 600 {
 		if n := c.invariants.StartsByTask()[fmt.Sprintf("wk-000100/%d", i)]; n != 1 {
-			t.Errorf("wk-000100/%d was started %d times", i, n)
+			t.Errorf("wk-000100/%d started %d times, want 1", i, n)
 		}
 	}
 }
 
-// checkOnlyServiceLeft waits for a minute until the store holds nothing but the records of one service.
+// checkOnlyServiceLeft waits at most a minute until the store holds no job's records but those of one
+// service, and fails the test otherwise.
 func checkOnlyServiceLeft(t *testing.T, c *cluster) {
 	t.Helper()
-	const serviceKeys = 2 // of the service and its tasks
+	const serviceKeys = 2 // records of the service and of its tasks
 	for range 600 {
 		if len(c.store.Keys(jobstore.JobPrefix)) == serviceKeys {
 			break
@@ -91,13 +95,13 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if left := c.store.Keys(jobstore.JobPrefix); len(left) != serviceKeys {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("records of jobs in the store: %v, want the %d of the service", left, serviceKeys)
 	}
 }
 
-// The limits are lowered under load while large arrays run that were chunked for larger values, some are
-// cancelled, and the controllers are replaced, one of them twice: all jobs are done or cancelled, nothing
-// is lost, and nothing waits forever.
+// Guards against jobs that are lost or wait forever when the store lowers its limits under load: large
+// arrays run that were chunked for larger values, some of them are cancelled, and the controllers are
+// replaced, one of them twice. All jobs are done or cancelled in the end.
 func TestStoreLimitsLoweredDuringRestarts(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -133,24 +137,25 @@
 		c.failOver()
 		c.waitForStatuses(6*time.Minute, want)
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 8 {
-			t.Errorf("%d of 8 replicas run", n)
+			t.Errorf("%d replicas of wk-000001 run, want 8", n)
 		}
 		c.hangFirstMachineWith("wk-000050")
-		c.waitUntil("a replica is lost", 30*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000050") < 80 })
+		c.waitUntil("a replica of wk-000050 lost", 30*time.Second, func() bool { return c.invariants.RunningTasksOf("wk-000050") < 80 })
 		c.waitUntilRunningOf("wk-000050", 80, 2*time.Minute)
 		if refused := c.store.Refusals(); refused.TooLarge > 30 || refused.TooLarge+refused.TooMany == 0 {
-			t.Errorf("%d transactions refused as too large, %d as too many", refused.TooLarge, refused.TooMany)
+			t.Errorf("%d transactions refused for their size and %d for the rate, want at most 30 and at least 1 in all", refused.TooLarge, refused.TooMany)
 		}
-		c.waitUntil("nothing left behind", time.Minute, func() bool {
-			// The records of both services; the tasks of one, and of the other in both layouts.
+		c.waitUntil("only the records of both services left", time.Minute, func() bool {
+			// Two records of services; five records of tasks: those of one service, and those of the other in
+			// both layouts.
 			return len(c.store.Keys(jobstore.JobPrefix)) == 2+5
 		})
 	})
 }
 
-// A gang that takes more than one chunk, and more than one transaction, at the limits of each deployment
-// and at the announced ones, starts whole or not at all, also if the leader ends in the middle of
-// recording it.
+// Guards against a gang that starts in part: its record takes more than one chunk and more than one
+// transaction, at the limits of each deployment and at the announced ones, and the leader may fail
+// in the middle of recording it.
 func TestGangLargerThanTransaction(t *testing.T) {
 	deployments := map[string]config.StoreLimits{
 		"8 KiB and 8 changes":    {RPS: 80, ValueBytes: 8 << 10, TxnOps: 8, WriteRPS: 25},
@@ -171,23 +176,23 @@
 				if strings.HasSuffix(name, "leader ends") {
 					chunks := func() int { return len(c.store.Keys(jobstore.JobKey(gangID) + "/")) }
 					c.store.SetFaults(fake.StoreFaults{Delay: 400 * time.Millisecond})
-					c.waitUntil("some chunks are recorded", 2*time.Minute, func() bool { return chunks() > 0 })
+					c.waitUntil("a chunk of the gang recorded", 2*time.Minute, func() bool { return chunks() > 0 })
 					if n := c.invariants.RunningTasksOf(gangID); n != 0 || chunks() > tasks/jobstore.TasksPerChunk(limits.ValueBytes) {
-						t.Errorf("%d tasks run, %d chunks recorded", n, chunks())
+						t.Errorf("%d tasks run and %d chunks are recorded, want 0 and at most %d", n, chunks(), tasks/jobstore.TasksPerChunk(limits.ValueBytes))
 					}
 					c.failOver()
 					c.store.SetFaults(fake.StoreFaults{})
 				}
-				c.waitUntil("the gang runs", 5*time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > 0 })
+				c.waitUntil("an attempt of the gang has begun", 5*time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > 0 })
 				if n := c.invariants.RunningTasksOf(gangID); n != tasks {
-					t.Errorf("%d tasks run once the gang has begun", n)
+					t.Errorf("%d tasks run once the gang has begun, want %d", n, tasks)
 				}
 				c.waitForStatuses(3*time.Minute, map[string]string{gangID: jobstore.StatusDone})
 				if got := c.cloud.Gangs.Counts(); got.Began != 1 || got.Incomplete != 0 {
-					t.Errorf("%+v", got)
+					t.Errorf("gang counts %+v, want Began:1 Incomplete:0", got)
 				}
 				if refused := c.store.Refusals(); refused.TooLarge != 0 {
-					t.Errorf("%d transactions refused as too large", refused.TooLarge)
+					t.Errorf("%d transactions refused for their size, want 0", refused.TooLarge)
 				}
 			})
 		})
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// What is bounded at many tasks, many jobs and thousands of machines: requests, writes and messages.
+// Bounds on requests, writes and messages with many tasks, many jobs and thousands of machines.
 
 import (
 	"sync"
@@ -13,9 +13,10 @@
 	"tulipshelf/internal/wire"
 )
 
-// A fifth of 4,000 machines hangs together, and the leader ends a moment later. The work done is bounded:
-// requests and changes at the store, requests to the cloud, messages from and to machines, and what is
-// rented. Everything runs in the end.
+// Guards against a mass failure that overloads the store, the cloud or the network: a fifth of 4,000
+// machines hangs at the same time, and the leader fails 2 s later. Requests and mutations at the store,
+// requests to the cloud, messages from and to machines, and machines rented are bounded. All jobs run in
+// the end.
 func TestLoadBoundedAtFourThousandMachines(t *testing.T) {
 	const machines, arrays, services = 4000, 48, 300
 	simulate(t, func(c *cluster) {
@@ -27,7 +28,7 @@
 		for i := range services {
 			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(100+i), job.Service, 1, 0))
 		}
-		c.waitUntil("most tasks run", 3*time.Minute, func() bool { return c.invariants.RunningTasks() > 10_000 })
+		c.waitUntil("more than 10,000 tasks run", 3*time.Minute, func() bool { return c.invariants.RunningTasks() > 10_000 })
 		hung := 0
 		for i, machine := range c.cloud.Machines() {
 			if i%5 == 0 {
@@ -40,12 +41,12 @@
 		old := c.leader()
 		c.kill(old)
 		c.waitForLeaderOtherThan(old, 10*time.Second)
-		c.waitUntil("the hung machines returned", 90*time.Second, func() bool { return len(c.cloud.Returned()) >= hung })
+		c.waitUntil("all hung machines returned", 90*time.Second, func() bool { return len(c.cloud.Returned()) >= hung })
 		c.start(old)
 		for i := range arrays {
-			c.waitUntil("array done", 4*time.Minute, c.isDone(jobID(i)))
+			c.waitUntil(jobID(i)+" done", 4*time.Minute, c.isDone(jobID(i)))
 		}
-		c.waitUntil("services run", time.Minute, func() bool { return c.invariants.RunningTasks() >= services })
+		c.waitUntil("all services run", time.Minute, func() bool { return c.invariants.RunningTasks() >= services })
 		seconds, after := time.Since(hungAt).Seconds(), c.countMessages()
 		const tasks = arrays*500 + services
 		for _, load := range []struct {
@@ -55,20 +56,21 @@
 		}{
 			{"requests to the store", after.toStore - before.toStore, 40 * seconds},
 			{"requests to the cloud", after.toCloud - before.toCloud, 2 * seconds},
-			{"changes at the store", after.storeChanges - before.storeChanges, tasks / 10},
+			{"mutations at the store", after.storeChanges - before.storeChanges, tasks / 10},
 			{"messages to machines", after.toMachines - before.toMachines, tasks / 3},
 			{"requests to controllers", after.toControllers - before.toControllers, machines * seconds / 4},
 			{"machines rented", len(c.cloud.Machines()) + len(c.cloud.Returned()), machines},
 		} {
 			if float64(load.count) > load.atMost {
-				t.Errorf("%d %s in %.0f s, at most %.0f expected", load.count, load.what, seconds, load.atMost)
+				t.Errorf("%d %s in %.0f s, want at most %.0f", load.count, load.what, seconds, load.atMost)
 			}
 		}
 	})
 }
 
-// What a job of one task costs the store from its acceptance to its end, where the leader has the
-// response to its own write of the end before a watch tells it of that.
+// Guards against superfluous writes per job: an array of one task costs five mutations at the store
+// from its acceptance to its end. Watches are delayed, so that the leader has the response to its
+// own write of the end before a watch reports that write.
 func TestStoreWritesPerSingleTaskJob(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.store.SetFaults(fake.StoreFaults{WatchDelay: time.Millisecond})
@@ -81,50 +83,52 @@
 			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(10+i), job.Array, 1, 4))
 		}
 		for i := range jobs {
-			c.waitUntil("done", 2*time.Minute, c.isDone(jobID(10+i)))
+			c.waitUntil(jobID(10+i)+" done", 2*time.Minute, c.isDone(jobID(10+i)))
 		}
 		time.Sleep(10 * time.Second)
-		// Accepted, started, its record and its tasks' record deleted; and ended.
+		// Four mutations of a job's records: its acceptance, its start, and the deletions of its record and of
+		// its tasks' record. One mutation records its end.
 		for i := range jobs {
 			records, ends := c.store.Changes(jobstore.JobKey(jobID(10+i))), c.store.Changes(jobstore.EndKey(jobID(10+i)))
 			if records != 4 || ends != 1 {
-				t.Errorf("%s: %d changes of its records and %d of its end", jobID(10+i), records, ends)
+				t.Errorf("%s: %d mutations of its records and %d of its end, want 4 and 1", jobID(10+i), records, ends)
 			}
 		}
-		// Those, and a few of the leader's own.
+		// Those five of each job, and a few of the leader's own.
 		if n := c.store.Changes("") - before; n > 5*jobs+10 {
-			t.Errorf("%d changes for %d jobs", n, jobs)
+			t.Errorf("%d mutations for %d jobs, want at most %d", n, jobs, 5*jobs+10)
 		}
 	})
 }
 
-// A large array of short tasks, a failover in the middle of it, and a service that is submitted
-// meanwhile: the changes that a task costs are bounded, few tasks run again that were not yet recorded
-// as done, and the service starts in time.
+// A failover happens in the middle of a large array of short tasks, and a service is submitted after
+// it: the mutations per task are bounded, only few tasks run again because they were not yet
+// recorded as done, and the service starts in time.
 func TestLargeArrayWritesBoundedAcrossFailover(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		const tasks = 6000
 		c.restartWithLargeFleet()
 		before := c.store.Changes("")
 		c.submit(0, newJob("wk-000001", job.Array, tasks, 4).withResources(0.25, 0.5).withPriority(lowPriority))
-		c.waitUntil("a third started", 3*time.Minute, func() bool { return len(c.invariants.StartsByTask()) > tasks/3 })
+		c.waitUntil("a third of the array's tasks started", 3*time.Minute, func() bool { return len(c.invariants.StartsByTask()) > tasks/3 })
 		c.failOver()
 		c.submitUntilAccepted(10*time.Second, 1, newJob("wk-000002", job.Service, 4, 0).withPriority(highPriority))
-		c.waitUntil("service runs beside it", 20*time.Second, func() bool {
+		c.waitUntil("all replicas of wk-000002 started beside the array", 20*time.Second, func() bool {
 			starts := c.invariants.StartsByTask()
 			return starts["wk-000002/0"]+starts["wk-000002/1"]+starts["wk-000002/2"]+starts["wk-000002/3"] == 4
 		})
-		c.waitUntil("array done", 5*time.Minute, c.isDone("wk-000001"))
+		c.waitUntil("wk-000001 done", 5*time.Minute, c.isDone("wk-000001"))
 		if restarts := c.restartsOf("wk-000001"); restarts > tasks/20 {
-			t.Errorf("%d of %d tasks ran again", restarts, tasks)
+			t.Errorf("%d restarts in an array of %d tasks, want at most %d", restarts, tasks, tasks/20)
 		}
 		if n := c.store.Changes("") - before; n > tasks/10 {
-			t.Errorf("%d changes for %d tasks", n, tasks)
+			t.Errorf("%d mutations for %d tasks, want at most %d", n, tasks, tasks/10)
 		}
 	})
 }
 
-// Four jobs of one task come a second for two minutes; a quarter of them is cancelled.
+// Four jobs of one task are submitted a second for two minutes, and a quarter of them is cancelled: each
+// job reaches the final state that the response to its cancellation gives, and the others are done.
 func TestStreamOfSingleTaskJobs(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -142,7 +146,7 @@
 				if i%4 == 0 {
 					time.Sleep(time.Duration(i%5) * time.Second)
 					var body statusBody
-					c.waitUntil("cancelled or done", time.Minute, func() bool {
+					c.waitUntil(id+" cancelled or done", time.Minute, func() bool {
 						resp := c.requestCancel((i+1)%controllers, id)
 						return resp.Status == 200 && wire.Unmarshal(resp.Body, &body) == nil
 					})
@@ -163,7 +167,7 @@
 			}
 		}
 		if cancelled < jobs/10 {
-			t.Errorf("only %d of %d were cancelled before they were done", cancelled, jobs)
+			t.Errorf("%d of %d jobs cancelled before they were done, want at least %d", cancelled, jobs, jobs/10)
 		}
 	})
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -11,33 +11,34 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// The ordinary path: an array runs once, its repeated submission is idempotent, and nothing of it is
-// left, neither in the store nor at the cloud.
+// An array without any fault: each task runs once, a repeated submission is idempotent, and after the
+// job's end neither a record in the store nor a machine at the cloud is left.
 func TestArrayRunsOnce(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		if got := c.submit(0, newJob("wk-000001", job.Array, 6, 5)); got != 201 {
-			t.Fatalf("submission: %d", got)
+			t.Fatalf("submission of wk-000001: status %d, want 201", got)
 		}
-		c.waitUntil("array done", time.Minute, c.isDone("wk-000001"))
+		c.waitUntil("wk-000001 done", time.Minute, c.isDone("wk-000001"))
 		c.checkStartedOnce()
-		// A repeated submission is answered with the status of the job, though it is invalid by now.
+		// A repeated submission is answered with the status of the job, even if its body is invalid.
 		invalid := newJob("wk-000001", job.Array, -1, 5)
 		if got := c.submit(1, invalid); got != 200 {
-			t.Errorf("retry of a known job: %d", got)
+			t.Errorf("repeated submission of wk-000001: status %d, want 200", got)
 		}
 		if got := c.status(0, "wk-000002"); got != "404" {
-			t.Errorf("unknown job: %s", got)
+			t.Errorf("query of the unknown job wk-000002: %s, want 404", got)
 		}
 		c.waitUntil("idle machines returned", 3*time.Minute, func() bool { return len(c.cloud.Machines()) == 0 })
 		if keys := c.store.Keys("job/"); len(keys) != 0 {
-			t.Errorf("left behind: %v", keys)
+			t.Errorf("records left in the store: %v, want none", keys)
 		}
 	})
 }
 
-// The users' rule: a job begins within four minutes, though work of higher priority, or smaller arrays,
-// wait all the time.
+// Guards against starvation of a job of low priority and of a large array: other arrays, which have a
+// higher priority or are smaller, wait all the time. The users' rule is that a job begins within four
+// minutes.
 func TestLowPriorityAndLargeJobsNotStarved(t *testing.T) {
 	low := newJob("wk-900000", job.Array, 40, 10).withPriority(lowPriority)
 	large := newJob("wk-900000", job.Array, 2000, 10)
@@ -53,32 +54,34 @@
 					time.Sleep(10 * time.Second)
 				}
 				if c.startsOf("wk-900000") == 0 {
-					t.Error("not begun within four minutes")
+					t.Error("no task of wk-900000 started within four minutes, want at least one")
 				}
 			})
 		})
 	}
 }
 
-// A team without a guarantee or a maximum runs on what others leave idle, yields it to work within a
-// guarantee, and is done in the end (docs/incidents/inc-bc39.md, inc-c8e5.md).
+// A team without a guarantee or a maximum uses the capacity that other teams leave idle, is
+// preempted for work within a guarantee, and completes its job in the end
+// (docs/incidents/inc-bc39.md, inc-c8e5.md).
 func TestTeamWithoutGuaranteeUsesIdleCapacity(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		opportunistic := newJob("wk-000001", job.Array, 40, 120).ofTeam(teamWithoutGuarantee).withPriority(highPriority)
 		if status := c.submit(0, opportunistic); status != 201 {
-			t.Fatalf("submission of the team without a guarantee: %d", status)
+			t.Fatalf("submission of the team without a guarantee: status %d, want 201", status)
 		}
 		c.waitUntilRunning(24, time.Minute)
 		c.submit(0, newJob("wk-000002", job.Array, 8, 20).withPriority(lowPriority))
-		c.waitUntil("work within the guarantee done", time.Minute, c.isDone("wk-000002"))
-		c.waitUntil("work without a guarantee done", 10*time.Minute, c.isDone("wk-000001"))
+		c.waitUntil("wk-000002, within the guarantee, done", time.Minute, c.isDone("wk-000002"))
+		c.waitUntil("wk-000001, without a guarantee, done", 10*time.Minute, c.isDone("wk-000001"))
 	})
 }
 
-// A team is at its maximum, its jobs are cancelled while half of its machines hang or are separated, and
-// the leader changes. What cannot be reached counts until it is proven gone (the invariant checker
-// adds up), and then other jobs of the team run.
+// Guards against a team that exceeds its maximum: it runs at the maximum, its jobs are cancelled
+// while half of their machines hang or are partitioned, and a failover follows. Tasks that cannot be
+// reached count against the quota until they are proven gone (the invariant checker adds up the
+// CPUs). After that, other jobs of the team run.
 func TestQuotaHoldsAcrossFailover(t *testing.T) {
 	for name, hang := range map[string]bool{"machines hang": true, "machines are separated": false} {
 		t.Run(name, func(t *testing.T) {
@@ -104,21 +107,22 @@
 				term := c.termOf(c.leader())
 				c.failOver()
 				if c.invariants.RunningTasks() == 0 {
-					t.Error("no task was left on the machines that cannot be reached")
+					t.Error("no task left on the unreachable machines, want some")
 				}
 				if now := c.termOf(c.leader()); now <= term {
-					t.Errorf("term %d after %d", now, term)
+					t.Errorf("term %d after the failover, want more than %d", now, term)
 				}
-				c.waitUntil("array done", 3*time.Minute, c.isDone("wk-000010"))
+				c.waitUntil("wk-000010 done", 3*time.Minute, c.isDone("wk-000010"))
 				c.heal()
 			})
 		})
 	}
 }
 
-// Jobs that fail on every machine are not blamed on the machines, are retried one task at a time with a
-// growing back-off, also by another leader, take neither room nor machines from other jobs, and stay
-// known until they are cancelled.
+// Guards against jobs that fail on every machine: the machines would be returned as faulty, and
+// retries would take capacity and machines from other jobs. The failures are not counted against the
+// machines. The jobs are retried one task at a time with a growing backoff, also after a failover,
+// and remain known until they are cancelled.
 func TestAlwaysFailingJobIsThrottled(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -127,32 +131,32 @@
 		}
 		starts := func() int { return c.startsOf(jobID(0)) + c.startsOf(jobID(1)) }
 		time.Sleep(20 * time.Second)
-		startsAtFirst := starts() // some start at once, before any has failed
+		startsAtFirst := starts() // includes tasks that started before the first failure
 		c.submit(0, newJob("wk-000010", job.Array, 24, 5))
-		c.waitUntil("the job that can succeed is done", 25*time.Second, c.isDone("wk-000010"))
+		c.waitUntil("wk-000010, which can succeed, done", 25*time.Second, c.isDone("wk-000010"))
 		c.failOver()
 		time.Sleep(2 * time.Minute)
 		if n := starts() - startsAtFirst; n > 60 {
-			t.Errorf("two jobs that always fail were started %d times more", n)
+			t.Errorf("%d more starts of two jobs that always fail, want at most 60", n)
 		}
 		if got := c.cloud.Returned(); len(got) > 24 {
-			t.Errorf("machines returned for jobs that always fail: %v", got)
+			t.Errorf("machines returned for jobs that always fail: %v, want at most 24", got)
 		}
 		if n := len(c.cloud.Machines()); n > 8 {
-			t.Errorf("%d machines kept for jobs that always fail", n)
+			t.Errorf("%d machines kept for jobs that always fail, want at most 8", n)
 		}
 		for i := range 2 {
 			if status := c.status(i, jobID(i)); status != "pending" && status != "running" {
-				t.Errorf("a job that always fails is %s", status)
+				t.Errorf("status of %s, which always fails: %s, want pending or running", jobID(i), status)
 			}
 			c.cancel(i, jobID(i))
 		}
-		c.waitUntil("all tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+		c.waitUntil("all cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 	})
 }
 
-// More work than the team's quota allows, of high and low priority, over slow links to the machines:
-// the quota holds, high priority runs first, and all is done in the end.
+// A team submits more work than its quota allows, of several priorities, over slow links to the
+// machines: the quota holds, work of high priority runs first, and all arrays are done in the end.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -176,15 +180,16 @@
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000010", job.Service, 8, 0).withPriority(highPriority))
 		c.waitUntilRunningOf("wk-000010", 8, 40*time.Second)
 		if c.status(0, jobID(0)) == jobstore.StatusDone && c.status(0, jobID(1)) == jobstore.StatusDone && c.status(0, jobID(5)) == jobstore.StatusDone {
-			t.Error("there was room for all")
+			t.Error("wk-000000, wk-000001 and wk-000005 are done once the service runs, want an overload that leaves one of them unfinished")
 		}
 		c.network.SetFaults(fake.NetworkFaults{})
 		c.waitForStatuses(5*time.Minute, want)
 	})
 }
 
-// Jobs that are bound to one zone, arrays among them, lose machines: they continue in their zone, and
-// nothing starts in another while a task may be left in the first.
+// Guards against zone-bound jobs, arrays among them, that run in two zones: they lose machines, and
+// a task could start in another zone while one may be left in the first. The jobs continue in their
+// zone.
 func TestZoneBoundJobsAfterMachineLoss(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartInTwoZones()
@@ -203,7 +208,7 @@
 			}
 			c.submitUntilAccepted(5*time.Second, i%controllers, request)
 		}
-		c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 24 })
+		c.waitUntil("at least 24 tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() >= 24 })
 		for round := range 3 {
 			for k, machine := range c.machinesWithTasks() {
 				if k%3 == round {
@@ -216,11 +221,11 @@
 			time.Sleep(12 * time.Second)
 		}
 		c.waitForStatuses(4*time.Minute, want)
-		c.waitUntil("all replicas run", 2*time.Minute, func() bool {
+		c.waitUntil("all replicas of both services run", 2*time.Minute, func() bool {
 			return c.invariants.RunningTasksOf(jobID(2)) == 4 && c.invariants.RunningTasksOf(jobID(5)) == 4
 		})
 		if len(c.cloud.Returned()) == 0 {
-			t.Error("no machine was lost")
+			t.Error("no machine returned, want those that hung")
 		}
 	})
 }
