--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -34,22 +34,22 @@
 
 // cancellationOutage is a fault that follows on a confirmed cancellation and the store's outage.
 type cancellationOutage struct {
-	name            string
-	leaderIsolated  bool // the old leader is separated from the other controllers as well as from the store
-	storeFailsLate  bool // the store fails only once the next leader has been elected, which reads nothing
-	inject          func(c *cluster, oldLeader, confirming int)
-	otherJobKeepsOn bool // tasks of a job that is not cancelled may not be lost
+	name                 string
+	leaderIsolated       bool // the old leader is separated from the other controllers as well as from the store
+	storeFailsOnElection bool // the store fails only once the next leader has been elected, which reads nothing
+	inject               func(c *cluster, oldLeader, confirming int)
+	otherJobSurvives     bool // tasks of a job that is not cancelled may not be lost
 }
 
 var cancellationOutages = []cancellationOutage{
-	{name: "no further fault", inject: func(*cluster, int, int) {}, otherJobKeepsOn: true},
+	{name: "no further fault", inject: func(*cluster, int, int) {}, otherJobSurvives: true},
 	{name: "confirming controller restarts", inject: func(c *cluster, _, confirming int) {
 		c.restartAfter(confirming, 3*time.Second)
-	}, otherJobKeepsOn: true},
+	}, otherJobSurvives: true},
 	{name: "old leader restarts within a second", inject: func(c *cluster, oldLeader, _ int) {
 		c.restartAfter(oldLeader, 300*time.Millisecond)
-	}, otherJobKeepsOn: true},
-	{name: "old leader isolated", leaderIsolated: true, inject: func(*cluster, int, int) {}, otherJobKeepsOn: true},
+	}, otherJobSurvives: true},
+	{name: "old leader isolated", leaderIsolated: true, inject: func(*cluster, int, int) {}, otherJobSurvives: true},
 	{name: "old leader isolated, confirming controller restarts", leaderIsolated: true, inject: func(c *cluster, _, confirming int) {
 		c.restartAfter(confirming, 3*time.Second)
 	}},
@@ -86,7 +86,7 @@
 		c.kill(oldLeader)
 		c.kill(confirming)
 	}},
-	{name: "machines hang, next leader has loaded no records", storeFailsLate: true, inject: func(c *cluster, oldLeader, _ int) {
+	{name: "machines hang, next leader has loaded no records", storeFailsOnElection: true, inject: func(c *cluster, oldLeader, _ int) {
 		c.hangMachines()
 		c.kill(oldLeader)
 		c.waitForLeader(10 * time.Second)
@@ -140,7 +140,7 @@
 	time.Sleep(300 * time.Millisecond)
 	c.cancel(confirming, cancelled)
 	confirmedAt := time.Now()
-	if outage.storeFailsLate {
+	if outage.storeFailsOnElection {
 		c.store.SetFaults(fake.StoreFaults{DownAfterPrefix: "lead/holder"})
 	} else {
 		c.beginStoreOutage()
@@ -156,12 +156,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	for end := confirmedAt.Add(afterDeadline); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := confirmedAt.Add(observationPeriod); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if n := c.invariants.RunningTasksOf(cancelled); n != 0 {
 			t.Fatalf("%d cancelled tasks are back", n)
 		}
 	}
-	if n, returned := c.invariants.RunningTasksOf(other), c.cloud.Returned(); outage.otherJobKeepsOn && (n != 4 || len(returned) != 0) {
+	if n, returned := c.invariants.RunningTasksOf(other), c.cloud.Returned(); outage.otherJobSurvives && (n != 4 || len(returned) != 0) {
 		t.Errorf("%d of 4 replicas that nobody cancelled are left, %v returned", n, returned)
 	}
 
@@ -173,9 +173,9 @@
 	c.waitUntilRunningOf(other, 4, 2*time.Minute)
 }
 
-// afterDeadline is how long after a confirmation a test goes on looking for cancelled tasks: until
+// observationPeriod is how long after a confirmation a test goes on looking for cancelled tasks: until
 // agents that missed everything have come back or are gone.
-const afterDeadline = 63 * time.Second
+const observationPeriod = 63 * time.Second
 
 // The same outage, with a start that the confirming controller has not heard of: the old leader has
 // recorded it, and the command arrives after the confirmation; or it has arrived just before, the
@@ -210,7 +210,7 @@
 					c.waitUntil("the starts are carried out", 12*time.Second, func() bool { return running() > 0 })
 				}
 				c.waitUntil("cancelled tasks gone", time.Until(confirmedAt.Add(cancelDeadline)), func() bool { return running() == 0 })
-				time.Sleep(time.Until(confirmedAt.Add(afterDeadline)))
+				time.Sleep(time.Until(confirmedAt.Add(observationPeriod)))
 				if n := running(); n != 0 {
 					t.Errorf("%d cancelled tasks left", n)
 				}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -66,7 +66,7 @@
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		leader := c.leader()
-		reignBefore := c.reignOf(leader)
+		leadershipBefore := c.reignOf(leader)
 		for i := range 5 {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
 			if status := c.heartbeat(leader, body); status != 421 {
@@ -74,7 +74,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if c.reignOf(leader) != reignBefore {
+		if c.reignOf(leader) != leadershipBefore {
 			t.Error("deposed")
 		}
 	})
