--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -1,7 +1,7 @@
 package controller
 
 // Cancellations that are confirmed just before the key-value store fails for longer than the deadline
-// in which their tasks must be gone.
+// within which their tasks must be gone.
 
 import (
 	"testing"
@@ -12,9 +12,10 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// The leader is separated from the store and its peers, but not from its machines. A job is cancelled
-// through the next leader, and then the store fails for longer than the deadline. The next leader
-// stops the tasks all the same: a recorded cancellation needs no further confirmation by the store.
+// Guards against cancelled tasks that run on until an outage of the store ends. The leader is
+// separated from the store and its peers, but not from its machines. A job is cancelled through
+// another controller, and then the store fails for longer than the deadline. The next leader halts the
+// tasks without the store: a recorded cancellation needs no further confirmation by it.
 func TestCancelThenStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -32,13 +33,14 @@
 	})
 }
 
-// cancellationOutage is a fault that follows on a confirmed cancellation and the store's outage.
+// cancellationOutage describes a further fault that follows a confirmed cancellation and an outage of
+// the store.
 type cancellationOutage struct {
 	name                 string
-	leaderIsolated       bool // the old leader is separated from the other controllers as well as from the store
-	storeFailsOnElection bool // the store fails only once the next leader has been elected, which reads nothing
+	leaderIsolated       bool // whether the old leader is separated from its peers too, not only from the store
+	storeFailsOnElection bool // whether the store fails only on the next election, before the leader reads
 	inject               func(c *cluster, oldLeader, confirming int)
-	otherJobSurvives     bool // tasks of a job that is not cancelled may not be lost
+	otherJobSurvives     bool // whether the tasks of a job that is not cancelled must keep running
 }
 
 var cancellationOutages = []cancellationOutage{
@@ -62,7 +64,7 @@
 		c.kill(confirming)
 		time.Sleep(2 * time.Second)
 		c.start(confirming)
-		time.Sleep(4 * time.Second) // it learns from the third what that knows
+		time.Sleep(4 * time.Second) // it receives the cancellations that the third controller holds
 		c.kill(thirdController(oldLeader, confirming))
 	}},
 	{name: "all controllers restart", inject: func(c *cluster, _, _ int) {
@@ -107,13 +109,15 @@
 	}},
 }
 
-// thirdController returns the controller that is neither of two.
+// thirdController returns the number of the controller that is neither a nor b.
 func thirdController(a, b int) int { return 0 + 1 + 2 - a - b }
 
-// The store refuses the leader alone, and another controller confirms a cancellation. At that moment
-// the store fails for all, for longer than the deadline, while agents still report to the old
-// leader. Whichever further fault follows, the tasks are gone in time and do not come back; a job
-// that is not cancelled keeps running where a controller is left that can tell the two apart.
+// Guards against cancelled tasks that run past the deadline because the store fails before the old
+// leader has read the cancellation. The leader is separated from the store, and another controller
+// confirms a cancellation. The store then fails for all controllers, for longer than the deadline,
+// while agents still send their heartbeats to the old leader. Whichever further fault follows, the
+// tasks are gone in time and do not start again. A job that is not cancelled keeps running where a
+// controller is left that holds the cancellation and so can distinguish the two.
 func TestCancelledTasksStopWhenStoreFailsAfterConfirmation(t *testing.T) {
 	for _, outage := range cancellationOutages {
 		t.Run(outage.name, func(t *testing.T) {
@@ -122,6 +126,7 @@
 	}
 }
 
+// testCancellationOutage checks the cancellation and the outage with one further fault.
 func testCancellationOutage(t *testing.T, c *cluster, outage cancellationOutage) {
 	const cancelled, other = "wk-000001", "wk-000002"
 	c.waitForElection()
@@ -173,13 +178,14 @@
 	c.waitUntilRunningOf(other, 4, 2*time.Minute)
 }
 
-// observationPeriod is how long after a confirmation a test goes on looking for cancelled tasks: until
-// agents that missed everything have come back or are gone.
+// observationPeriod is the period after a confirmation in which tests look for cancelled tasks. By its
+// end, agents that have missed all messages have contacted a controller again or are gone.
 const observationPeriod = 63 * time.Second
 
-// The same outage, with a start that the confirming controller has not heard of: the old leader has
-// recorded it, and the command arrives after the confirmation; or it has arrived just before, the
-// machine hangs, and the leader that sent it ends.
+// Guards against tasks of a cancelled job that are started by commands in flight. The store fails for
+// all controllers just after the confirmation. The old leader has recorded the starts, but the
+// confirming controller has not read them. Either the commands arrive after the confirmation, or they
+// have arrived just before it, the machines hang, and the leader that sent the commands crashes.
 func TestCancelledStartInFlightStopsWhenStoreFails(t *testing.T) {
 	for name, hang := range map[string]bool{"command is delayed": false, "machines hang and the leader ends": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Cancellations: once one is confirmed to a user, the tasks of the job are gone within the deadline and
-// none of them starts again.
+// Cancellations: once a cancellation is confirmed to a user, the tasks of the job are gone within the
+// deadline and none of them starts again.
 
 import (
 	"sync"
@@ -14,8 +14,8 @@
 )
 
 // Safety rule 6: a cancelled task on a machine that cannot be reached is gone within the deadline,
-// because the machine is returned, also in an outage of the store. So many machines hang that they
-// are not given up for missing heartbeats alone.
+// also in an outage of the store, because the machine is returned. All machines hang, which looks like
+// a network partition, so they are not returned for missing heartbeats alone.
 func TestCancelledTasksStopOnHungMachines(t *testing.T) {
 	for name, outage := range map[string]bool{"alone": false, "in an outage": true} {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +39,9 @@
 	}
 }
 
-// A job is cancelled while there is no leader, and none can be elected in the store's outage that
-// follows: the controllers to which agents turn stop the tasks that they know to be cancelled.
+// A job is cancelled while there is no leader, and the outage of the store that follows prevents an
+// election. The controllers that receive the agents' heartbeats halt the tasks of jobs that they hold
+// as cancelled.
 func TestCancelWithoutLeader(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -56,9 +57,10 @@
 	})
 }
 
-// A leader that is elected long after a cancellation stops the tasks where they are; it returns no
-// machine before that had the time to send it a heartbeat. Until then the tasks were kept by a
-// controller that could not learn of the cancellation.
+// Guards against a leader, elected long after a cancellation, that returns machines with cancelled
+// tasks before they have had the time to send it a heartbeat. It halts the tasks on the machines
+// instead. Until its election a controller that could not learn of the cancellation kept the tasks
+// running.
 func TestCancelLongBeforeElection(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -66,7 +68,7 @@
 		old := c.leader()
 		c.partition(func(from, to string) bool {
 			ofOldLeader := from == nodeAddr(old) || to == nodeAddr(old) || to == peerAddr(old)
-			if ofOldLeader { // it reaches machines and users only
+			if ofOldLeader { // reaches only machines and users
 				return !isMachine(from) && !isMachine(to) && !isUser(from)
 			}
 			return isMachine(from) && isController(to) || isController(from) && isMachine(to)
@@ -87,18 +89,21 @@
 	})
 }
 
-// A job is cancelled while the starts of its tasks cannot be recorded: the starts are dropped without
-// being sent, the job ends, and other jobs of the team get its share of the quota.
+// A job is cancelled while the starts of its tasks cannot be recorded. Guards against a cancelled job
+// that holds its part of the team's quota: the starts are dropped without being sent, the job ends,
+// and other jobs of the team run. Transactions of the job that are applied late do not restore its
+// records.
 func TestCancelBeforeStartsAreRecorded(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
-		c.runService(80) // of 96 that the team may use
+		c.runService(80) // 80 of the 96 CPUs that the team may use
 		c.store.SetFaults(fake.StoreFaults{HoldNext: 20, HoldPrefix: jobstore.JobKey("wk-000002") + "/"})
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 16, 0))
 		c.waitUntil("starts delayed", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
 		c.cancel(1, "wk-000002")
 		c.submitUntilAccepted(5*time.Second, 2, newJob("wk-000003", job.Array, 16, 5))
-		// Advancing the term would prove in half a minute that they were never sent; that is not needed.
+		// Advancing the term would prove that the starts were never sent, but only after half a minute.
+		// That proof is not needed here.
 		c.waitForStatuses(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
 		c.waitUntil("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 		if n := c.invariants.StartsByTask()["wk-000002/0"]; n != 0 {
@@ -113,8 +118,9 @@
 	})
 }
 
-// Jobs are cancelled in the seconds in which leadership passes from a controller that no machine
-// reaches to the next.
+// Jobs are cancelled during the seconds in which the leadership is transferred from a controller that
+// no machine reaches to another. Guards against tasks that are started after the confirmation, and
+// against tasks that end only because their machines are returned.
 func TestCancelDuringLeadershipTransfer(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -125,7 +131,7 @@
 		c.waitUntil("all run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
 		time.Sleep(12 * time.Second)
 		old := c.leader()
-		const delay = 100 * time.Millisecond // so that starts stay in flight for a while
+		const delay = 100 * time.Millisecond // keeps starts in flight for a while
 		c.store.SetFaults(fake.StoreFaults{Delay: delay})
 		c.partitionFromMachines(old)
 		cancelledUnder := map[int]int{} // cancellations by leader
@@ -133,10 +139,10 @@
 			time.Sleep(500 * time.Millisecond)
 			cancelledUnder[c.leader()]++
 			c.cancelUntilConfirmed(10*time.Second, i%controllers, jobID(i))
-			// And one that has just been accepted.
+			// A job that is cancelled just after it has been accepted.
 			small := newJob(jobID(100+i), job.Array, 8, 60).withResources(0.25, 0.5)
 			if i%4 == 0 {
-				// Its starts stay unrecorded.
+				// The starts of its tasks stay unrecorded.
 				c.store.SetFaults(fake.StoreFaults{Delay: delay, HoldNext: 3, HoldPrefix: jobstore.JobKey(jobID(100+i)) + "/"})
 			}
 			c.submitUntilAccepted(10*time.Second, i%controllers, small)
@@ -156,14 +162,14 @@
 	})
 }
 
-// A cancellation, a query or a repeated submission races with the end of a job's last task: the final
-// status that is answered first stays.
+// Cancellations, queries and repeated submissions race with the end of a job's last task. Guards
+// against two different final statuses in answers to users: the one that is answered first stays.
 func TestCancelRacesWithCompletion(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.storeRPS = 400
 		c.restartEach()
 		c.waitForElection()
-		c.runService(4) // so that machines are up
+		c.runService(4) // boots machines in advance
 		jobsByStatus := map[string]int{}
 		for i := 10; i < 60; i++ {
 			id := jobID(i)
@@ -171,9 +177,10 @@
 			c.submitUntilAccepted(10*time.Second, i%controllers, request)
 			c.waitUntilRunningOf(id, 1, 20*time.Second)
 			if i == 20 {
-				c.store.SetFaults(fake.StoreFaults{Delay: 60 * time.Millisecond}) // so that more requests overlap
+				c.store.SetFaults(fake.StoreFaults{Delay: 60 * time.Millisecond}) // makes more requests overlap
 			}
-			// Its task takes 3 s: from just before its end to just after it.
+			// The task takes 3 s. The delay varies by job, so that the requests are sent from just before
+			// the end of the task to just after it.
 			time.Sleep(3*time.Second - 20*time.Millisecond + time.Duration(i%20)*40*time.Millisecond)
 			var wg sync.WaitGroup
 			for node := range controllers {
@@ -198,8 +205,9 @@
 	})
 }
 
-// A controller that reaches none of the others confirms no cancellation while a task of the job may be
-// left; users who ask again are answered soon.
+// Guards against a controller without contact to the others that confirms a cancellation while a task
+// of the job may still run. The first request gets status 503. A user who asks again is answered
+// within seconds, once the tasks are gone.
 func TestIsolatedNodeConfirmsCancellationOnlyOnceTasksAreGone(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -227,8 +235,10 @@
 	})
 }
 
-// A new leader learns from the other controllers which tasks of cancelled jobs are gone, though their
-// ends could not be recorded, and returns no machine for them (docs/incidents/inc-b469.md).
+// Guards against a new leader that returns machines for tasks of cancelled jobs that are gone already
+// (docs/incidents/inc-b469.md). The end of the cancelled job could not be recorded, and the machines
+// have not sent the new leader a heartbeat. It learns from the other controllers that the tasks are
+// gone.
 func TestNewLeaderLearnsEndedCancelledTasksFromPeers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -243,7 +253,7 @@
 		time.Sleep(time.Second)
 		returnedBefore := c.cloud.Returned()
 		c.failOver()
-		time.Sleep(5 * time.Second) // machines without heartbeats are given up later
+		time.Sleep(5 * time.Second) // machines without heartbeats are returned only later
 		if returned := c.cloud.Returned(); len(returned) > len(returnedBefore) {
 			t.Errorf("returned %v, and before that %v", returned[len(returnedBefore):], returnedBefore)
 		}
@@ -254,8 +264,8 @@
 	})
 }
 
-// A zone with machines and a controller is separated for longer than a lease, while jobs there are
-// cancelled: their tasks are gone in time, those of other jobs are kept.
+// A zone with machines and a controller is separated from the rest for longer than a lease, while a
+// job with tasks there is cancelled. Its tasks are gone in time, and those of other jobs are kept.
 func TestCancelInPartitionedZone(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartInTwoZones()
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Elections and failovers: the term only grows, and what runs goes on under the next leader.
+// Elections and failovers: terms only increase, and tasks keep running under the next leader.
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// Safety rule 2: a new leader has a higher term, takes over what runs, and starts nothing again that
-// may still run.
+// Safety rule 2: a new leader has a higher term, takes over the running tasks, and does not start a
+// task again that may still run. The leader crashes while tasks of an array run.
 func TestFailoverKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -37,9 +37,10 @@
 	})
 }
 
-// A controller's servers see that it leads before the leader's event loop runs: heartbeats wait for
-// the loop, and are refused if the leadership ends first. A heartbeat in that moment once crashed the
-// process.
+// Guards against a crash of the process by a heartbeat that arrives between the election and the start
+// of the leader's event loop, as happened once: a controller's servers hand heartbeats to the leader
+// from its election on. Such heartbeats wait for the loop, and are refused if the leadership ends
+// first.
 func TestHeartbeatsWaitForLeaderLoop(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForLeader(10 * time.Second)
@@ -61,7 +62,8 @@
 	})
 }
 
-// A heartbeat with a fencing token that was never issued deposes nobody.
+// Guards against a leader that steps down because of an invalid heartbeat: its fencing token is higher
+// than the leader's, but was never issued.
 func TestUnissuedFencingTokenDeposesNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -80,8 +82,9 @@
 	})
 }
 
-// A process restarts at once, in the middle of elections, while transactions with which the earlier
-// ones claim the leadership are still to be applied: no term is used twice.
+// Guards against a term that is used twice. A controller restarts at once, several times, during
+// elections, while the transactions in which its earlier processes claimed the leadership have not
+// been applied yet.
 func TestRestartsDuringElection(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -93,7 +96,7 @@
 			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "lead/"})
 			c.kill(node)
 			c.start(node)
-			time.Sleep(200 * time.Millisecond) // its claim is in flight
+			time.Sleep(200 * time.Millisecond) // the claim is in flight
 			c.kill(node)
 			c.start(node)
 			c.store.ReleaseHeld()
@@ -110,8 +113,9 @@
 	})
 }
 
-// The leader changes ten times in two minutes, also in an outage of the store, while jobs are
-// submitted and cancelled.
+// The leader changes ten times in two minutes, twice during an outage of the store, while jobs are
+// submitted and cancelled: every job reaches its final status, and all replicas of a service still
+// run.
 func TestFrequentFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -127,7 +131,7 @@
 				want[jobID(i)] = c.status(i%controllers, jobID(i))
 			}
 			if i == 5 || i == 8 {
-				// Two changes at once: the leader ends in an outage, and restarts while the store
+				// Two faults at once: the leader crashes during an outage, and restarts while the store
 				// still names it as the leader.
 				c.beginStoreOutage()
 				c.restartAfter(c.leader(), 0)
@@ -152,11 +156,11 @@
 	})
 }
 
-// Arrays whose tasks end far apart, with failovers in between: each is done once all its tasks are,
-// neither sooner nor twice.
+// Guards against an array that is reported as done before all its tasks have completed, or whose tasks
+// start twice. The tasks of each array end far apart in time, with failovers in between.
 func TestSmallArraysCompleteOnceAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.teamCPUs = 4 // so that the third task of each begins when others have ended
+		c.teamCPUs = 4 // the third task of each array starts only after others have ended
 		c.restartEach()
 		c.waitForElection()
 		for i := range 4 {
@@ -184,8 +188,8 @@
 	})
 }
 
-// All controllers are down for longer than a lease: tasks are lost, but no accepted job is, and all
-// run again or are done.
+// Guards against the loss of accepted jobs when all controllers are down for longer than a lease. The
+// tasks end with their leases; afterwards every job runs again, completes, or stays cancelled.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -208,9 +212,10 @@
 	})
 }
 
-// A controller is separated while others write more than one response may carry, or more changes than
-// the store keeps. It loads the records again and serves within seconds; so does a leader, which
-// continues under a new term.
+// A controller that leads is separated from the store while so much is written that it cannot read the
+// missed changes afterwards: more bytes than one response carries, or more changes than the store
+// keeps. Once reconnected it reloads the records and serves users within seconds. A leader that has to
+// reload continues under a new term. No replica is started again.
 func TestNodeReloadsAfterMissingChanges(t *testing.T) {
 	for name, written := range map[string]struct{ changes, bytes int }{
 		"more bytes than a response carries": {1000, 6000},
@@ -240,7 +245,8 @@
 	}
 }
 
-// writeRecords makes so many changes under the prefix of the job records, with values of a size.
+// writeRecords writes to the store the given number of keys, rounded up to a multiple of 8, under the
+// prefix of the job records. Each value has the given size in bytes, before its encoding.
 func (c *cluster) writeRecords(changes, bytes int) {
 	c.t.Helper()
 	store := c.storeClient("writer")
--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Outages of the key-value store, and a store that answers slowly.
+// Outages and slow responses of the key-value store.
 
 import (
 	"testing"
@@ -12,8 +12,9 @@
 	"tulipshelf/internal/wire"
 )
 
-// In an outage of the store agents keep their leases, nothing starts, and no user is answered with
-// anything that is not durable.
+// Guards against an outage of the store, longer than a lease, that ends tasks or starts them again.
+// Agents keep their leases, nothing starts, and the controllers stay ready. Submissions and queries
+// get status 503: no user is answered with anything that is not durable.
 func TestStoreOutageKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -43,10 +44,11 @@
 	})
 }
 
-// All controllers restart, one after the other, in an outage that outlasts the agents' leases. They know
-// no term, but what each learned of cancellations from those before it. An agent that finds no other
-// controller keeps its tasks, and is now and then refused so that it looks for a leader
-// (docs/incidents/inc-008f.md).
+// Guards against the loss of all tasks when all controllers restart, one after the other, in an outage
+// that outlasts the agents' leases (docs/incidents/inc-008f.md). Afterwards no controller knows a
+// term. Each knows only the cancellations that the others held when it restarted. An agent that finds
+// no leader keeps its tasks. Its heartbeats are refused from time to time, so that it looks for a
+// leader.
 func TestAllControllersRestartInStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -75,8 +77,8 @@
 	})
 }
 
-// The store answers slowly while users cancel and query: they are answered all the same, leases are
-// renewed, and cancelled tasks are gone in time.
+// The store takes 350 ms longer for each request, while users cancel and query. Most queries are
+// answered nevertheless, leases are extended, and cancelled tasks are gone in time.
 func TestSlowStore(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
--- a/internal/controller/kvstore_transaction_test.go
+++ b/internal/controller/kvstore_transaction_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Transactions on the key-value store whose responses are lost, or that are applied late.
+// Transactions on the key-value store whose responses are lost, or that the store applies late.
 
 import (
 	"testing"
@@ -11,8 +11,9 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// Safety rule 1: nothing of a transaction without a response is acknowledged before it has been read
-// back, and one that is applied late is not applied twice.
+// Safety rule 1: a transaction without a response is acknowledged to a user only after its result has
+// been read back. Guards against tasks that start twice because a delayed submission is applied after
+// the user's retry.
 func TestUnacknowledgedTransactionsAreReadBack(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -31,15 +32,16 @@
 			t.Errorf("retry: %d", got)
 		}
 		c.store.ReleaseHeld()
-		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 2}) // the leader's own writes
+		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 2}) // affects the leader's own writes
 		c.waitUntil("first job done", 2*time.Minute, c.isDone("wk-000001"))
 		c.waitUntil("second job done", 2*time.Minute, c.isDone("wk-000002"))
 		c.checkStartedOnce()
 	})
 }
 
-// Transactions are applied at once and only their responses are lost, while other controllers read and
-// answer what was written: submissions, cancellations, starts, ends, elections.
+// About half of the transactions are applied at once but their responses are lost, while other
+// controllers read what was written and answer users with it: submissions, cancellations, starts,
+// ends, elections.
 func TestLostTransactionResponses(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -73,7 +75,7 @@
 }
 
 // One in four transactions has no response and is applied seconds later, after newer ones of the same
-// controller, while jobs are submitted, end and are cancelled and the leader changes.
+// controller. Meanwhile jobs are submitted, end and are cancelled, and the leader changes.
 func TestDelayedTransactionsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -90,7 +92,7 @@
 			}
 		}
 		c.store.SetFaults(fake.StoreFaults{})
-		time.Sleep(15 * time.Second) // the last delayed ones are applied
+		time.Sleep(15 * time.Second) // until the last delayed transactions have been applied
 		for i := range 12 {
 			want := jobstore.StatusDone
 			if cancelled[i] {
@@ -101,8 +103,9 @@
 	})
 }
 
-// Machines are up at once and get tasks while transactions are delayed, and the leader ends: no task
-// runs whose start is not recorded.
+// Guards against tasks that run before their start is recorded. Machines boot in half a second, so
+// they are ready for tasks while the transactions that record the starts are delayed. The leader then
+// crashes, and the delayed transactions are applied under the next one.
 func TestDelayedTransactionsOnFastBootingMachines(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Type.BootS, cloud.Capacity = 0.5, 24 })
@@ -120,7 +123,7 @@
 			}
 			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
 			c.waitUntil("tasks begin", time.Minute, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
-			// The next leader gets no heartbeat of these machines for a while, and has room elsewhere.
+			// The next leader receives no heartbeat of these machines for a while, and has capacity on others.
 			busy := addresses(c.machinesWithTasks())
 			c.partitionMachines(func(addr string) bool { return busy[addr] })
 			if i == 0 && time.Since(submittedAt) > 20*time.Second {
@@ -129,7 +132,7 @@
 			c.failOver()
 			time.Sleep(14 * time.Second)
 			c.heal()
-			c.store.ReleaseHeld() // what the earlier leader wrote
+			c.store.ReleaseHeld() // applies what the earlier leader wrote
 		}
 		if n := c.store.Unacknowledged(); n < 10 {
 			t.Errorf("only %d transactions were delayed", n)
--- a/internal/controller/machine_failure_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Machines that fail, hang, restart, do not respond or are about to be terminated.
+// Machines that fail, hang, restart, are unresponsive or have a termination notice.
 
 import (
 	"slices"
@@ -11,12 +11,13 @@
 	"tulipshelf/internal/job"
 )
 
-// A machine is returned on which tasks fail that succeed elsewhere.
+// A machine on which every task fails, though tasks succeed on others, is returned. Guards against a
+// full disk or a broken device on one machine that makes jobs fail.
 func TestFailingMachineIsReturned(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.runService(6)
-		machine := c.cloud.Machines()[0] // with the fewest tasks, so that it gets more
+		machine := c.cloud.Machines()[0] // the one with the fewest tasks, on which more will be placed
 		for _, other := range c.cloud.Machines() {
 			if other.TaskCount() < machine.TaskCount() {
 				machine = other
@@ -31,8 +32,8 @@
 	})
 }
 
-// A machine with a termination notice is drained: services move at once, tasks with checkpoints save
-// before the machine is taken, the others run on.
+// Machines with a termination notice are drained: services move at once, tasks with checkpoints save
+// one before the machine is taken and then move, and tasks without checkpoints stay where they are.
 func TestTerminationNoticeDrainsMachine(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -56,14 +57,15 @@
 	})
 }
 
-// A machine looks healthy of which heartbeats arrive while responses and commands do not reach it. It
-// is detected, gets no more tasks, and its own run elsewhere once it is returned.
+// Guards against a machine that looks healthy, as its heartbeats arrive, while no response and no
+// command reaches it. It is detected as unresponsive, gets no more tasks and is returned. Its tasks
+// then run on other machines.
 func TestUnresponsiveMachineIsReturned(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.runService(8)
-		// With one controller left, the agent comes back to it soon after each heartbeat that it
-		// takes for unanswered, so that it is never silent for long.
+		// With one controller left, the agent returns to it soon after each heartbeat without a
+		// response, so the machine is never silent for long.
 		leader := c.leader()
 		c.kill((leader + 1) % controllers)
 		c.kill((leader + 2) % controllers)
@@ -76,8 +78,9 @@
 	})
 }
 
-// All machines become unresponsive at the same moment: as no response comes back, their heartbeats go
-// from one controller to the next. They are detected and returned, and their tasks run on others.
+// All machines become unresponsive at the same time. Without responses their agents send heartbeats to
+// one controller after the other. The machines are detected and replaced, and their tasks run on
+// others.
 func TestAllUnresponsiveMachinesAreReplaced(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -97,7 +100,8 @@
 	})
 }
 
-// The leader ends while machines with services are unresponsive to the next one.
+// The leader crashes while a quarter of the machines, which run a service, are unresponsive: nothing
+// that the next leader sends reaches them. All replicas run again.
 func TestFailoverWithUnresponsiveMachines(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -113,8 +117,9 @@
 	})
 }
 
-// A machine restarts at once, under its name and with a new incarnation: what ran on it starts again.
-// It resembles an unresponsive one whose lease has expired, but it responds.
+// Guards against the return of a machine that has only rebooted. It is back at once, under its name
+// and with a new incarnation, and so resembles an unresponsive machine whose lease has expired, but it
+// responds. The tasks that ran on it start again.
 func TestRestartedMachineIsKept(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -129,8 +134,8 @@
 	})
 }
 
-// A machine that hangs is given up as soon as its heartbeats cease and it answers no probe, not only
-// after the time in which a machine that is merely partitioned may come back.
+// A machine that hangs is returned soon after its heartbeats stop and it has left a probe unanswered.
+// Guards against waiting for the time that a machine behind a network partition has to reconnect.
 func TestHungMachineIsReturnedPromptly(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -142,8 +147,8 @@
 	})
 }
 
-// When all machines are separated for a while, those whose last heartbeat is the oldest are not taken
-// for lost.
+// All machines are separated from everything for 11 s. Guards against a leader that treats as lost,
+// and returns, the machines whose last heartbeats were the oldest when the partition began.
 func TestPartitionedMachinesAreKept(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Partitions between controllers, machines and the key-value store, and requests that the network
-// delays or duplicates.
+// Network partitions between controllers, machines and the key-value store, and requests that the
+// network delays or duplicates.
 
 import (
 	"testing"
@@ -11,8 +11,9 @@
 	"tulipshelf/internal/job"
 )
 
-// A leader that is separated from the store alone learns from its peers that it is deposed. Without
-// that it keeps its machines until its lease on them is over.
+// Guards against a deposed leader that keeps its machines for as long as it may extend their leases.
+// The leader is separated from the store alone, and learns from its peers that another one was
+// elected.
 func TestLeaderPartitionedFromStoreStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -43,9 +44,9 @@
 	})
 }
 
-// A leader that is separated from its machines, but neither from the store nor from its peers, lets
-// another controller lead before the machines' leases expire. None of them is taken for unresponsive
-// when the requests arrive that the partition held back.
+// A leader that is separated from its machines, but neither from the store nor from its peers,
+// transfers the leadership before the machines' leases expire. No machine counts as unresponsive, and
+// is returned, because of requests that the partition held back and that arrive once it has healed.
 func TestLeaderPartitionedFromWorkersStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -65,8 +66,8 @@
 	})
 }
 
-// When the machines reach one controller only, and that is not the leader, it leads next, without
-// another in between that reaches none of them either.
+// The machines reach only one controller, which is not the leader. It is elected next, under the next
+// term. Guards against a term in between of the third controller, which reaches no machine either.
 func TestNodeThatReachesWorkersLeadsNext(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -89,8 +90,10 @@
 	})
 }
 
-// A leader that is separated from the store and the other controllers, but not from its machines, goes
-// on answering them. The new leader brings them its fencing token, and the old one refuses them.
+// Guards against a deposed leader that keeps its machines because it still answers their heartbeats:
+// it is separated from the store and the other controllers, but not from the machines. The new leader
+// sends the machines its fencing token, and the old leader refuses heartbeats that carry this higher
+// token.
 func TestDeposedLeaderLosesItsWorkers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -113,8 +116,9 @@
 	})
 }
 
-// A controller that is separated from the leader renews the leases of the machines on its side, so that
-// a partition between zones stops no task (docs/incidents/inc-008f.md).
+// Guards against a partition between zones that ends tasks (docs/incidents/inc-008f.md). The machines
+// and one controller are separated from the leader for longer than a lease. That controller extends
+// the leases in the leader's place.
 func TestPartitionedZoneKeepsLeases(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -129,8 +133,8 @@
 	})
 }
 
-// Commands arrive, and are carried out, after their sender has given up waiting, while the leader
-// changes and jobs are cancelled.
+// Commands arrive and are executed only after the requests that carry them have timed out, while the
+// leader changes and a job is cancelled.
 func TestDelayedCommandsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -152,9 +156,10 @@
 	})
 }
 
-// Every request that was carried out arrives again, within a second and after more than a lease:
-// heartbeats, commands, transactions, rentals and returns, submissions and cancellations, heartbeats
-// between controllers. Tasks run once, users' answers stay true, and nothing is rented twice.
+// Every request that was delivered is delivered again, within a second and up to more than a lease
+// later: heartbeats, commands, transactions, rentals and returns, submissions and cancellations,
+// heartbeats between controllers. Guards against tasks that start twice, answers to users that
+// contradict earlier ones, and machines that are rented twice.
 func TestDuplicatedRequests(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
