--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -94,7 +94,7 @@
 		c.waitForLeader(10 * time.Second)
 		time.Sleep(5 * time.Second)
 		if c.hasLoadedRecords(c.leader()) {
-			c.t.Error("the next leader has loaded the records")
+			c.t.Error("the next leader has loaded the records, want none loaded in the outage")
 		}
 	}},
 	{name: "machines hang and resume, old leader isolated", leaderIsolated: true, inject: func(c *cluster, _, _ int) {
@@ -151,30 +151,30 @@
 		c.beginStoreOutage()
 	}
 	if !c.isLeader(oldLeader) {
-		t.Error("the leader is not left with its machines")
+		t.Error("the old leader has lost the leadership, want it to lead when the store fails")
 	}
 	outage.inject(c, oldLeader, confirming)
 
 	for c.invariants.RunningTasksOf(cancelled) > 0 {
 		if time.Since(confirmedAt) > cancelDeadline {
-			t.Fatalf("%d cancelled tasks left", c.invariants.RunningTasksOf(cancelled))
+			t.Fatalf("cancelled tasks running after the deadline of %v: %d, want 0", cancelDeadline, c.invariants.RunningTasksOf(cancelled))
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	for end := confirmedAt.Add(observationPeriod); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if n := c.invariants.RunningTasksOf(cancelled); n != 0 {
-			t.Fatalf("%d cancelled tasks are back", n)
+			t.Fatalf("cancelled tasks running again: %d, want 0", n)
 		}
 	}
 	if n, returned := c.invariants.RunningTasksOf(other), c.cloud.Returned(); outage.otherJobSurvives && (n != 4 || len(returned) != 0) {
-		t.Errorf("%d of 4 replicas that nobody cancelled are left, %v returned", n, returned)
+		t.Errorf("replicas running of the job that is not cancelled: %d, want 4; machines returned: %v, want none", n, returned)
 	}
 
 	c.restartEach()
 	c.resumeMachines()
 	c.heal()
 	c.endStoreOutage()
-	c.waitUntil("cancellation answered", 20*time.Second, func() bool { return c.status(oldLeader, cancelled) == jobstore.StatusCancelled })
+	c.waitUntil("job reported as cancelled", 20*time.Second, func() bool { return c.status(oldLeader, cancelled) == jobstore.StatusCancelled })
 	c.waitUntilRunningOf(other, 4, 2*time.Minute)
 }
 
@@ -211,14 +211,14 @@
 					c.kill(old)
 				} else {
 					if n := running(); n != 0 {
-						t.Fatalf("%d tasks run already", n)
+						t.Fatalf("tasks running before the delayed commands arrive: %d, want 0", n)
 					}
-					c.waitUntil("the starts are carried out", 12*time.Second, func() bool { return running() > 0 })
+					c.waitUntil("delayed starts executed", 12*time.Second, func() bool { return running() > 0 })
 				}
 				c.waitUntil("cancelled tasks gone", time.Until(confirmedAt.Add(cancelDeadline)), func() bool { return running() == 0 })
 				time.Sleep(time.Until(confirmedAt.Add(observationPeriod)))
 				if n := running(); n != 0 {
-					t.Errorf("%d cancelled tasks left", n)
+					t.Errorf("cancelled tasks running: %d, want 0", n)
 				}
 				if hang {
 					c.start(old)
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -27,12 +27,12 @@
 				if outage {
 					c.beginStoreOutage()
 				}
-				c.waitUntil("task gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
+				c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 				c.endStoreOutage()
-				c.waitUntil("answered", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
+				c.waitUntil("job reported as cancelled", 5*time.Second, func() bool { return c.status(0, "wk-000001") == jobstore.StatusCancelled })
 				time.Sleep(time.Minute)
 				if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
-					t.Errorf("started %d times", n)
+					t.Errorf("cancelled task wk-000001/0 was started %d times, want 1", n)
 				}
 			})
 		})
@@ -53,7 +53,7 @@
 		c.waitUntil("cancelled tasks gone", cancelDeadline, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.start(old)
 		c.endStoreOutage()
-		c.waitUntil("answered", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
+		c.waitUntil("job reported as cancelled", 15*time.Second, func() bool { return c.status(old, "wk-000001") == jobstore.StatusCancelled })
 	})
 }
 
@@ -77,14 +77,14 @@
 		c.beginStoreOutage()
 		time.Sleep(32 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 8 {
-			t.Errorf("%d of 8 tasks run at the end of the outage", n)
+			t.Errorf("tasks running at the end of the outage: %d, want 8", n)
 		}
 		c.partitionFromStore(old)
 		c.endStoreOutage()
 		c.waitUntil("cancelled tasks gone", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
 		time.Sleep(3 * time.Second)
 		if got := c.cloud.Returned(); len(got) != 0 {
-			t.Errorf("returned %v", got)
+			t.Errorf("machines returned: %v, want none", got)
 		}
 	})
 }
@@ -99,21 +99,21 @@
 		c.runService(80) // 80 of the 96 CPUs that the team may use
 		c.store.SetFaults(fake.StoreFaults{HoldNext: 20, HoldPrefix: jobstore.JobKey("wk-000002") + "/"})
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Service, 16, 0))
-		c.waitUntil("starts delayed", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
+		c.waitUntil("transactions that record the starts held back", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
 		c.cancel(1, "wk-000002")
 		c.submitUntilAccepted(5*time.Second, 2, newJob("wk-000003", job.Array, 16, 5))
 		// Advancing the term would prove that the starts were never sent, but only after half a minute.
 		// That proof is not needed here.
 		c.waitForStatuses(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
-		c.waitUntil("the job ended", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
+		c.waitUntil("end of the job recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 		if n := c.invariants.StartsByTask()["wk-000002/0"]; n != 0 {
-			t.Errorf("started %d times", n)
+			t.Errorf("cancelled task wk-000002/0 was started %d times, want 0", n)
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		c.store.ReleaseHeld()
 		time.Sleep(5 * time.Second)
 		if keys := c.store.Keys(jobstore.JobKey("wk-000002")); len(keys) > 0 {
-			t.Errorf("late transactions brought back %v", keys)
+			t.Errorf("records of the ended job after the late transactions: %v, want none", keys)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 		for i := range jobs {
 			c.submitUntilAccepted(5*time.Second, i%controllers, newJob(jobID(i), job.Service, 2, 0))
 		}
-		c.waitUntil("all run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
+		c.waitUntil("all tasks run", time.Minute, func() bool { return c.invariants.RunningTasks() == 2*jobs })
 		time.Sleep(12 * time.Second)
 		old := c.leader()
 		const delay = 100 * time.Millisecond // keeps starts in flight for a while
@@ -150,14 +150,14 @@
 			c.cancelUntilConfirmed(10*time.Second, (i+1)%controllers, jobID(100+i))
 		}
 		if cancelledUnder[old] < 5 || cancelledUnder[old] > jobs-5 {
-			t.Errorf("cancelled by leader: %v, the first is %d", cancelledUnder, old)
+			t.Errorf("cancellations by leader: %v, want 5 to %d under the old leader %d", cancelledUnder, jobs-5, old)
 		}
 		c.waitUntil("all tasks stopped, without waiting for machines to be returned", 15*time.Second, func() bool { return c.invariants.RunningTasks() == 0 })
 		c.heal()
 		c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Delay = 0 })
 		c.waitUntil("all ends recorded", time.Minute, func() bool { return len(c.store.Keys(jobstore.JobPrefix)) == 0 })
 		if n := c.invariants.StartsAfterCancellation(); n != 0 {
-			t.Errorf("%d tasks were started after their cancellation was confirmed", n)
+			t.Errorf("tasks started after their cancellation was confirmed: %d, want 0", n)
 		}
 	})
 }
@@ -200,7 +200,7 @@
 			jobsByStatus[c.status(i%controllers, id)]++
 		}
 		if jobsByStatus[jobstore.StatusDone] == 0 || jobsByStatus[jobstore.StatusCancelled] == 0 {
-			t.Errorf("no race was won by either side: %v", jobsByStatus)
+			t.Errorf("jobs by final status: %v, want some of each of %s and %s", jobsByStatus, jobstore.StatusDone, jobstore.StatusCancelled)
 		}
 	})
 }
@@ -221,15 +221,15 @@
 				return false
 			}
 			if running != 0 {
-				t.Errorf("confirmed by one controller alone, with %d tasks running", running)
+				t.Errorf("cancellation confirmed by the isolated controller with %d tasks running, want 0", running)
 			}
 			return true
 		}
 		first := make(chan int, 1)
 		go func() { first <- c.requestCancel(isolated, "wk-000001").Status }()
-		c.waitUntil("answered", 10*time.Second, confirmed)
+		c.waitUntil("job reported as cancelled", 10*time.Second, confirmed)
 		if status := <-first; status != 503 {
-			t.Errorf("confirmed by one controller alone: %d", status)
+			t.Errorf("first cancellation at the isolated controller: status %d, want 503", status)
 		}
 		c.cancel(isolated, "wk-000001")
 	})
@@ -255,12 +255,12 @@
 		c.failOver()
 		time.Sleep(5 * time.Second) // machines without heartbeats are returned only later
 		if returned := c.cloud.Returned(); len(returned) > len(returnedBefore) {
-			t.Errorf("returned %v, and before that %v", returned[len(returnedBefore):], returnedBefore)
+			t.Errorf("machines returned after the failover: %v, want none; returned before it: %v", returned[len(returnedBefore):], returnedBefore)
 		}
 		c.heal()
 		c.store.SetFaults(fake.StoreFaults{})
 		c.waitForStatuses(20*time.Second, map[string]string{"wk-000002": jobstore.StatusCancelled})
-		c.waitUntil("the end is recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
+		c.waitUntil("end of the job recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 	})
 }
 
@@ -296,7 +296,7 @@
 			return c.invariants.RunningTasksOf(jobID(1)) == 8 && c.invariants.RunningTasksOf(jobID(2)) == 8
 		})
 		if n := c.invariants.StartsByTask()[jobID(2)+"/0"]; n != 1 {
-			t.Errorf("a replica outside was started %d times", n)
+			t.Errorf("a replica outside the separated zone was started %d times, want 1", n)
 		}
 	})
 }
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -29,7 +29,7 @@
 		c.kill(old)
 		c.waitForLeaderOtherThan(old, 10*time.Second)
 		if now := c.termOf(c.leader()); now <= term {
-			t.Errorf("term %d after %d", now, term)
+			t.Errorf("term after the failover: %d, want above %d", now, term)
 		}
 		c.start(old)
 		c.waitUntil("array done", 2*time.Minute, c.isDone("wk-000001"))
@@ -52,12 +52,12 @@
 		}()
 		synctest.Wait()
 		if unstarted.queuedEvents() == 0 || resp.Status != 0 {
-			t.Errorf("%d heartbeats wait, answered %d", unstarted.queuedEvents(), resp.Status)
+			t.Errorf("before the loop runs: %d heartbeats queued, want at least 1; response status %d, want 0 (none)", unstarted.queuedEvents(), resp.Status)
 		}
 		unstarted.end()
 		synctest.Wait()
 		if resp.Status != 503 {
-			t.Errorf("answered %d", resp.Status)
+			t.Errorf("heartbeat after the end of the leadership: status %d, want 503", resp.Status)
 		}
 	})
 }
@@ -72,12 +72,12 @@
 		for i := range 5 {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
 			if status := c.heartbeat(leader, body); status != 421 {
-				t.Errorf("answered %d", status)
+				t.Errorf("heartbeat with a token that was never issued: status %d, want 421", status)
 			}
 			time.Sleep(time.Second)
 		}
 		if c.reignOf(leader) != leadershipBefore {
-			t.Error("deposed")
+			t.Errorf("leadership of controller %d has ended, want it to continue after a token that was never issued", leader)
 		}
 	})
 }
@@ -103,7 +103,7 @@
 			c.waitForLeader(20 * time.Second)
 			term := c.termOf(c.leader())
 			if term <= last {
-				t.Errorf("term %d after %d", term, last)
+				t.Errorf("term after a restart during the election: %d, want above %d", term, last)
 			}
 			last = term
 			time.Sleep(3 * time.Second)
@@ -144,14 +144,14 @@
 			time.Sleep(time.Until(begin.Add(time.Duration(i-1) * 12 * time.Second)))
 		}
 		if took := time.Since(begin); took > 125*time.Second {
-			t.Errorf("ten failovers took %v", took)
+			t.Errorf("ten failovers took %v, want at most 125s", took)
 		}
 		if last := c.termOf(c.leader()); last < first+10 {
-			t.Errorf("terms %d to %d", first, last)
+			t.Errorf("term after ten failovers: %d, want at least %d", last, first+10)
 		}
 		c.waitForStatuses(3*time.Minute, want)
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 6 {
-			t.Errorf("%d of 6 replicas run", n)
+			t.Errorf("replicas running at the end: %d, want 6", n)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 					}
 				}
 				if status := c.status(i%controllers, jobID(i)); status == jobstore.StatusDone && ended < 3 {
-					t.Errorf("%s is answered as done with %d of 3 tasks", jobID(i), ended)
+					t.Errorf("%s is reported as done with %d tasks completed, want 3", jobID(i), ended)
 				}
 			}
 		}
@@ -201,13 +201,13 @@
 		c.killAll()
 		time.Sleep(40 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 0 {
-			t.Errorf("%d tasks run after their leases", n)
+			t.Errorf("tasks running after their leases have expired: %d, want 0", n)
 		}
 		c.startAll()
 		c.waitUntilRunningOf("wk-000001", 6, time.Minute)
 		c.waitForStatuses(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled})
 		if n := c.invariants.StartsByTask()["wk-000003/0"]; n != 1 {
-			t.Errorf("a cancelled task was started %d times", n)
+			t.Errorf("cancelled task wk-000003/0 was started %d times, want 1", n)
 		}
 	})
 }
@@ -231,14 +231,14 @@
 				before := c.storedTerm()
 				c.writeRecords(written.changes, written.bytes)
 				c.heal()
-				c.waitUntil("the separated controller answers", 10*time.Second, func() bool { return c.status(separated, "wk-000001") == "running" })
+				c.waitUntil("the separated controller reports the service as running", 10*time.Second, func() bool { return c.status(separated, "wk-000001") == "running" })
 				c.submitUntilAccepted(10*time.Second, separated, newJob("wk-000002", job.Array, 4, 5))
-				c.waitUntil("done", time.Minute, func() bool { return c.status(separated, "wk-000002") == jobstore.StatusDone })
+				c.waitUntil("the separated controller reports the array as done", time.Minute, func() bool { return c.status(separated, "wk-000002") == jobstore.StatusDone })
 				if now := c.storedTerm(); now > before+2 {
-					t.Errorf("terms %d to %d", before, now)
+					t.Errorf("term after the partition: %d, want at most %d", now, before+2)
 				}
 				if n := c.startsOf("wk-000001"); n != 2 {
-					t.Errorf("2 replicas were started %d times", n)
+					t.Errorf("starts of 2 replicas: %d, want 2", n)
 				}
 			})
 		})
@@ -258,7 +258,7 @@
 			mutations = append(mutations, kvstore.Mutation{Put: key, Value: wire.Marshal(strings.Repeat("x", bytes))})
 		}
 		if _, err := store.Txn(c.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
-			c.t.Fatal(err)
+			c.t.Fatalf("write of records %d to %d: %v", first, first+perTransaction-1, err)
 		}
 	}
 }
--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -21,25 +21,25 @@
 		c.runService(2)
 		c.beginStoreOutage()
 		if got := c.submit(0, newJob("wk-000002", job.Array, 1, 1)); got != 503 {
-			t.Errorf("submission in an outage: %d", got)
+			t.Errorf("submission in an outage: status %d, want 503", got)
 		}
 		if got := c.status(1, "wk-000001"); got != "503" {
-			t.Errorf("query in an outage: %s", got)
+			t.Errorf("query in an outage: status %s, want 503", got)
 		}
 		time.Sleep(40 * time.Second) // longer than the agents' lease
 		for i := range controllers {
 			if got := c.request(i, "GET", "/ready", nil).Status; got != 200 {
-				t.Errorf("node %d is not ready in an outage: %d", i, got)
+				t.Errorf("readiness of controller %d in an outage: status %d, want 200", i, got)
 			}
 		}
 		if c.invariants.RunningTasks() != 2 {
-			t.Errorf("%d of 2 replicas run", c.invariants.RunningTasks())
+			t.Errorf("replicas running in an outage: %d, want 2", c.invariants.RunningTasks())
 		}
 		c.endStoreOutage()
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Array, 1, 1))
 		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
-			t.Errorf("replica started %d times", n)
+			t.Errorf("replica 0 was started %d times, want 1", n)
 		}
 	})
 }
@@ -62,12 +62,12 @@
 		for i, want := range []int{200, 421} {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1})
 			if status := c.heartbeat(0, body); status != want {
-				t.Errorf("heartbeat %d of an agent: %d, want %d", i+1, status, want)
+				t.Errorf("heartbeat %d of an agent: status %d, want %d", i+1, status, want)
 			}
 		}
 		time.Sleep(70 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 8 {
-			t.Errorf("%d of 8 replicas run", n)
+			t.Errorf("replicas running after all controllers have restarted: %d, want 8", n)
 		}
 		c.endStoreOutage()
 		c.submit(0, newJob("wk-000002", job.Array, 2, 5))
@@ -96,14 +96,14 @@
 			time.Sleep(time.Second)
 		}
 		if answered < 15 {
-			t.Errorf("%d of 20 queries answered", answered)
+			t.Errorf("%d of 20 queries were answered with status running, want at least 15", answered)
 		}
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 0 {
-			t.Errorf("%d cancelled tasks left", n)
+			t.Errorf("cancelled tasks running: %d, want 0", n)
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		if n := c.invariants.RunningTasksOf("wk-000002"); n != 4 || c.invariants.StartsByTask()["wk-000002/0"] != 1 {
-			t.Errorf("%d of 4 replicas run, started %d times", n, c.invariants.StartsByTask()["wk-000002/0"])
+			t.Errorf("replicas running: %d, want 4; replica 0 was started %d times, want 1", n, c.invariants.StartsByTask()["wk-000002/0"])
 		}
 	})
 }
--- a/internal/controller/kvstore_transaction_test.go
+++ b/internal/controller/kvstore_transaction_test.go
@@ -19,17 +19,17 @@
 		c.waitForElection()
 		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 1})
 		if got := c.submit(0, newJob("wk-000001", job.Array, 4, 5)); got != 200 {
-			t.Errorf("applied, response lost: %d, want 200 after reading back", got)
+			t.Errorf("submission that is applied without a response: status %d, want 200 after reading back", got)
 		}
 		c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: jobstore.JobKey("wk-000002")})
 		if got := c.submit(0, newJob("wk-000002", job.Array, 4, 5)); got != 503 {
-			t.Errorf("delayed: %d, want 503", got)
+			t.Errorf("submission that is delayed: status %d, want 503", got)
 		}
 		if got := c.status(1, "wk-000002"); got != "404" {
-			t.Errorf("not accepted yet: %s", got)
+			t.Errorf("query for a job that is not accepted yet: status %s, want 404", got)
 		}
 		if got := c.submit(1, newJob("wk-000002", job.Array, 4, 5)); got != 201 {
-			t.Errorf("retry: %d", got)
+			t.Errorf("retry of the delayed submission: status %d, want 201", got)
 		}
 		c.store.ReleaseHeld()
 		c.store.SetFaults(fake.StoreFaults{LoseNextResponses: 2}) // affects the leader's own writes
@@ -54,12 +54,12 @@
 				defer close(accepted)
 				c.submitUntilAccepted(time.Minute, i%controllers, newJob(id, job.Array, 3, 4))
 			}()
-			c.waitUntil("another controller knows the job", time.Minute, func() bool { return c.status((i+1)%controllers, id) != "404" })
+			c.waitUntil("job found by another controller", time.Minute, func() bool { return c.status((i+1)%controllers, id) != "404" })
 			<-accepted
 			want[id] = jobstore.StatusDone
 			if i%4 == 1 {
 				c.cancelUntilConfirmed(time.Minute, (i+2)%controllers, id)
-				c.waitUntil("final status answered", time.Minute, func() bool { return progressOf(c.status(i%controllers, id)) == final })
+				c.waitUntil("final status reported", time.Minute, func() bool { return progressOf(c.status(i%controllers, id)) == final })
 				want[id] = c.status(i%controllers, id)
 			}
 			if i%8 == 7 {
@@ -68,7 +68,7 @@
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		if n := c.store.Unacknowledged(); n < 15 {
-			t.Errorf("only %d transactions had no response", n)
+			t.Errorf("transactions without a response: %d, want at least 15", n)
 		}
 		c.waitForStatuses(2*time.Minute, want)
 	})
@@ -119,15 +119,15 @@
 			want[jobID(i)] = jobstore.StatusDone
 			time.Sleep(5 * time.Second)
 			if n := c.invariants.RunningTasksOf(jobID(i)); n != 0 {
-				t.Errorf("%d tasks run whose starts are not recorded", n)
+				t.Errorf("tasks running whose starts are not recorded: %d, want 0", n)
 			}
 			c.store.SetFaults(fake.StoreFaults{DelayOneWriteIn: 3})
-			c.waitUntil("tasks begin", time.Minute, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
+			c.waitUntil("tasks run", time.Minute, func() bool { return c.invariants.RunningTasksOf(jobID(i)) > 0 })
 			// The next leader receives no heartbeat of these machines for a while, and has capacity on others.
 			busy := addresses(c.machinesWithTasks())
 			c.partitionMachines(func(addr string) bool { return busy[addr] })
 			if i == 0 && time.Since(submittedAt) > 20*time.Second {
-				t.Errorf("first tasks begin after %v", time.Since(submittedAt))
+				t.Errorf("first tasks run %v after their submission, want at most 20s", time.Since(submittedAt))
 			}
 			c.failOver()
 			time.Sleep(14 * time.Second)
@@ -135,7 +135,7 @@
 			c.store.ReleaseHeld() // applies what the earlier leader wrote
 		}
 		if n := c.store.Unacknowledged(); n < 10 {
-			t.Errorf("only %d transactions were delayed", n)
+			t.Errorf("delayed transactions: %d, want at least 10", n)
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		c.waitForStatuses(3*time.Minute, want)
--- a/internal/controller/machine_failure_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -47,12 +47,12 @@
 		}
 		c.waitUntil("service moved", 25*time.Second, func() bool { return c.invariants.StartsByTask()["wk-000001/0"] == 2 })
 		if c.invariants.StartsByTask()["wk-000002/0"] != 1 || time.Since(noticedAt) > 20*time.Second {
-			t.Errorf("task with checkpoints was moved %v after the notice", time.Since(noticedAt))
+			t.Errorf("service moved %v after the notice, want at most 20s; starts of the task with checkpoints by that time: %d, want 1", time.Since(noticedAt), c.invariants.StartsByTask()["wk-000002/0"])
 		}
 		c.waitUntil("task with checkpoints moved", 40*time.Second, func() bool { return c.invariants.StartsByTask()["wk-000002/0"] == 2 })
-		c.waitUntil("other task done where it was", time.Minute, func() bool { return c.invariants.Completed("wk-000003/0") })
+		c.waitUntil("task without checkpoints done", time.Minute, func() bool { return c.invariants.Completed("wk-000003/0") })
 		if n := c.invariants.StartsByTask()["wk-000003/0"]; n != 1 {
-			t.Errorf("task without checkpoints was started %d times", n)
+			t.Errorf("task without checkpoints was started %d times, want 1", n)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 		c.waitUntilRunning(12, 15*time.Second)
 		time.Sleep(15 * time.Second)
 		if got := c.cloud.Returned(); slices.Contains(got, machine.Name) {
-			t.Errorf("returned %v", got)
+			t.Errorf("machines returned: %v, want %s kept, as it has only restarted", got, machine.Name)
 		}
 	})
 }
@@ -159,7 +159,7 @@
 		c.heal()
 		time.Sleep(20 * time.Second)
 		if got := c.cloud.Returned(); len(got) != 0 {
-			t.Errorf("returned %v", got)
+			t.Errorf("machines returned: %v, want none", got)
 		}
 		c.checkStartedOnce()
 	})
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -32,14 +32,14 @@
 			return true
 		})
 		if got := c.status(old, "wk-000001"); got != "503" {
-			t.Errorf("query at the separated controller: %s, want 503", got)
+			t.Errorf("query at the separated controller: status %s, want 503", got)
 		}
 		if got := c.request(old, "GET", "/ready", nil).Status; got != 503 {
-			t.Errorf("readiness of the separated controller: %d, want 503", got)
+			t.Errorf("readiness of the separated controller: status %d, want 503", got)
 		}
 		c.heal()
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 2 {
-			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+			t.Errorf("replica 0 was started %d times, want 1; replicas running: %d, want 2", n, c.invariants.RunningTasks())
 		}
 	})
 }
@@ -61,7 +61,7 @@
 		time.Sleep(30 * time.Second)
 		c.checkStartedOnce()
 		if got := c.cloud.Returned(); len(got) != 0 || c.invariants.RunningTasks() != 12 {
-			t.Errorf("returned %v, %d of 12 replicas run", got, c.invariants.RunningTasks())
+			t.Errorf("machines returned: %v, want none; replicas running: %d, want 12", got, c.invariants.RunningTasks())
 		}
 	})
 }
@@ -82,7 +82,7 @@
 		})
 		c.waitUntil("the controller that machines reach leads", 25*time.Second, func() bool { return c.leader() == reachable })
 		if now := c.termOf(reachable); now != term+1 {
-			t.Errorf("term %d after %d", now, term)
+			t.Errorf("term of the controller that machines reach: %d, want %d", now, term+1)
 		}
 		time.Sleep(20 * time.Second)
 		c.heal()
@@ -128,7 +128,7 @@
 		c.heal()
 		time.Sleep(20 * time.Second)
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 12 {
-			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+			t.Errorf("replica 0 was started %d times, want 1; replicas running: %d, want 12", n, c.invariants.RunningTasks())
 		}
 	})
 }
@@ -151,7 +151,7 @@
 		c.delayCommands(0)
 		time.Sleep(20 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 4 {
-			t.Errorf("%d replicas run, 4 wanted", n)
+			t.Errorf("replicas running: %d, want 4", n)
 		}
 	})
 }
@@ -182,12 +182,12 @@
 		for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(5 * time.Second) {
 			for i, want := range []string{"done", "done", "done", "done", "withdrawn", "running", "done"} {
 				if got := c.status(i%controllers, jobID(i)); got != want && got != "503" {
-					t.Fatalf("%s is %s, was %s", jobID(i), got, want)
+					t.Fatalf("status of %s: %s, want %s or 503", jobID(i), got, want)
 				}
 			}
 		}
 		if running := c.invariants.RunningTasks(); running != 2 {
-			t.Errorf("%d replicas run, 2 wanted", running)
+			t.Errorf("replicas running: %d, want 2", running)
 		}
 		c.checkStartedOnce()
 	})
