--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -46,9 +46,9 @@
 
 // Guards against the loss of all tasks when all controllers restart, one after the other, in an outage
 // that outlasts the agents' leases (docs/incidents/inc-008f.md). Afterwards no controller knows a
-// term. Each knows only the cancellations that the others held when it restarted. An agent that finds
-// no leader keeps its tasks. Its heartbeats are refused from time to time, so that it looks for a
-// leader.
+// term. Each knows only the cancellations that it has received from the others since its restart. An
+// agent that finds no leader keeps its tasks. Its heartbeats are refused from time to time, so that it
+// looks for a leader.
 func TestAllControllersRestartInStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
