--- a/internal/controller/machine_failure_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -32,8 +32,9 @@
 	})
 }
 
-// Machines with a termination notice are drained: services move at once, tasks with checkpoints save
-// one before the machine is taken and then move, and tasks without checkpoints stay where they are.
+// Machines with a termination notice are drained. Services move at once. Tasks with checkpoints save
+// their progress before the machine is taken, and then move. Tasks without checkpoints run on where
+// they are.
 func TestTerminationNoticeDrainsMachine(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
