--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Elections and failovers: the term only grows, and what runs goes on under the next leader.
+// Elections and failovers: terms only increase, and tasks keep running under the next leader.
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// Safety rule 2: a new leader has a higher term, takes over what runs, and starts nothing again that
-// may still run.
+// Safety rule 2: a new leader has a higher term, takes over the running tasks, and does not start a
+// task again that may still run. The leader crashes while tasks of an array run.
 func TestFailoverKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -29,7 +29,7 @@
 		c.kill(old)
 		c.waitForLeaderOtherThan(old, 10*time.Second)
 		if now := c.termOf(c.leader()); now <= term {
-			t.Errorf("term %d after %d", now, term)
+			t.Errorf("term after the failover: %d, want above %d", now, term)
 		}
 		c.start(old)
 		c.waitUntil("array done", 2*time.Minute, c.isDone("wk-000001"))
@@ -37,9 +37,10 @@
 	})
 }
 
-// A controller's servers see that it leads before the leader's event loop runs: heartbeats wait for
-// the loop, and are refused if the leadership ends first. A heartbeat in that moment once crashed the
-// process.
+// Guards against a crash of the process by a heartbeat that arrives between the election and the start
+// of the leader's event loop, as happened once: a controller's servers hand heartbeats to the leader
+// from its election on. Such heartbeats wait for the loop, and are refused if the leadership ends
+// first.
 func TestHeartbeatsWaitForLeaderLoop(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForLeader(10 * time.Second)
@@ -51,37 +52,39 @@
 		}()
 		synctest.Wait()
 		if unstarted.queuedEvents() == 0 || resp.Status != 0 {
-			t.Errorf("%d heartbeats wait, answered %d", unstarted.queuedEvents(), resp.Status)
+			t.Errorf("before the loop runs: %d heartbeats queued, want at least 1; response status %d, want 0 (none)", unstarted.queuedEvents(), resp.Status)
 		}
 		unstarted.end()
 		synctest.Wait()
 		if resp.Status != 503 {
-			t.Errorf("answered %d", resp.Status)
+			t.Errorf("heartbeat after the end of the leadership: status %d, want 503", resp.Status)
 		}
 	})
 }
 
-// A heartbeat with a fencing token that was never issued deposes nobody.
+// Guards against a leader that steps down because of an invalid heartbeat: its fencing token is higher
+// than the leader's, but was never issued.
 func TestUnissuedFencingTokenDeposesNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		leader := c.leader()
-		reignBefore := c.reignOf(leader)
+		leadershipBefore := c.reignOf(leader)
 		for i := range 5 {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
 			if status := c.heartbeat(leader, body); status != 421 {
-				t.Errorf("answered %d", status)
+				t.Errorf("heartbeat with a token that was never issued: status %d, want 421", status)
 			}
 			time.Sleep(time.Second)
 		}
-		if c.reignOf(leader) != reignBefore {
-			t.Error("deposed")
+		if c.reignOf(leader) != leadershipBefore {
+			t.Errorf("leadership of controller %d has ended, want it to continue after a token that was never issued", leader)
 		}
 	})
 }
 
-// A process restarts at once, in the middle of elections, while transactions with which the earlier
-// ones claim the leadership are still to be applied: no term is used twice.
+// Guards against a term that is used twice. A controller restarts at once, several times, during
+// elections, while the transactions in which its earlier processes claimed the leadership have not
+// been applied yet.
 func TestRestartsDuringElection(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -93,14 +96,14 @@
 			c.store.SetFaults(fake.StoreFaults{HoldNext: 1, HoldPrefix: "lead/"})
 			c.kill(node)
 			c.start(node)
-			time.Sleep(200 * time.Millisecond) // its claim is in flight
+			time.Sleep(200 * time.Millisecond) // the claim is in flight
 			c.kill(node)
 			c.start(node)
 			c.store.ReleaseHeld()
 			c.waitForLeader(20 * time.Second)
 			term := c.termOf(c.leader())
 			if term <= last {
-				t.Errorf("term %d after %d", term, last)
+				t.Errorf("term after a restart during the election: %d, want above %d", term, last)
 			}
 			last = term
 			time.Sleep(3 * time.Second)
@@ -110,8 +113,9 @@
 	})
 }
 
-// The leader changes ten times in two minutes, also in an outage of the store, while jobs are
-// submitted and cancelled.
+// The leader changes ten times in two minutes, twice during an outage of the store, while jobs are
+// submitted and cancelled: every job reaches its final status, and all replicas of a service still
+// run.
 func TestFrequentFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -127,7 +131,7 @@
 				want[jobID(i)] = c.status(i%controllers, jobID(i))
 			}
 			if i == 5 || i == 8 {
-				// Two changes at once: the leader ends in an outage, and restarts while the store
+				// Two faults at once: the leader crashes during an outage, and restarts while the store
 				// still names it as the leader.
 				c.beginStoreOutage()
 				c.restartAfter(c.leader(), 0)
@@ -140,23 +144,23 @@
 			time.Sleep(time.Until(begin.Add(time.Duration(i-1) * 12 * time.Second)))
 		}
 		if took := time.Since(begin); took > 125*time.Second {
-			t.Errorf("ten failovers took %v", took)
+			t.Errorf("ten failovers took %v, want at most 125s", took)
 		}
 		if last := c.termOf(c.leader()); last < first+10 {
-			t.Errorf("terms %d to %d", first, last)
+			t.Errorf("term after ten failovers: %d, want at least %d", last, first+10)
 		}
 		c.waitForStatuses(3*time.Minute, want)
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 6 {
-			t.Errorf("%d of 6 replicas run", n)
+			t.Errorf("replicas running at the end: %d, want 6", n)
 		}
 	})
 }
 
-// Arrays whose tasks end far apart, with failovers in between: each is done once all its tasks are,
-// neither sooner nor twice.
+// Guards against an array that is reported as done before all its tasks have completed, or whose tasks
+// start twice. The tasks of each array end far apart in time, with failovers in between.
 func TestSmallArraysCompleteOnceAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
-		c.teamCPUs = 4 // so that the third task of each begins when others have ended
+		c.teamCPUs = 4 // the third task of each array starts only after others have ended
 		c.restartEach()
 		c.waitForElection()
 		for i := range 4 {
@@ -173,7 +177,7 @@
 					}
 				}
 				if status := c.status(i%controllers, jobID(i)); status == jobstore.StatusDone && ended < 3 {
-					t.Errorf("%s is answered as done with %d of 3 tasks", jobID(i), ended)
+					t.Errorf("%s is reported as done with %d tasks completed, want 3", jobID(i), ended)
 				}
 			}
 		}
@@ -184,8 +188,8 @@
 	})
 }
 
-// All controllers are down for longer than a lease: tasks are lost, but no accepted job is, and all
-// run again or are done.
+// Guards against the loss of accepted jobs when all controllers are down for longer than a lease. The
+// tasks end with their leases; afterwards every job runs again, completes, or stays cancelled.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -197,20 +201,21 @@
 		c.killAll()
 		time.Sleep(40 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 0 {
-			t.Errorf("%d tasks run after their leases", n)
+			t.Errorf("tasks running after their leases have expired: %d, want 0", n)
 		}
 		c.startAll()
 		c.waitUntilRunningOf("wk-000001", 6, time.Minute)
 		c.waitForStatuses(2*time.Minute, map[string]string{"wk-000002": jobstore.StatusDone, "wk-000003": jobstore.StatusCancelled})
 		if n := c.invariants.StartsByTask()["wk-000003/0"]; n != 1 {
-			t.Errorf("a cancelled task was started %d times", n)
+			t.Errorf("cancelled task wk-000003/0 was started %d times, want 1", n)
 		}
 	})
 }
 
-// A controller is separated while others write more than one response may carry, or more changes than
-// the store keeps. It loads the records again and serves within seconds; so does a leader, which
-// continues under a new term.
+// A controller that leads is separated from the store while so much is written that it cannot read the
+// missed changes afterwards: more bytes than one response carries, or more changes than the store
+// keeps. Once reconnected it reloads the records and serves users within seconds. A leader that has to
+// reload continues under a new term. No replica is started again.
 func TestNodeReloadsAfterMissingChanges(t *testing.T) {
 	for name, written := range map[string]struct{ changes, bytes int }{
 		"more bytes than a response carries": {1000, 6000},
@@ -226,21 +231,22 @@
 				before := c.storedTerm()
 				c.writeRecords(written.changes, written.bytes)
 				c.heal()
-				c.waitUntil("the separated controller answers", 10*time.Second, func() bool { return c.status(separated, "wk-000001") == "running" })
+				c.waitUntil("the separated controller reports the service as running", 10*time.Second, func() bool { return c.status(separated, "wk-000001") == "running" })
 				c.submitUntilAccepted(10*time.Second, separated, newJob("wk-000002", job.Array, 4, 5))
-				c.waitUntil("done", time.Minute, func() bool { return c.status(separated, "wk-000002") == jobstore.StatusDone })
+				c.waitUntil("the separated controller reports the array as done", time.Minute, func() bool { return c.status(separated, "wk-000002") == jobstore.StatusDone })
 				if now := c.storedTerm(); now > before+2 {
-					t.Errorf("terms %d to %d", before, now)
+					t.Errorf("term after the partition: %d, want at most %d", now, before+2)
 				}
 				if n := c.startsOf("wk-000001"); n != 2 {
-					t.Errorf("2 replicas were started %d times", n)
+					t.Errorf("starts of 2 replicas: %d, want 2", n)
 				}
 			})
 		})
 	}
 }
 
-// writeRecords makes so many changes under the prefix of the job records, with values of a size.
+// writeRecords writes to the store the given number of keys, rounded up to a multiple of 8, under the
+// prefix of the job records. Each value has the given size in bytes, before its encoding.
 func (c *cluster) writeRecords(changes, bytes int) {
 	c.t.Helper()
 	store := c.storeClient("writer")
@@ -252,7 +258,7 @@
 			mutations = append(mutations, kvstore.Mutation{Put: key, Value: wire.Marshal(strings.Repeat("x", bytes))})
 		}
 		if _, err := store.Txn(c.t.Context(), nil, mutations, kvstore.PriorityLease); err != nil {
-			c.t.Fatal(err)
+			c.t.Fatalf("write of records %d to %d: %v", first, first+perTransaction-1, err)
 		}
 	}
 }
--- a/internal/controller/kvstore_outage_test.go
+++ b/internal/controller/kvstore_outage_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// Outages of the key-value store, and a store that answers slowly.
+// Outages and slow responses of the key-value store.
 
 import (
 	"testing"
@@ -12,41 +12,43 @@
 	"tulipshelf/internal/wire"
 )
 
-// In an outage of the store agents keep their leases, nothing starts, and no user is answered with
-// anything that is not durable.
+// Guards against an outage of the store, longer than a lease, that ends tasks or starts them again.
+// Agents keep their leases, nothing starts, and the controllers stay ready. Submissions and queries
+// get status 503: no user is answered with anything that is not durable.
 func TestStoreOutageKeepsTasksRunning(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		c.runService(2)
 		c.beginStoreOutage()
 		if got := c.submit(0, newJob("wk-000002", job.Array, 1, 1)); got != 503 {
-			t.Errorf("submission in an outage: %d", got)
+			t.Errorf("submission in an outage: status %d, want 503", got)
 		}
 		if got := c.status(1, "wk-000001"); got != "503" {
-			t.Errorf("query in an outage: %s", got)
+			t.Errorf("query in an outage: status %s, want 503", got)
 		}
 		time.Sleep(40 * time.Second) // longer than the agents' lease
 		for i := range controllers {
 			if got := c.request(i, "GET", "/ready", nil).Status; got != 200 {
-				t.Errorf("node %d is not ready in an outage: %d", i, got)
+				t.Errorf("readiness of controller %d in an outage: status %d, want 200", i, got)
 			}
 		}
 		if c.invariants.RunningTasks() != 2 {
-			t.Errorf("%d of 2 replicas run", c.invariants.RunningTasks())
+			t.Errorf("replicas running in an outage: %d, want 2", c.invariants.RunningTasks())
 		}
 		c.endStoreOutage()
 		c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000002", job.Array, 1, 1))
 		c.waitUntil("array done", time.Minute, c.isDone("wk-000002"))
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 {
-			t.Errorf("replica started %d times", n)
+			t.Errorf("replica 0 was started %d times, want 1", n)
 		}
 	})
 }
 
-// All controllers restart, one after the other, in an outage that outlasts the agents' leases. They know
-// no term, but what each learned of cancellations from those before it. An agent that finds no other
-// controller keeps its tasks, and is now and then refused so that it looks for a leader
-// (docs/incidents/inc-008f.md).
+// Guards against the loss of all tasks when all controllers restart, one after the other, in an outage
+// that outlasts the agents' leases (docs/incidents/inc-008f.md). Afterwards no controller knows a
+// term. Each knows only the cancellations that it has received from the others since its restart. An
+// agent that finds no leader keeps its tasks. Its heartbeats are refused from time to time, so that it
+// looks for a leader.
 func TestAllControllersRestartInStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -60,12 +62,12 @@
 		for i, want := range []int{200, 421} {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1})
 			if status := c.heartbeat(0, body); status != want {
-				t.Errorf("heartbeat %d of an agent: %d, want %d", i+1, status, want)
+				t.Errorf("heartbeat %d of an agent: status %d, want %d", i+1, status, want)
 			}
 		}
 		time.Sleep(70 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 8 {
-			t.Errorf("%d of 8 replicas run", n)
+			t.Errorf("replicas running after all controllers have restarted: %d, want 8", n)
 		}
 		c.endStoreOutage()
 		c.submit(0, newJob("wk-000002", job.Array, 2, 5))
@@ -75,8 +77,8 @@
 	})
 }
 
-// The store answers slowly while users cancel and query: they are answered all the same, leases are
-// renewed, and cancelled tasks are gone in time.
+// The store takes 350 ms longer for each request, while users cancel and query. Most queries are
+// answered nevertheless, leases are extended, and cancelled tasks are gone in time.
 func TestSlowStore(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -94,14 +96,14 @@
 			time.Sleep(time.Second)
 		}
 		if answered < 15 {
-			t.Errorf("%d of 20 queries answered", answered)
+			t.Errorf("%d of 20 queries were answered with status running, want at least 15", answered)
 		}
 		if n := c.invariants.RunningTasksOf("wk-000001"); n != 0 {
-			t.Errorf("%d cancelled tasks left", n)
+			t.Errorf("cancelled tasks running: %d, want 0", n)
 		}
 		c.store.SetFaults(fake.StoreFaults{})
 		if n := c.invariants.RunningTasksOf("wk-000002"); n != 4 || c.invariants.StartsByTask()["wk-000002/0"] != 1 {
-			t.Errorf("%d of 4 replicas run, started %d times", n, c.invariants.StartsByTask()["wk-000002/0"])
+			t.Errorf("replicas running: %d, want 4; replica 0 was started %d times, want 1", n, c.invariants.StartsByTask()["wk-000002/0"])
 		}
 	})
 }
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// Partitions between controllers, machines and the key-value store, and requests that the network
-// delays or duplicates.
+// Network partitions between controllers, machines and the key-value store, and requests that the
+// network delays or duplicates.
 
 import (
 	"testing"
@@ -11,8 +11,9 @@
 	"tulipshelf/internal/job"
 )
 
-// A leader that is separated from the store alone learns from its peers that it is deposed. Without
-// that it keeps its machines until its lease on them is over.
+// Guards against a deposed leader that keeps its machines for as long as it may extend their leases.
+// The leader is separated from the store alone, and learns from its peers that another one was
+// elected.
 func TestLeaderPartitionedFromStoreStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -31,21 +32,21 @@
 			return true
 		})
 		if got := c.status(old, "wk-000001"); got != "503" {
-			t.Errorf("query at the separated controller: %s, want 503", got)
+			t.Errorf("query at the separated controller: status %s, want 503", got)
 		}
 		if got := c.request(old, "GET", "/ready", nil).Status; got != 503 {
-			t.Errorf("readiness of the separated controller: %d, want 503", got)
+			t.Errorf("readiness of the separated controller: status %d, want 503", got)
 		}
 		c.heal()
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 2 {
-			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+			t.Errorf("replica 0 was started %d times, want 1; replicas running: %d, want 2", n, c.invariants.RunningTasks())
 		}
 	})
 }
 
-// A leader that is separated from its machines, but neither from the store nor from its peers, lets
-// another controller lead before the machines' leases expire. None of them is taken for unresponsive
-// when the requests arrive that the partition held back.
+// A leader that is separated from its machines, but neither from the store nor from its peers,
+// transfers the leadership before the machines' leases expire. No machine counts as unresponsive, and
+// is returned, because of requests that the partition held back and that arrive once it has healed.
 func TestLeaderPartitionedFromWorkersStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -60,13 +61,13 @@
 		time.Sleep(30 * time.Second)
 		c.checkStartedOnce()
 		if got := c.cloud.Returned(); len(got) != 0 || c.invariants.RunningTasks() != 12 {
-			t.Errorf("returned %v, %d of 12 replicas run", got, c.invariants.RunningTasks())
+			t.Errorf("machines returned: %v, want none; replicas running: %d, want 12", got, c.invariants.RunningTasks())
 		}
 	})
 }
 
-// When the machines reach one controller only, and that is not the leader, it leads next, without
-// another in between that reaches none of them either.
+// The machines reach only one controller, which is not the leader. It is elected next, under the next
+// term. Guards against a term in between of the third controller, which reaches no machine either.
 func TestNodeThatReachesWorkersLeadsNext(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -81,7 +82,7 @@
 		})
 		c.waitUntil("the controller that machines reach leads", 25*time.Second, func() bool { return c.leader() == reachable })
 		if now := c.termOf(reachable); now != term+1 {
-			t.Errorf("term %d after %d", now, term)
+			t.Errorf("term of the controller that machines reach: %d, want %d", now, term+1)
 		}
 		time.Sleep(20 * time.Second)
 		c.heal()
@@ -89,8 +90,10 @@
 	})
 }
 
-// A leader that is separated from the store and the other controllers, but not from its machines, goes
-// on answering them. The new leader brings them its fencing token, and the old one refuses them.
+// Guards against a deposed leader that keeps its machines because it still answers their heartbeats:
+// it is separated from the store and the other controllers, but not from the machines. The new leader
+// sends the machines its fencing token, and the old leader refuses heartbeats that carry this higher
+// token.
 func TestDeposedLeaderLosesItsWorkers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -113,8 +116,9 @@
 	})
 }
 
-// A controller that is separated from the leader renews the leases of the machines on its side, so that
-// a partition between zones stops no task (docs/incidents/inc-008f.md).
+// Guards against a partition between zones that ends tasks (docs/incidents/inc-008f.md). The machines
+// and one controller are separated from the leader for longer than a lease. That controller extends
+// the leases in the leader's place.
 func TestPartitionedZoneKeepsLeases(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -124,13 +128,13 @@
 		c.heal()
 		time.Sleep(20 * time.Second)
 		if n := c.invariants.StartsByTask()["wk-000001/0"]; n != 1 || c.invariants.RunningTasks() != 12 {
-			t.Errorf("started %d times, %d run", n, c.invariants.RunningTasks())
+			t.Errorf("replica 0 was started %d times, want 1; replicas running: %d, want 12", n, c.invariants.RunningTasks())
 		}
 	})
 }
 
-// Commands arrive, and are carried out, after their sender has given up waiting, while the leader
-// changes and jobs are cancelled.
+// Commands arrive and are executed only after the requests that carry them have timed out, while the
+// leader changes and a job is cancelled.
 func TestDelayedCommandsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -147,14 +151,15 @@
 		c.delayCommands(0)
 		time.Sleep(20 * time.Second)
 		if n := c.invariants.RunningTasks(); n != 4 {
-			t.Errorf("%d replicas run, 4 wanted", n)
+			t.Errorf("replicas running: %d, want 4", n)
 		}
 	})
 }
 
-// Every request that was carried out arrives again, within a second and after more than a lease:
-// heartbeats, commands, transactions, rentals and returns, submissions and cancellations, heartbeats
-// between controllers. Tasks run once, users' answers stay true, and nothing is rented twice.
+// Every request that was delivered is delivered again, within a second and up to more than a lease
+// later: heartbeats, commands, transactions, rentals and returns, submissions and cancellations,
+// heartbeats between controllers. Guards against tasks that start twice, answers to users that
+// contradict earlier ones, and machines that are rented twice.
 func TestDuplicatedRequests(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
@@ -177,12 +182,12 @@
 		for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(5 * time.Second) {
 			for i, want := range []string{"done", "done", "done", "done", "withdrawn", "running", "done"} {
 				if got := c.status(i%controllers, jobID(i)); got != want && got != "503" {
-					t.Fatalf("%s is %s, was %s", jobID(i), got, want)
+					t.Fatalf("status of %s: %s, want %s or 503", jobID(i), got, want)
 				}
 			}
 		}
 		if running := c.invariants.RunningTasks(); running != 2 {
-			t.Errorf("%d replicas run, 2 wanted", running)
+			t.Errorf("replicas running: %d, want 2", running)
 		}
 		c.checkStartedOnce()
 	})
