--- a/internal/agent/responsiveness.go
+++ b/internal/agent/responsiveness.go
@@ -37,9 +37,9 @@
 	m.responses.token = token
 }
 
-// MarkResponsive records that a response or request has reached the machine. It also clears the mark of
-// a machine whose incarnation ended although its heartbeats were answered, once the machine answers a
-// probe: its agent was restarted and was back at once.
+// MarkResponsive records that a response or request has reached the machine, for example a probe that it
+// has answered. This also clears the mark of a machine whose incarnation ended although its heartbeats
+// were answered: its agent was merely restarted.
 func (m *Machine) MarkResponsive() {
 	m.UnresponsiveSince = time.Time{}
 	m.responses.ignoredTokens = 0
--- a/internal/autoscaler/array_sizing.go
+++ b/internal/autoscaler/array_sizing.go
@@ -17,9 +17,9 @@
 	WaitingCPUSeconds float64 // part of CPUSeconds for waiting tasks within their team's limit
 }
 
-// lateDrainTimeInRuns is the period over which work is spread that new machines come too late for. It is
-// counted in run times of a task and begins when the machines have booted. It limits new machines to
-// those that are of use beyond their first tasks.
+// lateDrainTimeInRuns is the period over which work is spread if new machines boot too late to finish a
+// task by its due time. It is in run times of a task, and begins when the machines have booted. It limits
+// new machines to those that are of use beyond their first tasks.
 const lateDrainTimeInRuns = 1.5
 
 // CPUsForDueTimes returns how many CPUs the arrays need at once to finish by their due times; 0 if there
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -10,7 +10,7 @@
 type Estimates struct {
 	DecayedSeconds float64               `cbor:"sum"`      // run time that arrived, in weighted seconds
 	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival
-	DecayedAtMS    int64                 `cbor:"last_ms"`  // time at which the weights apply
+	DecayedAtMS    int64                 `cbor:"last_ms"`  // time to which the weights have decayed
 	LastArrivalMS  int64                 `cbor:"came_ms"`  // last arrival
 	MeanInterval   float64               `cbor:"gap"`      // mean interval, in seconds; zero if unknown
 	RunTimes       map[string][2]float64 `cbor:"learned"`  // by class: actual and expected run time, in weighted seconds
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -90,8 +90,8 @@
 	return zones
 }
 
-// fittingTasksByZone returns, by zone, the number of such tasks that fit on usable machines. Zones are
-// left out in which the tasks may not run on any usable machine.
+// fittingTasksByZone returns, by zone, how many tasks like those of the demand fit on usable machines.
+// Zones in which they may not run on any usable machine are left out.
 func (p *packing) fittingTasksByZone(demand *Demand) map[int]int {
 	fittingTasks := map[int]int{}
 	for _, machineIndex := range p.fillOrder {
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -17,9 +17,9 @@
 	// the period ends.
 	answerValidity = 1500 * time.Millisecond
 
-	// incarnationMargin is the minimum time by which retainedSince, usually the start of the
-	// incarnation, must precede a time for a controller's answer to cover all cancellations
-	// confirmed since that time. When a cancellation is confirmed, the answers that show that it
+	// incarnationMargin is the minimum age that a register must have at a time t for its controller's
+	// answer to cover all cancellations confirmed since t. The age counts from retainedSince, usually
+	// the start of the incarnation. When a cancellation is confirmed, the answers that show that it
 	// is held may be up to answerValidity old. The other half is a safety margin.
 	incarnationMargin = 2 * answerValidity
 )
@@ -85,8 +85,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	added = r.add(ids, time.Now())
-	// Guards against a register that counts as complete without the jobs of the read: they may
-	// have been dropped if the read was sent before retainedSince.
+	// Guards against a register that counts as complete although it lacks jobs: if the read was sent
+	// before retainedSince, jobs that it returned may have been dropped since.
 	if sentAt.After(r.retainedSince) {
 		r.advance(sentAt)
 	}
--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -51,7 +51,7 @@
 // BatchLimits limits a batch to what the key-value store accepts at present.
 type BatchLimits struct {
 	Mutations      int // maximum number of mutations
-	SpareMutations int // number of mutations from which on no deferrable change is added
+	SpareMutations int // number of mutations at which no more deferrable changes are added
 	ValueBytes     int // maximum size of a value, in bytes of JSON
 }
 
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -13,7 +13,7 @@
 // worker agent depends on it.
 const (
 	minDeferral = 2 * time.Second  // minimum wait, after which spare write rate may be used
-	maxDeferral = 12 * time.Second // wait after which as much write rate may be used as for starts
+	maxDeferral = 12 * time.Second // wait after which the change is written even without spare write rate
 )
 
 // urgency is the priority with which a change is written. Higher values are written first.
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -77,8 +77,8 @@
 	s.markDirtyIfReadyToEnd(job)
 }
 
-// WithdrawUnrecorded ends the attempts of a cancelled job that are not recorded, and returns them. Their
-// starts were never sent, so no worker agent has to stop them.
+// WithdrawUnrecorded ends the attempts of a job that are not recorded, and returns them. Their starts
+// were never sent, so no worker agent has to stop them.
 func (s *Store) WithdrawUnrecorded(job *Job, now time.Time) []*Attempt {
 	var withdrawn []*Attempt
 	for _, attempt := range job.tasks.live {
--- a/internal/jobstore/size.go
+++ b/internal/jobstore/size.go
@@ -14,10 +14,10 @@
 	maxTasksPerChunk = 1024
 )
 
-// TasksPerChunk returns the number of tasks per chunk at which a value of valueBytes bytes holds the
-// chunk with all of its tasks live. If names are longer than attemptBytes allows for, the value of
-// such a chunk can be too large. It is then written only once enough of the tasks have ended
-// (batchBuilder.addChunk).
+// TasksPerChunk returns the number of tasks per chunk, at least 1 and at most maxTasksPerChunk. A chunk
+// of this size fits into a value of valueBytes bytes even while all of its tasks are live, unless names
+// are longer than attemptBytes allows for or valueBytes is too small for even one task. A value that is
+// too large is written only once enough of the chunk's tasks have ended (batchBuilder.addChunk).
 func TasksPerChunk(valueBytes int) int {
 	fitting := (valueBytes - chunkOverheadBytes) / attemptBytes
 	return max(1, min(maxTasksPerChunk, fitting))
--- a/internal/jobstore/tasks.go
+++ b/internal/jobstore/tasks.go
@@ -27,7 +27,7 @@
 	return taskTable{states: make([]taskState, tasks), live: map[int]*Attempt{}}
 }
 
-// rangeAt returns the range with an index when the tasks are divided into ranges of size tasks.
+// rangeAt returns the range with an index if each range, except the last, has the given size.
 func (t *taskTable) rangeAt(index, size int) taskRange {
 	first := index * size
 	return taskRange{first, min(first+size, len(t.states))}
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -48,13 +48,14 @@
 	}
 }
 
-// stopAttempts stops all live attempts of a job. Attempts whose start was never sent are withdrawn;
-// unrecorded ones only while no write is in flight, which may record them. Attempts of a cancelled job
-// are ended if this controller has confirmed, or learned from another, that they are gone, whoever led
-// when their end was reported. All others are halted without a grace period.
+// stopAttempts stops all live attempts of a job. Attempts whose start was never sent are withdrawn. If
+// they are not recorded, this waits until no write is in flight, since a write in flight may record them.
+// Attempts of a cancelled job that are confirmed gone (Node.ConfirmedGone) are ended. All others are
+// halted without a grace period.
 //
-// Ending confirmed attempts guards against a new leader that returns machines for tasks that are long
-// gone: the ends of their jobs could not be recorded in time (docs/incidents/inc-b469.md).
+// Attempts that were confirmed gone under an earlier leader are ended too. Guards against a new leader
+// that returns machines for tasks that are long gone: the ends of their jobs could not be recorded in
+// time (docs/incidents/inc-b469.md).
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.requestPending {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
@@ -131,8 +132,8 @@
 	return present && direct && now.Sub(machine.LastHeartbeat) < t.Settings.Workers.HeartbeatOverdue()
 }
 
-// checkpointMargin is the time, beyond what a task needs to save a checkpoint, by which it is halted
-// before a termination notice expires. The halt has to reach the task within it.
+// checkpointMargin is the time allowed for a halt to reach a task before a termination notice expires, in
+// addition to the time that the task needs to save a checkpoint.
 const checkpointMargin = 8 * time.Second
 
 // drain halts tasks on a machine that has a termination notice. Services are halted at once, since they
@@ -160,8 +161,9 @@
 }
 
 // Limits of failures on a machine, counted since a task was last done there. The machine is quarantined
-// once attempts of quarantineAfterJobs jobs have failed, or once quarantineAfterAttempts attempts have
-// failed and the job of the latest has done tasks, so that it succeeds elsewhere.
+// once attempts of quarantineAfterJobs jobs have failed on it. It is also quarantined once
+// quarantineAfterAttempts attempts have failed and the job of the latest one has a done task: that job
+// succeeds on other machines.
 const (
 	quarantineAfterJobs     = 2
 	quarantineAfterAttempts = 2
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -94,7 +94,7 @@
 
 // handleDirectAnswer applies the status that an agent answered to a direct request. If err is not nil,
 // it is unknown whether commands have been executed or will be; later heartbeats show it. An answer is
-// ignored if the machine is gone or it comes from another machine.
+// ignored if the machine is gone, or if another machine has sent the answer.
 func (l *Leader) handleDirectAnswer(machine *agent.Machine, status *agent.Heartbeat, err error) {
 	machine.RequestInFlight = false
 	if err != nil {
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -44,7 +44,7 @@
 	state *jobState
 }
 
-// cpus returns the CPUs that all tasks of the gang count for.
+// cpus returns the CPUs of all tasks of the gang together, as sizingCPUs counts them.
 func (g gangTemplate) cpus() float64 { return float64(g.spec.Tasks) * sizingCPUs(g.state.need) }
 
 // demandMemory is the time in which an arrival loses all but 1/e of its weight in the demand histories.
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -32,8 +32,8 @@
 	// retired.
 	unknownTypeBootTimeout = time.Minute
 
-	// partitionSilentDivisor is the n in the share 1/n of silent machines above which the network is
-	// more likely at fault than the machines.
+	// partitionSilentDivisor sets the share of silent machines, one in partitionSilentDivisor, above which
+	// the network is more likely at fault than the machines.
 	partitionSilentDivisor = 3
 
 	// inconclusiveMachines is the number of machines up to which, inclusive, no network partition is
@@ -258,11 +258,13 @@
 }
 
 // silenceLimitInPartition returns the silence after which a machine in a zone that is partitioned now
-// counts as lost; zone holds the counts of that zone. The limit is partitionLeases, but one lease for a
-// machine that runs services in a zone without a controller. For such a machine it is only ReplaceAfter
-// if it has not sent this leader a heartbeat and the whole zone is silent: the partition then began
-// before this leader began, as agents of other zones have found this leader by that time. No limit
-// is below ReplaceAfter.
+// counts as lost; zone holds the counts of that zone. The limit is the highest that applies:
+//
+//   - ReplaceAfter for every machine,
+//   - partitionLeases for a machine that runs no service, or whose zone has a controller,
+//   - one lease for any other machine, unless it has not sent this leader a heartbeat and the whole zone
+//     is silent. In that case the partition began before this leader did, since agents of other zones
+//     have found this leader by that time.
 func (h *machineHealth) silenceLimitInPartition(machine *agent.Machine, zone silentCount) time.Duration {
 	replaceAfter, lease := h.Operator.ReplaceAfter, h.Settings.Workers.Lease
 	leasesKept := h.Settings.HasController(h.topology.zones[machine.Zone])
@@ -300,7 +302,7 @@
 
 // bootOverdue reports whether this leader has known of a machine for longer than any healthy machine of
 // its type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
-// The others may never boot, so what they were rented for is rented again.
+// An overdue machine may never boot, so what it was rented for is rented again.
 func (h *machineHealth) bootOverdue(machine *agent.Machine, now time.Time) bool {
 	if machine.Type == unknownIndex {
 		return false
@@ -310,8 +312,8 @@
 
 // cancelOverdue reports whether a machine has held a cancelled task for too long. The limit is higher
 // until a new leader's ReconcileTimeout has passed: most machines that have not sent it a heartbeat yet
-// are up and only need to be sent the halt. It still leaves the time to return the others before the
-// cancellation deadline.
+// are up and only need to be sent the halt. Even the higher limit leaves time to return the others before
+// the cancellation deadline.
 func (h *machineHealth) cancelOverdue(machine *agent.Machine, now time.Time) bool {
 	share := cancelOverdueShare
 	if !h.recovery.timedOut(now) {
--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -159,7 +159,7 @@
 	machine := g.heartbeats.apply(heartbeat, now)
 	if machine != nil && isNewest(machine, heartbeat) {
 		machine.RelayedBy = node
-		machine.MarkResponsive() // commands reach it through the controller
+		machine.MarkResponsive() // commands reach it through that controller
 	}
 }
 
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -77,7 +77,7 @@
 // waitingJobs returns the jobs of which tasks may start now, by arrival.
 func (s *scheduler) waitingJobs(now time.Time) (waiting []*jobstore.Job) {
 	s.jobs.store.Each(func(j *jobstore.Job) {
-		// A gang restarts only once none of its tasks is live. A part of it that started before would wait
+		// A gang restarts only once none of its tasks is live. Tasks of it that started earlier would wait
 		// for members that do not start.
 		incompleteGang := j.IsGang() && j.LiveTasks() > 0
 		if j.WaitingTasks() == 0 || incompleteGang {
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -85,7 +85,7 @@
 // firstGangs returns, for each team, the gang that arrived first. The waiting jobs are given by arrival.
 //
 // Exception 9 to the design (docs/placement.md), an exception to number 3 (guarantee before arrival): one
-// waiting gang of each team does not come after others' work for being beyond its team's guarantee.
+// waiting gang of each team is ordered as if it were within its team's guarantee.
 // Guards against starved gangs: arrays within their teams' guarantees take each gap between tasks, while
 // a gang needs all of its gaps at once, and so waits for as long as such arrays arrive
 // (docs/incidents/inc-82e5.md, TestGangBeyondGuaranteeNotStarvedByArrays).
@@ -157,8 +157,9 @@
 }
 
 // tasksInZones counts a job's live attempts by zone. After an election the zone of a machine is not known
-// until the cloud's list or a heartbeat names it. Guards against wrong placement: a job whose tasks
-// belong into one zone, or apart, is not placed by an incomplete count.
+// until the cloud's list or a heartbeat names it, and allKnown is false until then. Guards against tasks
+// in a wrong zone: a job whose tasks belong in one zone, or apart, would be placed by an incomplete
+// count.
 func (s *scheduler) tasksInZones(j *jobstore.Job) zoneCounts {
 	counts := zoneCounts{tasks: make([]int, len(s.topology.zones)), allKnown: true}
 	j.EachAttempt(func(attempt *jobstore.Attempt) {
@@ -199,8 +200,8 @@
 
 // Limits of the time to fetch an image, relative to the time in which a job should start.
 const (
-	// fetchLimitDivisor is the divisor of that time for the longest fetch for which machines that have the
-	// image are not yet preferred.
+	// fetchLimitDivisor is the divisor of that time that gives the longest acceptable fetch. If a fetch
+	// takes longer, machines that have the image are preferred.
 	fetchLimitDivisor = 4
 
 	// slowFetchFactor is the duration of a slow fetch, as a multiple of the usual duration: "give or take
@@ -208,9 +209,9 @@
 	slowFetchFactor = 4.0 / 3
 )
 
-// imageOf returns what placement uses of a job's image: the zero view unless a fetch takes longer than
-// Operator.Smoothing, the memory of the load index, or longer than 1/fetchLimitDivisor of the time in
-// which jobs of its class should start.
+// imageOf returns what placement uses of a job's image. This is the zero view if a fetch of the image
+// takes no longer than Operator.Smoothing, the smoothing time of the load index, and no longer than
+// 1/fetchLimitDivisor of the time in which jobs of its class should start.
 func (s *scheduler) imageOf(waiting *jobstore.Job, states imageStates) imageView {
 	view, limit := imageView{}, s.Operator.Smoothing
 	fetch := s.topology.fetchSeconds(waiting.Spec.ImageGB)
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -53,9 +53,9 @@
 	reason := fmt.Sprintf("%d tasks unplaced, %.0f more CPUs needed for arrays, %d tasks reserved for anticipated services and gangs",
 		s.scheduler.unplaced, math.Max(0, missing.needed), reserved)
 	missing = s.addArrays(list, waiting.arrays, missing)
-	// The reserve for anticipated arrays, in tasks like those of the last array. CPUs that are still
-	// needed for waiting tasks are not added to it. Guards against machines that stand idle: what is left
-	// may be needed by tasks beyond their team's limit, which are not allowed to start.
+	// The reserve for anticipated arrays, in tasks like those of the last array. What addArrays has left of
+	// missing.needed is not added to it. Guards against machines that stand idle: that rest may be for
+	// tasks beyond their team's limit, which are not allowed to start.
 	if last := s.forecast.lastArray; missing.anticipated > 0 && last != nil {
 		tasks := int(missing.anticipated/sizingCPUs(last.need) + 0.5)
 		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: placement.AnyZone, Spot: true, Tasks: tasks})
@@ -170,9 +170,9 @@
 // missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of the free CPUs go to
 // other demand.
 //
-// It counts CPUs, not tasks. Guards against renting too much: a number of tasks that was counted for an
-// array of tiny tasks would be rented at the size of larger ones, once another array comes before it in
-// the order (TestSmallTasksDoNotOverprovision).
+// It counts CPUs, not tasks. Guards against renting too much: if an array of larger tasks comes first in
+// the order, a number of tasks that was counted for an array of tiny tasks would be rented at the larger
+// size (TestSmallTasksDoNotOverprovision).
 func (s *sizer) missingArrayCPUs(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
 	boot := s.topology.slowestBoot()
 	load := s.arrayLoad(teams, now)
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -18,9 +18,9 @@
 	wantedSince time.Time // start of the time for which shouldTransfer has held; zero: it does not hold
 }
 
-// TransferMachineRatio is the ratio of machines that reach another controller to machines that reach
-// this one above which the other should lead. RedirectionWindow is the maximum age of the other's report
-// of its number of machines. A candidate for the leadership applies the same limits.
+// TransferMachineRatio is the ratio above which another controller should lead: the number of machines
+// that reach it, divided by the number that reach this one. RedirectionWindow is the maximum age of the
+// other's report of its number. A candidate for the leadership applies the same limits.
 const (
 	TransferMachineRatio = 2
 	RedirectionWindow    = 3 * time.Second
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -73,8 +73,8 @@
 	advanceWasApplied                    // adopt the latest term: an unanswered claim was applied
 )
 
-// advanceStep returns the next action of the leader that holds the given lease and whose last
-// known term is current.
+// advanceStep returns the next action of a leader that wants a new term. lease is the leader's
+// lease, and current is the last term that it knows.
 func (s electionState) advanceStep(lease uint64, current issuedTerm) advanceStep {
 	switch {
 	case s.holder.Lease != lease:
--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -97,9 +97,9 @@
 	return p.taskEnds[machineIndex]
 }
 
-// overrunDivisor divides the run time of a task so far to give the least time left that is expected of
-// it: a quarter of its run time. Guards against reservations of machines that do not become free:
-// otherwise, a task that has overrun its expected end would be expected to end at once.
+// overrunDivisor sets the minimum time left that is expected of a task: a quarter of its run time so far.
+// Guards against reservations of machines that do not become free: a task that has overrun its expected
+// end would be expected to end at once.
 const overrunDivisor = 4
 
 // timeLeft returns the time for which a task is expected to stay on its machine: 0 if it was told to
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -45,7 +45,7 @@
 // zoneOutcome is the outcome of placing a gang in one zone, or of preempting for it there.
 type zoneOutcome struct {
 	complete  bool      // there is room for all waiting tasks
-	slowest   imageRank // worst rank of the machines: a gang starts when its last task can
+	slowest   imageRank // worst rank of the chosen machines: the gang starts only when its last task can
 	totalCost float64   // sum of load indices, or run time lost in seconds; compared at equal ranks
 }
 
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -8,7 +8,7 @@
 	// Order of placement.
 	Priority             int     // higher values are placed first
 	BeyondGuarantee      bool    // not covered by the team's guarantee, which earlier jobs use up
-	InverseResponseRatio float64 // remaining work over waiting time; lower values are placed first
+	InverseResponseRatio float64 // remaining work over (waiting + run time); lower values are placed first
 	Arrival              uint64  // lower values are placed first
 	Overdue              bool    // waiting time is over the limit and no task has started
 
--- a/internal/placement/load_index.go
+++ b/internal/placement/load_index.go
@@ -1,6 +1,6 @@
 package placement
 
-// The load index, by which the design ranks machines.
+// The load index, by which machines are ranked for a task (ranking.go).
 
 import (
 	"math"
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -96,8 +96,8 @@
 	byImage := cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b))
 	byLoss := cmp.Compare(options[a].lostSeconds, options[b].lostSeconds)
 	if job.Gang && !job.FetchTooSlow {
-		// A gang starts when its last task can. Part of its tasks use resources that are free already,
-		// on machines that may have to fetch the image.
+		// The image on these machines may not let the gang start sooner: it starts only when its last task
+		// can, and some of its tasks use free resources of machines that may have to fetch the image.
 		return cmp.Or(byLoss, byImage)
 	}
 	return cmp.Or(byImage, byLoss)
