--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -13,7 +13,7 @@
 	Cause  ExitCause // meaningful once Status is StatusExited
 }
 
-// Outcome is the proof that an assigned attempt has ended.
+// Outcome is the proof that an assigned attempt is gone.
 type Outcome struct {
 	Assignment *Assignment
 	Cause      ExitCause
@@ -94,7 +94,7 @@
 	return outcomes
 }
 
-// endOf reports whether the newest heartbeat proves that an assigned attempt has ended, and the cause.
+// endOf reports whether the newest heartbeat proves an assigned attempt gone, and the cause of its end.
 // The state is that of the attempt in the heartbeat and is meaningful only if listed is true. Any of the
 // following is a proof:
 //
--- a/internal/agent/image_cache.go
+++ b/internal/agent/image_cache.go
@@ -49,7 +49,7 @@
 	delete(c.fetched, image)
 }
 
-// Fetched records that the machine has finished pulling the image, because a task with it has run. It
+// Fetched records that the machine has fetched the image completely, as a task with it has run. It
 // has no effect on an image that is not in the cache.
 func (c *ImageCache) Fetched(image string) {
 	if !c.Has(image) || c.fetched[image] {
@@ -67,6 +67,5 @@
 	return ok
 }
 
-// Ready reports whether the image is completely fetched, so that a task with it starts without pulling
-// it.
+// Ready reports whether the image is completely fetched, so that a task with it starts without a fetch.
 func (c *ImageCache) Ready(image string) bool { return c.fetched[image] }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -16,7 +16,7 @@
 
 	Index   int       // dense index; reused once the machine is gone
 	Name    string    // never reused for another machine
-	Created time.Time // creation time as given to Registry.Add
+	Created time.Time // time at which Registry.Add added the machine
 
 	// Content of the newest heartbeat, set by ApplyHeartbeat. Addr and Spot are also set from the
 	// cloud's list; Type and Zone are set by the caller, from either source. After the response to a
@@ -52,7 +52,7 @@
 	FailedAttempts int                 // failures attributed to the machine since the last success on it
 	FailedJobs     map[string]struct{} // IDs of the jobs with such failures
 	Quarantined    bool                // excluded from placement
-	RetireReason   RetireReason        // reason for its return; NotRetired: not being returned
+	RetireReason   RetireReason        // reason for its return; NotRetired: it is not to be returned
 	Gone           bool                // returned to the cloud; no attempt runs on it any longer
 
 	// Delivery of commands, set by the caller and by the methods in responsiveness.go and commands.go.
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -12,7 +12,7 @@
 type Registry struct {
 	byName  map[string]*Machine
 	byIndex []*Machine // a machine that is gone stays until its index is reused
-	minFree int        // lower bound of the free indexes
+	minFree int        // lower bound of the free indices
 
 	returned  map[string]time.Time // times of return, by name of machine
 	lastPrune time.Time            // when expired entries of returned were last removed
--- a/internal/agent/retire_reason.go
+++ b/internal/agent/retire_reason.go
@@ -1,11 +1,11 @@
 package agent
 
-// RetireReason is the reason for which the leader returns a machine to the cloud.
+// RetireReason is the reason for which the leader retires a machine, marking it for return to the cloud.
 type RetireReason string
 
-// Reasons to return a machine. Their values are logged.
+// Reasons to retire a machine. Their values are logged.
 const (
-	NotRetired         RetireReason = ""                       // not being returned
+	NotRetired         RetireReason = ""                       // not to be returned
 	RetireFailed       RetireReason = "failed"                 // listed as failed by the cloud
 	RetireQuarantined  RetireReason = "faulty"                 // quarantined after repeated failures of tasks
 	RetireNeverBooted  RetireReason = "never came up"          // no heartbeat within several boot times
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -9,7 +9,7 @@
 // Decision is the result of Plan.
 type Decision struct {
 	ScaleOut []RentRequest // in the order of the demand that they serve, most important first
-	ScaleIn  []int         // indexes of machines to return, in the list given to Plan
+	ScaleIn  []int         // indices of machines to return, in the list given to Plan
 }
 
 // RentRequest is a request for machines of one pool.
--- a/internal/autoscaler/bin_packing.go
+++ b/internal/autoscaler/bin_packing.go
@@ -12,7 +12,7 @@
 )
 
 // packing is the state of one call of Plan: the demand packed so far. Machines and pools are identified
-// by their indexes.
+// by their indices.
 type packing struct {
 	machines []Machine
 	pools    []Pool
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bounds of the deferral of changes. Completed and lost attempts that do not end their job are
+// Bounds of the deferral of changes. Done and lost attempts that do not end their job are
 // deferred so that several of them share a transaction. This is safe: until such a change is recorded,
 // the worker agent keeps reporting it or the next leader detects it again, and no answer to a user or
 // worker agent depends on it.
@@ -21,7 +21,7 @@
 
 // Levels of urgency. Changes at urgencyOverdue and above are written even without spare write rate.
 const (
-	urgencyDeferrable urgency = 0 // completed or lost attempt that does not end its job
+	urgencyDeferrable urgency = 0 // done or lost attempt that does not end its job
 
 	// urgencyCancelledEnd is the urgency of the end of a cancelled job. The end can be deferred, as
 	// the job's record already shows its user the cancellation. It becomes overdue after maxDeferral:
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -9,8 +9,8 @@
 	"tulipshelf/internal/jobstore"
 )
 
-// attemptTracker halts attempts that must not go on, and applies the proof that an attempt has ended to
-// its job and its machine.
+// attemptTracker halts attempts that must not go on, and applies the proof that an attempt is gone to its
+// job and its machine.
 type attemptTracker struct {
 	*environment
 	jobs     *jobTable
@@ -31,12 +31,12 @@
 		if j.Cancelled {
 			t.stopAttempts(j, now)
 		} else if t.Node.IsCancelled(j.Spec.ID) {
-			t.cancelJobs([]string{j.Spec.ID}, now) // JobsCancelled found the event queue full
+			t.cancelJobs([]string{j.Spec.ID}, now) // JobsCancelled dropped the report
 		}
 	})
 }
 
-// cancelJobs marks jobs as cancelled that this controller or another knows to be cancelled, and stops
+// cancelJobs marks jobs as cancelled that this controller or another has reported as cancelled, and stops
 // their attempts. It ignores jobs that have ended or are marked already. The records show cancellations
 // too, but an outage of the key-value store may last for longer than tasks of cancelled jobs may run.
 func (t *attemptTracker) cancelJobs(ids []string, now time.Time) {
@@ -224,7 +224,7 @@
 }
 
 // clearJobFailures removes the failures of a job from the machines that ran it, and ends the quarantine
-// of those that are not being retired and have too few failed jobs left.
+// of those that are not retired and have too few failed jobs left.
 func (t *attemptTracker) clearJobFailures(j *jobstore.Job) {
 	t.machines.registry.Each(func(machine *agent.Machine) {
 		if _, failedHere := machine.FailedJobs[j.Spec.ID]; !failedHere {
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -128,7 +128,7 @@
 }
 
 // needsProbe reports whether a machine is to be probed now: its heartbeats are overdue or it is
-// unresponsive, it can take a direct request, it is neither booting nor being retired, and it was not
+// unresponsive, it can take a direct request, it is neither booting nor retired, and it was not
 // probed within probeInterval.
 func (d *dispatcher) needsProbe(machine *agent.Machine, now time.Time) bool {
 	lastContact := d.startedAt
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -82,9 +82,9 @@
 	slog.Info("machine marked to be returned to the cloud", "machine", machine.Name, "why", reason, "tasks", len(machine.Assignments))
 }
 
-// retireUnhealthy marks unhealthy machines to be returned to the cloud. A machine with an overdue
-// cancelled task is marked in any case, also if it is already marked for another reason. The others
-// are marked only while the term is valid and missing machines may be replaced.
+// retireUnhealthy retires unhealthy machines. A machine with an overdue cancelled task is retired in any
+// case, also if it is already retired for another reason. The others are retired only while the term is
+// valid and missing machines may be replaced.
 func (h *machineHealth) retireUnhealthy(now time.Time) {
 	h.registry.Each(func(machine *agent.Machine) {
 		if machine.RetireReason != agent.RetireStuckCancelled && h.cancelOverdue(machine, now) {
@@ -133,7 +133,7 @@
 	return machine.Registered || len(machine.Assignments) > 0
 }
 
-// reclaimed reports whether the cloud has presumably taken a machine back: its termination notice has
+// reclaimed reports whether the cloud has presumably reclaimed a machine: its termination notice has
 // expired, and it has been silent for at least UnhealthyAfter.
 func (h *machineHealth) reclaimed(machine *agent.Machine, now time.Time) bool {
 	noticeExpired := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
@@ -291,8 +291,8 @@
 	return machines*detectionSeconds >= partitionMissedHeartbeats*interval.Seconds()
 }
 
-// bootTimeout returns the time, since this leader first knew of a machine, after which it is retired if
-// it has not booted.
+// bootTimeout returns the time from Machine.Created after which a machine is retired if it has not
+// booted.
 func (h *machineHealth) bootTimeout(machine *agent.Machine) time.Duration {
 	if machine.Type == unknownIndex {
 		return unknownTypeBootTimeout
@@ -300,8 +300,8 @@
 	return time.Duration(bootTimeoutFactor * h.topology.types[machine.Type].BootS * float64(time.Second))
 }
 
-// bootOverdue reports whether this leader has known of a machine for longer than any healthy machine of
-// its type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
+// bootOverdue reports whether the time since Machine.Created is longer than any healthy machine of the
+// type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
 // An overdue machine may never boot, so what it was rented for is rented again.
 func (h *machineHealth) bootOverdue(machine *agent.Machine, now time.Time) bool {
 	if machine.Type == unknownIndex {
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -24,7 +24,7 @@
 	sizer    *sizer
 	health   *machineHealth
 
-	refusedUntil      map[pool]time.Time // end of the back-off of pools that had no capacity
+	refusedUntil      map[pool]time.Time // end of the backoff of pools that had no capacity
 	unansweredRentals map[string]string  // reason of each rental without a response yet, by its name
 	sequence          int                // number of the last rental of this leader
 }
@@ -105,7 +105,7 @@
 	return machine.Registered && len(machine.Assignments) == 0 && s.commands.resultsSettled(machine)
 }
 
-// pools returns all pools of the catalog, with current prices. Pools in their back-off are blocked.
+// pools returns all pools of the catalog, with current prices. Pools in their backoff are blocked.
 func (s *scaler) pools(now time.Time) (pools []autoscaler.Pool) {
 	for typeIndex := range s.topology.types {
 		machineType := &s.topology.types[typeIndex]
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -13,7 +13,7 @@
 
 // Intervals of the requests to the cloud.
 const (
-	scalingInterval    = 500 * time.Millisecond // mean pause between rounds of requests
+	scalingInterval    = 500 * time.Millisecond // mean delay between rounds of requests
 	maxScalingInterval = 5 * time.Second        // upper bound of the same while requests fail
 	minListInterval    = 2 * time.Second        // least time between two lists
 )
@@ -25,7 +25,7 @@
 	lastList   time.Time      // when the list was last requested; zero: never
 	listLength int            // machines in the last list received
 	pending    []cloud.Rental // rentals to request, without a definite response so far
-	interval   time.Duration  // mean pause between rounds; grows while requests fail
+	interval   time.Duration  // mean delay between rounds; grows while requests fail
 }
 
 // run lists, returns and rents machines, round by round, until ctx ends.
@@ -59,7 +59,7 @@
 	return true
 }
 
-// carryOutPlan gets a scaling plan from the event loop, gives the plan's machines back to the cloud and
+// carryOutPlan gets a scaling plan from the event loop, requests the return of the plan's machines and
 // queues its rentals. It returns false if the request to the cloud failed, and true without a plan.
 func (c *cloudSession) carryOutPlan(ctx context.Context) bool {
 	request := &planRequested{}
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -16,7 +16,7 @@
 	Team    int     // position in the list of teams
 	Need    Amounts // resources of one task
 	Waiting int     // number of tasks that wait for a machine
-	Tasks   int     // number of all tasks, running and finished ones included
+	Tasks   int     // number of all tasks, live and done ones included
 
 	// Constraints on machines.
 	Types           []bool // allowed machine types, by dense index; nil: any
@@ -35,7 +35,7 @@
 
 	// Gangs.
 	Gang        bool // all of its waiting tasks are placed in one pass, or none
-	Anticipated bool // expected gang that is not submitted yet; machines are reserved for it, nothing is placed
+	Anticipated bool // anticipated gang, not submitted yet; machines are reserved for it, nothing is placed
 
 	position int // position in the list of jobs; set by newPass
 }
