--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -17,9 +17,11 @@
 
 // forecast estimates run times and the load that usually arrives. Only the event loop uses it.
 //
-// The estimates are stored in the key-value store for the next leader. Guards against a wrong forecast
-// after an election: without them a leader counts all unfinished jobs as arrivals of one moment, rents
-// machines for that load, and then loses the usual load from its history.
+// The estimates are stored in the key-value store for the next leader. Guards against too low a forecast
+// after an election: without them the history of a new leader holds only the unfinished jobs, each as an
+// arrival at the time of its submission. Without the jobs that have ended, the usual load can be
+// estimated too low, and too few machines are then rented for it. The owners' estimates of run times are
+// not corrected until tasks are done.
 type forecast struct {
 	*environment
 	topology *topology
