--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -69,8 +69,7 @@
 	return n
 }
 
-// awaitElected waits until the node leads and returns its term. It fails the test if the node does
-// not lead within the given time.
+// awaitElected waits until the node leads and returns its term, or fails the test after the given time.
 func (c *cluster) awaitElected(n *node, within time.Duration) *Term {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -82,8 +81,7 @@
 	return nil
 }
 
-// awaitDeposed waits until the node no longer leads the given term. It fails the test if the term
-// has not ended within the given time.
+// awaitDeposed waits until the node no longer leads the term, or fails the test after the given time.
 func (c *cluster) awaitDeposed(n *node, term *Term, within time.Duration) {
 	c.t.Helper()
 	for deadline := time.Now().Add(within); n.leading.Load() == term; time.Sleep(10 * time.Millisecond) {
@@ -116,8 +114,7 @@
 	}
 }
 
-// failover is the result of a failover: the former leader is still partitioned from the store,
-// and its successor has been elected.
+// failover is the state once a successor is elected; the former leader is still cut off from the store.
 type failover struct {
 	deposed       *node
 	first, second *Term // terms of the deposed node and of its successor, "b"
@@ -308,8 +305,7 @@
 	})
 }
 
-// Guards against a cluster without a leader: after a transfer with no other candidate, the former
-// leader is elected again.
+// Guards against a cluster without a leader after a transfer: the only candidate is elected again.
 func TestTransferToNobody(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		a := c.start("a")
@@ -324,8 +320,7 @@
 	})
 }
 
-// A candidate defers to a preferred node in each election, but only for a short time, as the
-// preferred node may be unable to campaign.
+// In each election a candidate defers briefly to a preferred node, which may be unable to campaign.
 func TestPreferOther(t *testing.T) {
 	preferOther := func(c *Candidate) { c.PreferOther = func() bool { return true } }
 	simulate(t, func(c *cluster) {
@@ -353,8 +348,7 @@
 	})
 }
 
-// Guards against a deposed leader that continues to work: it cannot reach the store, and a peer
-// reports that another node was elected.
+// Guards against a leader, cut off from the store, that works on after a peer reports its successor.
 func TestObserveTerm(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		f := c.failover()
