--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -68,7 +68,7 @@
 	Types       []string `cbor:"builds"`        // machine types allowed for tasks; nil: any
 	Zone        string   `cbor:"depot"`         // zone required for all tasks; "": any
 	OneZone     bool     `cbor:"same_place"`    // whether all tasks have to share one zone, whichever
-	Apart       bool     `cbor:"apart"`         // whether no two tasks may run on one machine
+	Apart       bool     `cbor:"apart"`         // whether at most half of the tasks, rounded up, may run in one zone
 	Spot        bool     `cbor:"loaners"`       // whether tasks may run on spot instances
 	ExpectS     float64  `cbor:"expect_s"`      // owner's estimate of a task's run time, in seconds
 	CheckpointS float64  `cbor:"stash_every_s"` // interval between checkpoints, in seconds; 0: none
