--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against jobs that are placed in the wrong zone: a machine that is known only from the records has
-// no zone yet, so the count of a job's tasks by zone is incomplete. Jobs whose tasks belong into one zone,
+// no zone yet, so the count of a job's tasks by zone is incomplete. Jobs whose tasks belong in one zone,
 // or apart, may not be placed by it.
 func TestTasksInUnknownZoneAreNotCounted(t *testing.T) {
 	now := time.Unix(0, 0)
--- a/internal/placement/equivalence.go
+++ b/internal/placement/equivalence.go
@@ -5,8 +5,8 @@
 
 import "slices"
 
-// equivalenceClass holds the properties that determine the feasible machines for a task, provided that
-// these do not depend on the job's other tasks and failures.
+// equivalenceClass holds the properties that determine the feasible machines for a task, in the case that
+// the machines do not depend on the job's other tasks and failures.
 type equivalenceClass struct {
 	need  Amounts
 	types string // allowed machine types, as returned by typesKey
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -6,7 +6,8 @@
 )
 
 // TestOrderOfJobs guards against another order of jobs than by priority, the exceptions in
-// docs/placement.md, and arrival. Each decides only between jobs that are equal in those before it.
+// docs/placement.md, and arrival. Each criterion decides only between jobs that the earlier ones leave
+// equal.
 func TestOrderOfJobs(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -33,8 +34,8 @@
 	}
 }
 
-// TestOverdueJobsBeginWithOneTask guards against overdue jobs that are placed only in the order of all
-// jobs, with more than one task before it, or not in order of arrival among each other, and against
+// TestOverdueJobsBeginWithOneTask guards against overdue jobs of which no task, or more than one, is
+// placed before the other jobs, or which are not placed in order of arrival. It also guards against
 // overdue gangs that are placed in part.
 func TestOverdueJobsBeginWithOneTask(t *testing.T) {
 	job := func(arrival uint64, priority int, overdue, gang bool) Job {
--- a/internal/placement/reference_test.go
+++ b/internal/placement/reference_test.go
@@ -35,8 +35,8 @@
 	return p.plan
 }
 
-// placeOneByOneWithImage places tasks on machines that have the image, and preempts there for others. It
-// returns the number of tasks placed or preempted for.
+// placeOneByOneWithImage places tasks on machines that have the image, and preempts on such machines for
+// the tasks that find no room. It returns the number of tasks placed or preempted for.
 func (p *pass) placeOneByOneWithImage(job *Job) int {
 	placed := 0
 	for ; placed < job.Waiting && p.teamOf(job).limitAllows(job.Need, 1); placed++ {
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -4,8 +4,9 @@
 
 import "slices"
 
-// preemptionClaim holds the properties that determine the preemptible tasks on a machine, provided that
-// these do not depend on the team's limit. Tasks with the same claim share their preemption options.
+// preemptionClaim holds the properties that determine which tasks on a machine are preemptible. It is
+// used only if that does not depend on the team's limit. Tasks with the same claim share their
+// preemption options.
 type preemptionClaim struct {
 	need                    Amounts
 	priority                int
