--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -1,6 +1,9 @@
 package autoscaler
 
-// Stored estimates. Without them each new leader would start without history and rent too few machines.
+// Stored estimates. Without them the history of a new leader would hold only the unfinished jobs, each as
+// an arrival at the time of its submission. Without the jobs that have ended, the usual load can be
+// estimated too low, and too few machines are then rented for it. The owners' estimates of run times
+// would not be corrected until tasks are done.
 
 import "time"
 
@@ -10,7 +13,7 @@
 type Estimates struct {
 	DecayedSeconds float64               `cbor:"sum"`      // run time that arrived, in weighted seconds
 	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival
-	DecayedAtMS    int64                 `cbor:"last_ms"`  // time at which the weights apply
+	DecayedAtMS    int64                 `cbor:"last_ms"`  // time to which the weights have decayed
 	LastArrivalMS  int64                 `cbor:"came_ms"`  // last arrival
 	MeanInterval   float64               `cbor:"gap"`      // mean interval, in seconds; zero if unknown
 	RunTimes       map[string][2]float64 `cbor:"learned"`  // by class: actual and expected run time, in weighted seconds
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -32,8 +32,8 @@
 	// retired.
 	unknownTypeBootTimeout = time.Minute
 
-	// partitionSilentDivisor is the n in the share 1/n of silent machines above which the network is
-	// more likely at fault than the machines.
+	// partitionSilentDivisor sets the share of silent machines, one in partitionSilentDivisor, above which
+	// the network is more likely at fault than the machines.
 	partitionSilentDivisor = 3
 
 	// inconclusiveMachines is the number of machines up to which, inclusive, no network partition is
@@ -82,9 +82,9 @@
 	slog.Info("machine marked to be returned to the cloud", "machine", machine.Name, "why", reason, "tasks", len(machine.Assignments))
 }
 
-// retireUnhealthy marks unhealthy machines to be returned to the cloud. A machine with an overdue
-// cancelled task is marked in any case, also if it is already marked for another reason. The others
-// are marked only while the term is valid and missing machines may be replaced.
+// retireUnhealthy retires unhealthy machines. A machine with an overdue cancelled task is retired in any
+// case, also if it is already retired for another reason. The others are retired only while the term is
+// valid and missing machines may be replaced.
 func (h *machineHealth) retireUnhealthy(now time.Time) {
 	h.registry.Each(func(machine *agent.Machine) {
 		if machine.RetireReason != agent.RetireStuckCancelled && h.cancelOverdue(machine, now) {
@@ -133,7 +133,7 @@
 	return machine.Registered || len(machine.Assignments) > 0
 }
 
-// reclaimed reports whether the cloud has presumably taken a machine back: its termination notice has
+// reclaimed reports whether the cloud has presumably reclaimed a machine: its termination notice has
 // expired, and it has been silent for at least UnhealthyAfter.
 func (h *machineHealth) reclaimed(machine *agent.Machine, now time.Time) bool {
 	noticeExpired := !machine.TerminationAt.IsZero() && now.After(machine.TerminationAt)
@@ -258,11 +258,13 @@
 }
 
 // silenceLimitInPartition returns the silence after which a machine in a zone that is partitioned now
-// counts as lost; zone holds the counts of that zone. The limit is partitionLeases, but one lease for a
-// machine that runs services in a zone without a controller. For such a machine it is only ReplaceAfter
-// if it has not sent this leader a heartbeat and the whole zone is silent: the partition then began
-// before this leader began, as agents of other zones have found this leader by that time. No limit
-// is below ReplaceAfter.
+// counts as lost; zone holds the counts of that zone. The limit is the highest that applies:
+//
+//   - ReplaceAfter for every machine,
+//   - partitionLeases for a machine that runs no service, or whose zone has a controller,
+//   - one lease for any other machine, unless it has not sent this leader a heartbeat and the whole zone
+//     is silent. In that case the partition began before this leader did, since agents of other zones
+//     have found this leader by that time.
 func (h *machineHealth) silenceLimitInPartition(machine *agent.Machine, zone silentCount) time.Duration {
 	replaceAfter, lease := h.Operator.ReplaceAfter, h.Settings.Workers.Lease
 	leasesKept := h.Settings.HasController(h.topology.zones[machine.Zone])
@@ -289,8 +291,8 @@
 	return machines*detectionSeconds >= partitionMissedHeartbeats*interval.Seconds()
 }
 
-// bootTimeout returns the time, since this leader first knew of a machine, after which it is retired if
-// it has not booted.
+// bootTimeout returns the time from Machine.Created after which a machine is retired if it has not
+// booted.
 func (h *machineHealth) bootTimeout(machine *agent.Machine) time.Duration {
 	if machine.Type == unknownIndex {
 		return unknownTypeBootTimeout
@@ -298,9 +300,9 @@
 	return time.Duration(bootTimeoutFactor * h.topology.types[machine.Type].BootS * float64(time.Second))
 }
 
-// bootOverdue reports whether this leader has known of a machine for longer than any healthy machine of
-// its type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
-// The others may never boot, so what they were rented for is rented again.
+// bootOverdue reports whether the time since Machine.Created is longer than any healthy machine of the
+// type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
+// An overdue machine may never boot, so what it was rented for is rented again.
 func (h *machineHealth) bootOverdue(machine *agent.Machine, now time.Time) bool {
 	if machine.Type == unknownIndex {
 		return false
@@ -310,8 +312,8 @@
 
 // cancelOverdue reports whether a machine has held a cancelled task for too long. The limit is higher
 // until a new leader's ReconcileTimeout has passed: most machines that have not sent it a heartbeat yet
-// are up and only need to be sent the halt. It still leaves the time to return the others before the
-// cancellation deadline.
+// are up and only need to be sent the halt. Even the higher limit leaves time to return the others before
+// the cancellation deadline.
 func (h *machineHealth) cancelOverdue(machine *agent.Machine, now time.Time) bool {
 	share := cancelOverdueShare
 	if !h.recovery.timedOut(now) {
