--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -42,10 +42,10 @@
 		f.mustSubmit("wk-000001")
 		f.notReplicated.Store(true)
 		f.expectUnavailable(f.cancel("wk-000001"))
-		first, changes := f.record("wk-000001"), f.store.Changes("")
+		first, changes := f.record("wk-000001"), f.store.MutationsOf("")
 		f.notReplicated.Store(false)
 		f.expect(f.cancel("wk-000001"), 200, StatusCancelled)
-		if f.store.Changes("") != changes {
+		if f.store.MutationsOf("") != changes {
 			t.Error("the repeated cancellation changed the store")
 		}
 		if again := f.record("wk-000001"); again.CancelledMS != first.CancelledMS || again.Arrival == 0 || again.Arrival != first.Arrival {
--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -114,9 +114,9 @@
 	return held
 }
 
-// LearnedBefore returns, in no particular order, the jobs that were added to this register at least
+// AddedBefore returns, in no particular order, the jobs that were added to this register at least
 // minAge ago and are still kept.
-func (r *Register) LearnedBefore(minAge time.Duration) (ids []string) {
+func (r *Register) AddedBefore(minAge time.Duration) (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/internal/cancellation/register_test.go
+++ b/internal/cancellation/register_test.go
@@ -182,8 +182,8 @@
 		r := New(3, taskDeadline)
 		r.Add("wk-000001")
 		time.Sleep(taskDeadline + time.Second)
-		if state := r.State(); len(state.Jobs) != 1 || len(r.LearnedBefore(taskDeadline)) != 1 {
-			t.Errorf("%d jobs in State after taskDeadline, want 1 there and in LearnedBefore", len(state.Jobs))
+		if state := r.State(); len(state.Jobs) != 1 || len(r.AddedBefore(taskDeadline)) != 1 {
+			t.Errorf("%d jobs in State after taskDeadline, want 1 there and in AddedBefore", len(state.Jobs))
 		}
 		time.Sleep(retentionSlack)
 		if state := r.State(); len(state.Jobs) != 0 || r.Contains("wk-000001") {
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -31,7 +31,7 @@
 
 	// Time since the start of the incarnation or since the register last dropped jobs before the
 	// end of their retention period, whichever is shorter.
-	Memory time.Duration
+	RetainedFor time.Duration
 
 	Staleness      time.Duration // time since the latest time up to which the register is complete
 	StalenessKnown bool          // whether such a time is known; if false, Staleness has no meaning
@@ -57,7 +57,7 @@
 	return State{
 		Jobs:           ids,
 		Sequence:       r.lastSequence,
-		Memory:         now.Sub(r.retainedSince),
+		RetainedFor:    now.Sub(r.retainedSince),
 		Staleness:      elapsed(now, r.completeUntil),
 		StalenessKnown: !r.completeUntil.IsZero(),
 	}
@@ -72,7 +72,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.add(state.Jobs, now)
-	r.peerAnswers[node] = peerAnswer{askedAt: sentAt, retainedSince: now.Add(-state.Memory), acknowledged: seq}
+	r.peerAnswers[node] = peerAnswer{askedAt: sentAt, retainedSince: now.Add(-state.RetainedFor), acknowledged: seq}
 	if state.StalenessKnown {
 		r.advance(sentAt.Add(-state.Staleness))
 	}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -208,7 +208,7 @@
 }
 
 // A list of 6,000 machines takes 13 requests, which may use 0.4 of the rate.
-func TestListEvery(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	client := cloud.New(nil, cloudAddr, 5)
 	for machines, want := range map[int]time.Duration{0: 500 * time.Millisecond, 499: 500 * time.Millisecond, 6000: 6500 * time.Millisecond} {
 		if interval := client.ListInterval(machines); interval != want {
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -168,7 +168,7 @@
 type messageCounts struct{ toStore, toCloud, storeChanges, toMachines, toControllers int }
 
 func (c *cluster) countMessages() messageCounts {
-	counts := messageCounts{toStore: c.network.RequestsTo(storeAddr), toCloud: c.network.RequestsTo(cloudAddr), storeChanges: c.store.Changes("")}
+	counts := messageCounts{toStore: c.network.RequestsTo(storeAddr), toCloud: c.network.RequestsTo(cloudAddr), storeChanges: c.store.MutationsOf("")}
 	for addr, n := range c.network.Requests() {
 		switch {
 		case isMachine(addr):
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -68,7 +68,7 @@
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
 		leader := c.leader()
-		leadershipBefore := c.reignOf(leader)
+		leadershipBefore := c.leadershipOf(leader)
 		for i := range 5 {
 			body := wire.Marshal(agent.Heartbeat{Machine: "vm-000099", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 1 << 60})
 			if status := c.heartbeat(leader, body); status != 421 {
@@ -76,7 +76,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if c.reignOf(leader) != leadershipBefore {
+		if c.leadershipOf(leader) != leadershipBefore {
 			t.Errorf("leadership of controller %d has ended, want it to continue after a token that was never issued", leader)
 		}
 	})
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -64,7 +64,7 @@
 	if n.types.Load() == nil {
 		return false
 	}
-	return n.storeReachable() || n.peers.StoreServesNobody(readyAnsweredWithin)
+	return n.storeReachable() || n.peers.StoreReachableByNone(readyAnsweredWithin)
 }
 
 // storeReachable reports whether the key-value store has served this controller within readyServedWithin.
--- a/internal/controller/leader_access_test.go
+++ b/internal/controller/leader_access_test.go
@@ -15,11 +15,13 @@
 // leads reports whether a controller is the leader.
 func leads(node *Node) bool { return node.leader.Load() != nil }
 
-// reign identifies one leadership of a controller. Its values are only compared.
-type reign struct{ leader *leader.Leader }
+// leadershipID identifies one leadership of a controller. Its values are only compared.
+type leadershipID struct{ leader *leader.Leader }
 
-// reignOf returns the present leadership of controller i, or the zero reign if it does not lead.
-func (c *cluster) reignOf(i int) reign { return reign{c.processes[i].node.leader.Load()} }
+// leadershipOf returns the present leadership of controller i, or the zero value if it does not lead.
+func (c *cluster) leadershipOf(i int) leadershipID {
+	return leadershipID{c.processes[i].node.leader.Load()}
+}
 
 // isLeader reports whether controller i leads. It must run this version.
 func (c *cluster) isLeader(i int) bool { return leads(c.processes[i].node) }
--- a/internal/controller/reaper.go
+++ b/internal/controller/reaper.go
@@ -58,7 +58,7 @@
 // cancelledLocations returns the locations at which tasks may run of jobs whose cancellation this
 // controller learned at least age ago.
 func (n *Node) cancelledLocations(age time.Duration) (locations []jobstore.Location) {
-	for _, id := range n.cancelled.LearnedBefore(age) {
+	for _, id := range n.cancelled.AddedBefore(age) {
 		locations = append(locations, n.api.Locations(id)...)
 	}
 	return locations
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -77,7 +77,7 @@
 		c.waitForElection()
 		c.runService(4)
 		time.Sleep(10 * time.Second)
-		before := c.store.Changes("")
+		before := c.store.MutationsOf("")
 		const jobs = 40
 		for i := range jobs {
 			c.submitUntilAccepted(10*time.Second, i%controllers, newJob(jobID(10+i), job.Array, 1, 4))
@@ -89,13 +89,13 @@
 		// Four mutations of a job's records: its acceptance, its start, and the deletions of its record and of
 		// its tasks' record. One mutation records its end.
 		for i := range jobs {
-			records, ends := c.store.Changes(jobstore.JobKey(jobID(10+i))), c.store.Changes(jobstore.EndKey(jobID(10+i)))
+			records, ends := c.store.MutationsOf(jobstore.JobKey(jobID(10+i))), c.store.MutationsOf(jobstore.EndKey(jobID(10+i)))
 			if records != 4 || ends != 1 {
 				t.Errorf("%s: %d mutations of its records and %d of its end, want 4 and 1", jobID(10+i), records, ends)
 			}
 		}
 		// Those five of each job, and a few of the leader's own.
-		if n := c.store.Changes("") - before; n > 5*jobs+10 {
+		if n := c.store.MutationsOf("") - before; n > 5*jobs+10 {
 			t.Errorf("%d mutations for %d jobs, want at most %d", n, jobs, 5*jobs+10)
 		}
 	})
@@ -108,7 +108,7 @@
 	simulate(t, func(c *cluster) {
 		const tasks = 6000
 		c.restartWithLargeFleet()
-		before := c.store.Changes("")
+		before := c.store.MutationsOf("")
 		c.submit(0, newJob("wk-000001", job.Array, tasks, 4).withResources(0.25, 0.5).withPriority(lowPriority))
 		c.waitUntil("a third of the array's tasks started", 3*time.Minute, func() bool { return len(c.invariants.StartsByTask()) > tasks/3 })
 		c.failOver()
@@ -121,7 +121,7 @@
 		if restarts := c.restartsOf("wk-000001"); restarts > tasks/20 {
 			t.Errorf("%d restarts in an array of %d tasks, want at most %d", restarts, tasks, tasks/20)
 		}
-		if n := c.store.Changes("") - before; n > tasks/10 {
+		if n := c.store.MutationsOf("") - before; n > tasks/10 {
 			t.Errorf("%d mutations for %d tasks, want at most %d", n, tasks, tasks/10)
 		}
 	})
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -84,9 +84,9 @@
 	s.keys[key] = entry{value: value, rev: s.rev}
 }
 
-// Changes returns the number of mutations of keys with a prefix in the transactions executed so far,
+// MutationsOf returns the number of mutations of keys with a prefix in the transactions executed so far,
 // including those whose compares failed.
-func (s *Store) Changes(prefix string) (count int) {
+func (s *Store) MutationsOf(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, mutations := range s.counts.mutations {
--- a/internal/jobstore/gang.go
+++ b/internal/jobstore/gang.go
@@ -68,13 +68,13 @@
 	return true
 }
 
-// gangHasCompleted reports whether the job is a gang with at least one done task. The members of a gang
+// gangHasDoneTask reports whether the job is a gang with at least one done task. The members of a gang
 // complete together, so from then on each member whose attempt ends is done too.
-func (j *Job) gangHasCompleted() bool { return j.IsGang() && j.tasks.done > 0 }
+func (j *Job) gangHasDoneTask() bool { return j.IsGang() && j.tasks.done > 0 }
 
-// completeGang marks the waiting tasks of a gang as done: their attempts were proven gone before the
+// markGangDone marks the waiting tasks of a gang as done: their attempts were proven gone before the
 // first member was reported done.
-func (s *Store) completeGang(gang *Job, now time.Time) {
+func (s *Store) markGangDone(gang *Job, now time.Time) {
 	gang.tasks.eachWaiting(func(task int) {
 		gang.tasks.markDone(task)
 		s.markDirty(gang, task, now)
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -63,7 +63,7 @@
 		return
 	}
 	next := taskWaiting
-	if done || job.gangHasCompleted() {
+	if done || job.gangHasDoneTask() {
 		next = taskDone
 	}
 	job.tasks.end(task, next)
@@ -72,7 +72,7 @@
 	job.unrecordedEnds[task] = s.endSequence
 	s.markDirty(job, task, now)
 	if done && job.IsGang() {
-		s.completeGang(job, now)
+		s.markGangDone(job, now)
 	}
 	s.markDirtyIfReadyToEnd(job)
 }
--- a/internal/jobstore/load.go
+++ b/internal/jobstore/load.go
@@ -80,7 +80,7 @@
 			job.addMissingChunks()
 			s.dirty[job] = struct{}{}
 		}
-		if job.gangHasCompleted() {
+		if job.gangHasDoneTask() {
 			job.tasks.eachWaiting(job.tasks.markDone)
 		}
 		s.markDirtyIfReadyToEnd(job)
--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -128,7 +128,7 @@
 	state := g.relays[node]
 	if state == nil {
 		// As many parts of the maximum size as one transaction can carry, and at least one.
-		parts := min(g.Settings.Store.TxnOps, max(1, relay.MaxWrite/g.Settings.Store.ValueBytes))
+		parts := min(g.Settings.Store.TxnOps, max(1, relay.MaxWriteBytes/g.Settings.Store.ValueBytes))
 		state = &relayState{lastWritten: make([][]byte, parts), resendFull: map[string]bool{}}
 		g.relays[node] = state
 	}
@@ -186,7 +186,7 @@
 // the parts of the controller's state. It returns nil if there are neither such machines nor requests
 // for full heartbeats.
 func (g *relayGateway) commandParts(node string, state *relayState, now time.Time) []relay.CommandBatch {
-	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWrite)) - batchOverheadBytes
+	limit := relay.UsableBytes(min(g.Settings.Store.ValueBytes, relay.MaxWriteBytes)) - batchOverheadBytes
 	parts := newCommandParts(len(state.lastWritten), g.term.Number(), limit)
 	anyRelayed := false
 	g.machines.registry.Each(func(machine *agent.Machine) {
@@ -255,7 +255,7 @@
 			continue
 		}
 		size += len(value)
-		if size > relay.UsableBytes(relay.MaxWrite) && len(mutations) > 0 {
+		if size > relay.UsableBytes(relay.MaxWriteBytes) && len(mutations) > 0 {
 			state.firstPart = part
 			break
 		}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -47,7 +47,7 @@
 		Served:     g.node.StoreReachable(),
 		Cancelled:  register.Jobs,
 		Gangs:      true,
-		MemoryMs:   uint64(register.Memory.Milliseconds()),
+		MemoryMs:   uint64(register.RetainedFor.Milliseconds()),
 	}
 	if register.StalenessKnown {
 		heartbeat.KnownMs = uint64(register.Staleness.Milliseconds()) + stalenessOffsetMs
@@ -94,7 +94,7 @@
 func cancellationState(heartbeat *Heartbeat) cancellation.State {
 	return cancellation.State{
 		Jobs:           heartbeat.Cancelled,
-		Memory:         time.Duration(heartbeat.MemoryMs) * time.Millisecond,
+		RetainedFor:    time.Duration(heartbeat.MemoryMs) * time.Millisecond,
 		Staleness:      time.Duration(heartbeat.KnownMs) * time.Millisecond,
 		StalenessKnown: heartbeat.KnownMs != 0,
 	}
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -106,9 +106,9 @@
 	return true
 }
 
-// StoreServesNobody reports whether at least one member has answered within the last d, and none of
+// StoreReachableByNone reports whether at least one member has answered within the last d, and none of
 // those that have was served by the key-value store.
-func (o *observations) StoreServesNobody(d time.Duration) bool {
+func (o *observations) StoreReachableByNone(d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	anyAnswered := false
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -289,7 +289,7 @@
 		if got := a.MostRedirected(recent); got != 8 {
 			t.Errorf("MostRedirected returned %d, want 8", got)
 		}
-		if !a.AllRunGangs() || !a.StoreServesNobody(recent) {
+		if !a.AllRunGangs() || !a.StoreReachableByNone(recent) {
 			t.Error("want all members to run gangs, and none to be served by the store")
 		}
 		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, to string) bool { return from == "a" && to == "c" }})
@@ -299,8 +299,8 @@
 		}
 		g.network.SetFaults(fake.NetworkFaults{Partition: func(from, _ string) bool { return from == "a" }})
 		time.Sleep(10 * time.Second)
-		if got := a.MostRedirected(recent); got != 0 || a.StoreServesNobody(recent) {
-			t.Errorf("MostRedirected returned %d and StoreServesNobody %v, want 0 and false without answers", got, a.StoreServesNobody(recent))
+		if got := a.MostRedirected(recent); got != 0 || a.StoreReachableByNone(recent) {
+			t.Errorf("MostRedirected returned %d and StoreReachableByNone %v, want 0 and false without answers", got, a.StoreReachableByNone(recent))
 		}
 		if !a.AllRunGangs() {
 			t.Error("AllRunGangs returned false for members that no longer answer, want true")
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -162,7 +162,7 @@
 		node:            node,
 		valueBytes:      UsableBytes(valueBytes) - BatchOverhead,
 		maxBatches:      maxBatches,
-		transactionLeft: UsableBytes(MaxWrite),
+		transactionLeft: UsableBytes(MaxWriteBytes),
 	}
 }
 
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -26,9 +26,9 @@
 func DownKey(node string, part int) string { return downNodePrefix(node) + strconv.Itoa(part) }
 
 const (
-	// MaxWrite is the maximum total size, in bytes, of the values in one transaction. The store's limit
+	// MaxWriteBytes is the maximum total size, in bytes, of the values in one transaction. The store's limit
 	// for the whole request is 64 KiB.
-	MaxWrite = 48 << 10
+	MaxWriteBytes = 48 << 10
 
 	// BatchOverhead is the number of bytes reserved in a batch for everything but heartbeats and
 	// commands: the names of its fields, the node's name and the term.
