--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -197,17 +197,17 @@
 func keyPattern(key string) string { return digits.ReplaceAllString(key, "#") }
 
 // addFields adds the paths of all fields inside a decoded value that stands at a path.
-func addFields(paths map[string]bool, at string, value any) {
+func addFields(paths map[string]bool, prefix string, value any) {
 	switch value := value.(type) {
 	case map[any]any:
 		for name, inner := range value {
-			path := at + "." + keyPattern(fmt.Sprint(name))
+			path := prefix + "." + keyPattern(fmt.Sprint(name))
 			paths[path] = true
 			addFields(paths, path, inner)
 		}
 	case []any:
 		for _, inner := range value {
-			addFields(paths, at+"[]", inner)
+			addFields(paths, prefix+"[]", inner)
 		}
 	}
 }
--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -26,7 +26,7 @@
 )
 
 // olderVersions are the versions beside which this one has to run, by the name of their fixture.
-var olderVersions = map[string]olderVersion{"production": startProduction, "previous": startPrevious}
+var olderVersions = map[string]olderVersion{"production": newProductionController, "previous": newPreviousController}
 
 // withEachOlderVersion runs f once for each older version, on a cluster of which all
 // controllers run that version.
@@ -36,8 +36,8 @@
 	}
 }
 
-// startProduction makes a controller of the production version.
-func startProduction(s *config.Settings, network *fake.Network) olderController {
+// newProductionController makes a controller of the production version.
+func newProductionController(s *config.Settings, network *fake.Network) olderController {
 	parsed, err := productionconfig.ParseSettings(encodeSettings(s))
 	if err != nil {
 		panic(err)
@@ -56,8 +56,8 @@
 	})
 }
 
-// startPrevious makes a controller of the previous version.
-func startPrevious(s *config.Settings, network *fake.Network) olderController {
+// newPreviousController makes a controller of the previous version.
+func newPreviousController(s *config.Settings, network *fake.Network) olderController {
 	parsed, err := previousconfig.ParseSettings(encodeSettings(s))
 	if err != nil {
 		panic(err)
--- a/internal/controller/previous_fixture_test.go
+++ b/internal/controller/previous_fixture_test.go
@@ -35,7 +35,7 @@
 
 // The fixture is what the previous version writes: the same keys, but for numbers of chunks, as now.
 func TestPreviousFixture(t *testing.T) {
-	simulateFrom(t, startPrevious, func(c *cluster) {
+	simulateFrom(t, newPreviousController, func(c *cluster) {
 		c.createFixtureState()
 		var out bytes.Buffer
 		out.WriteString(previousHeader)
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -299,7 +299,7 @@
 // also one that has just started and has had no heartbeat of its peers. Once all run this version a gang
 // is accepted and runs whole.
 func TestRollingUpgradeGangsRefusedUntilComplete(t *testing.T) {
-	simulateFrom(t, startProduction, func(c *cluster) {
+	simulateFrom(t, newProductionController, func(c *cluster) {
 		c.waitForLeader(10 * time.Second)
 		c.restartWithLargeFleet()
 		submissions := 0
@@ -335,7 +335,7 @@
 
 // Gangs keep running while controllers of the previous version, which runs them too, are upgraded.
 func TestRollingUpgradeGangsKeepRunning(t *testing.T) {
-	simulateFrom(t, startPrevious, func(c *cluster) {
+	simulateFrom(t, newPreviousController, func(c *cluster) {
 		c.waitForLeader(10 * time.Second)
 		c.restartWithLargeFleet()
 		c.runGang(newGang(8, 60))
@@ -350,7 +350,7 @@
 func TestRollingUpgradeRechunksRecords(t *testing.T) {
 	for name, olderFirst := range map[string]bool{"older version chunks": true, "newer version chunks": false} {
 		t.Run(name, func(t *testing.T) {
-			simulateFrom(t, startPrevious, func(c *cluster) {
+			simulateFrom(t, newPreviousController, func(c *cluster) {
 				c.upgradeOneNode()
 				c.submitUntilAccepted(10*time.Second, 0, newJob("wk-000050", job.Service, 80, 0).withResources(0.25, 0.25))
 				c.waitUntilRunningOf("wk-000050", 80, time.Minute)
