--- a/internal/controller/oldversions_test.go
+++ b/internal/controller/oldversions_test.go
@@ -2,8 +2,8 @@
 
 package controller
 
-// Older versions as controllers of a test cluster. Their sources come from the repository's
-// history: .ci/old-versions.
+// Older versions as controllers of a test cluster. .ci/old-versions extracts their sources from the
+// repository's history.
 
 import (
 	"context"
@@ -25,18 +25,19 @@
 	productionwire "tulipshelf/target/oldversion/production/wire"
 )
 
-// olderVersions are the versions beside which this one has to run, by the name of their fixture.
+// olderVersions maps the versions that this one has to run beside to the constructors of their
+// controllers. The keys are the names of the fixtures.
 var olderVersions = map[string]olderVersion{"production": newProductionController, "previous": newPreviousController}
 
-// withEachOlderVersion runs f once for each older version, on a cluster of which all
-// controllers run that version.
+// withEachOlderVersion runs f in a subtest for each older version, on a cluster whose controllers all run
+// that version at first.
 func withEachOlderVersion(t *testing.T, f func(c *cluster)) {
 	for name, older := range olderVersions {
 		t.Run(name, func(t *testing.T) { simulateFrom(t, older, f) })
 	}
 }
 
-// newProductionController makes a controller of the production version.
+// newProductionController returns a controller of the production version that has not been started.
 func newProductionController(s *config.Settings, network *fake.Network) olderController {
 	parsed, err := productionconfig.ParseSettings(encodeSettings(s))
 	if err != nil {
@@ -56,7 +57,7 @@
 	})
 }
 
-// newPreviousController makes a controller of the previous version.
+// newPreviousController returns a controller of the previous version that has not been started.
 func newPreviousController(s *config.Settings, network *fake.Network) olderController {
 	parsed, err := previousconfig.ParseSettings(encodeSettings(s))
 	if err != nil {
@@ -76,18 +77,19 @@
 	})
 }
 
-// olderNode is what the older versions' Node types have in common.
+// olderNode is implemented by the Node types of the older versions.
 type olderNode interface {
 	Run(context.Context) error
 	Leads() bool
 }
 
-// restartDelay is the time after which the platform starts a process again that has crashed.
+// restartDelay is the time from a crash of a process until the platform starts it again.
 const restartDelay = 3 * time.Second
 
-// restartOnCrash returns a controller that is started again when it crashes, as the platform does.
-// Production crashes now and then when a heartbeat comes before its event loop runs (see
-// TestHeartbeatsWaitForLeaderLoop). The start function gets what a request calls that has panicked.
+// restartOnCrash returns a controller that is started again after a crash, as the platform does. A newly
+// elected leader of the production version may crash if a heartbeat arrives before its event loop runs
+// (see TestHeartbeatsWaitForLeaderLoop). start is called for each process, with a function that ends the
+// process and that recoverCrash calls.
 func restartOnCrash(start func(crash func()) olderNode) olderController {
 	var current atomic.Pointer[olderNode]
 	run := func(ctx context.Context) error {
@@ -110,14 +112,15 @@
 	return olderController{run: run, leads: leads}
 }
 
-// recoverCrash ends the whole process where a request has made it panic.
+// recoverCrash ends the whole process by calling crash if the handler of a request has panicked. It has
+// to be deferred.
 func recoverCrash(crash func()) {
 	if recover() != nil {
 		crash()
 	}
 }
 
-// encodeSettings returns settings as the platform hands them over, in the form that all versions read.
+// encodeSettings encodes settings as the platform's settings file, in the form that all versions read.
 func encodeSettings(s *config.Settings) []byte {
 	file, err := json.Marshal(object{
 		"node_name": s.Node, "site": s.Zone, "listen": s.Listen, "peer_listen": s.PeerListen, "peers": peerObjects(s.Peers),
@@ -135,7 +138,7 @@
 	return file
 }
 
-// object is a JSON object of the settings file.
+// object is a JSON object in the settings file.
 type object = map[string]any
 
 func peerObjects(peers []config.Peer) []object {
@@ -149,7 +152,7 @@
 func teamObjects(teams []config.Team) []object {
 	maximum := func(amount float64) float64 {
 		if math.IsInf(amount, 1) {
-			return 0 // in the file 0 means unlimited
+			return 0 // unlimited, in the settings file
 		}
 		return amount
 	}
--- a/internal/controller/previous_fixture_test.go
+++ b/internal/controller/previous_fixture_test.go
@@ -2,7 +2,8 @@
 
 package controller
 
-// testdata/previous.txt is written by the previous version itself, run as a controller.
+// The fixture testdata/previous.txt. The previous version itself writes it, as the controllers of a test
+// cluster.
 
 import (
 	"bytes"
@@ -20,10 +21,11 @@
 	"tulipshelf/internal/wire"
 )
 
-// writeFixture writes the fixture instead of comparing with it.
+// writeFixture makes TestPreviousFixture overwrite the fixture before it compares.
 var writeFixture = flag.Bool("write-fixture", false, "overwrite testdata/previous.txt")
 
-// previousHeader begins the file, which is compared byte for byte.
+// previousHeader is the header of testdata/previous.txt, byte for byte. The lines after it are the stored
+// values and a heartbeat.
 const previousHeader = `# What the version before the last keeps in the state service and sends to other controllers:
 # a key and its value in hex on each line, and a beat. Made by that version itself:
 #   .ci/old-versions && go test -tags oldversions -run TestPreviousFixture ./internal/controller -write-fixture
@@ -33,7 +35,9 @@
 # commands go through the state service.
 `
 
-// The fixture is what the previous version writes: the same keys, but for numbers of chunks, as now.
+// Guards against a fixture that differs from what the previous version stores. The previous version
+// writes each key of the fixture again, but for the numbers in keys, such as those of chunks. Keys
+// without a / (the catalog and the heartbeat) are not compared.
 func TestPreviousFixture(t *testing.T) {
 	simulateFrom(t, newPreviousController, func(c *cluster) {
 		c.createFixtureState()
@@ -42,7 +46,7 @@
 		patterns := map[string]bool{}
 		for _, item := range c.storedItems() {
 			if item.Key == "lead/holder" {
-				continue // it has a lease and is gone once its controller is
+				continue // the store deletes it with its lease, after its controller has ended
 			}
 			patterns[keyPattern(item.Key)] = true
 			fmt.Fprintf(&out, "%s %x\n", item.Key, []byte(item.Value))
@@ -57,13 +61,14 @@
 		}
 		for key := range readFixture(t, "previous") {
 			if strings.Contains(key, "/") && !patterns[keyPattern(key)] {
-				t.Errorf("the previous version no longer writes %s", key)
+				t.Errorf("testdata/previous.txt has the key %s, of a kind that the previous version did not write in this run", key)
 			}
 		}
 	})
 }
 
-// peerHeartbeat returns a controller's response to a heartbeat of another controller.
+// peerHeartbeat sends a heartbeat to a controller, as another controller does, and returns the encoded
+// heartbeat in the response.
 func (c *cluster) peerHeartbeat(node int) []byte {
 	c.t.Helper()
 	client := wire.Client{Dial: c.network.Dial("user-reader"), Addr: peerAddr(node)}
@@ -76,10 +81,10 @@
 	}
 	resp, err := client.Do(ctx, "POST", "/beat", body)
 	if err != nil {
-		c.t.Fatalf("no heartbeat: %v", err)
+		c.t.Fatalf("heartbeat to controller %d: %v", node, err)
 	}
 	if resp.Status != 200 {
-		c.t.Fatalf("no heartbeat: %d", resp.Status)
+		c.t.Fatalf("heartbeat to controller %d: status %d, want 200", node, resp.Status)
 	}
 	return resp.Body
 }
--- a/internal/controller/production_reader_test.go
+++ b/internal/controller/production_reader_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// A reader of stored values that knows only what production does.
+// A reader of stored values that has only the keys and fields of the production version.
 
 import (
 	"strings"
@@ -14,8 +14,8 @@
 	"tulipshelf/internal/wire"
 )
 
-// What production reads of a job's record, of a chunk of its tasks, of its end, of the autoscaler's
-// estimates and of the term.
+// The fields that the production version reads, under its names, of a job's record, of a chunk of the
+// job's tasks, of the job's final state, of the autoscaler's estimates and of the term.
 type (
 	productionRecord struct {
 		Spec        *job.Spec `cbor:"spec"`
@@ -52,8 +52,9 @@
 	}
 )
 
-// All that this version stores, gangs included, is read by one that knows only what production does,
-// and keys have the patterns that it knows or ignores.
+// Guards against values that the production version cannot read when it leads again during an upgrade.
+// Every value that this version stores, also in the presence of a gang, is decoded with production's
+// fields, and the only kind of key that production lacks is gangsKey, which it ignores.
 func TestProductionReadsStoredValues(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -61,13 +62,13 @@
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000002", job.Array, 300, 20))
 		c.runGang(newGang(6, 300))
 		c.submitUntilAccepted(5*time.Second, 0, newJob("wk-000003", job.Array, 2, 2))
-		c.waitUntil("done", time.Minute, c.isDone("wk-000003"))
-		c.waitUntil("some tasks done", 2*time.Minute, func() bool { return c.invariants.Completed("wk-000002/40") })
+		c.waitUntil("wk-000003 done", time.Minute, c.isDone("wk-000003"))
+		c.waitUntil("wk-000002/40 done", 2*time.Minute, func() bool { return c.invariants.Completed("wk-000002/40") })
 		time.Sleep(12 * time.Second)
 		c.partitionZone()
 		time.Sleep(16 * time.Second)
 		c.hangMachines()
-		c.waitUntil("cancelled", 10*time.Second, func() bool { return c.requestCancel(c.leader(), "wk-000001").Status == 200 })
+		c.waitUntil("cancellation of wk-000001 confirmed", 10*time.Second, func() bool { return c.requestCancel(c.leader(), "wk-000001").Status == 200 })
 
 		reader := productionReader{t: t, cancelledJob: "wk-000001", read: map[string]int{}}
 		for _, item := range c.storedItems() {
@@ -75,26 +76,26 @@
 		}
 		for _, kind := range []string{"job", "chunk", "end", "rental/memo", "lead/term", "relay/up/", "relay/down/", gangsKey} {
 			if reader.read[kind] == 0 {
-				t.Errorf("nothing written of %s: %v", kind, reader.read)
+				t.Errorf("no value of kind %s is stored; values by kind: %v", kind, reader.read)
 			}
 		}
 		delete(reader.read, gangsKey)
-		if len(reader.read) > 9 {
-			t.Errorf("keys that production does not know: %v", reader.read)
+		if len(reader.read) > 9 { // the other seven kinds above, catalog and lead/holder
+			t.Errorf("%d kinds of keys, but production has 9; values by kind: %v", len(reader.read), reader.read)
 		}
 		c.resumeMachines()
 		c.heal()
 	})
 }
 
-// productionReader reads stored values as production does.
+// productionReader decodes stored values into the types of the production version.
 type productionReader struct {
 	t            *testing.T
-	cancelledJob string         // the one job that was cancelled
-	read         map[string]int // values read, by kind; other keys by their first parts
+	cancelledJob string         // ID of the only job that was cancelled
+	read         map[string]int // number of values read, by kind: job, chunk, end, or a key's first two parts
 }
 
-// readItem reads one value and checks the fields that production needs.
+// readItem decodes one value and checks the fields that production needs.
 func (r *productionReader) readItem(item kvstore.Item) {
 	key := item.Key
 	id, chunk, isJobKey := jobstore.SplitKey(key)
@@ -111,18 +112,18 @@
 		var end productionEnd
 		r.decode(item, &end)
 		if end.Status != jobstore.StatusDone || end.Tasks != 2 {
-			r.t.Errorf("%s: %+v", key, end)
+			r.t.Errorf("%s: read as %+v, want status %s and 2 tasks", key, end, jobstore.StatusDone)
 		}
 		kind = "end"
 	case key == "rental/memo":
 		var stored productionEstimates
 		if r.decode(item, &stored); stored.Estimates.Sum == 0 || stored.Estimates.LastMS == 0 {
-			r.t.Errorf("%s: %+v", key, stored)
+			r.t.Errorf("%s: read as %+v, want sum and last_ms of the estimates other than 0", key, stored)
 		}
 	case key == "lead/term":
 		var term productionTerm
 		if r.decode(item, &term); term.Term == 0 {
-			r.t.Errorf("%s: %+v", key, term)
+			r.t.Errorf("%s: read as %+v, want a term other than 0", key, term)
 		}
 	case strings.HasPrefix(key, relay.UpPrefix):
 		r.decode(item, &relay.HeartbeatBatch{})
@@ -136,7 +137,8 @@
 	var record productionRecord
 	r.decode(item, &record)
 	if record.Spec == nil || record.Spec.ID != id || record.Chunk < 1 || record.AtMS == 0 || (id == r.cancelledJob) != (record.CancelledMS != 0) {
-		r.t.Errorf("%s: %+v", item.Key, record)
+		r.t.Errorf("%s: read as %+v, want the job's own spec, a chunk size above 0, at_ms other than 0, and cancelled_ms other than 0 for %s only",
+			item.Key, record, r.cancelledJob)
 	}
 }
 
@@ -145,13 +147,13 @@
 	r.decode(item, &chunk)
 	for _, attempt := range chunk.Live {
 		if attempt.Machine == "" || attempt.Session == 0 || attempt.Try == 0 {
-			r.t.Errorf("%s: %+v", item.Key, attempt)
+			r.t.Errorf("%s: live attempt read as %+v, want a machine, a session and a try other than 0", item.Key, attempt)
 		}
 	}
 }
 
 func (r *productionReader) decode(item kvstore.Item, into any) {
 	if err := wire.Unmarshal(item.Value, into); err != nil {
-		r.t.Errorf("%s: %v", item.Key, err)
+		r.t.Errorf("%s: decode as production does: %v", item.Key, err)
 	}
 }
