--- a/tools/testdata/identical/identical.go
+++ b/tools/testdata/identical/identical.go
@@ -1,5 +1,5 @@
 // Package identical holds a case that staticcheck has to find.
 package identical
 
-// Never compares a number with itself.
+// Never reports whether a number equals itself, which staticcheck has to find (SA4000).
 func Never(n int) bool { return n == n }
--- a/tools/testdata/unwrapped/unwrapped.go
+++ b/tools/testdata/unwrapped/unwrapped.go
@@ -1,4 +1,4 @@
-// Package unwrapped holds the cases that errorlint has to find, one a line.
+// Package unwrapped holds the cases that errorlint has to find, one per line.
 package unwrapped
 
 import (
