--- a/internal/controller/production_reader_test.go
+++ b/internal/controller/production_reader_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// A reader of stored values that has only the keys and fields of the production version.
+// A reader of stored values that has the fields of the production version.
 
 import (
 	"strings"
@@ -53,8 +53,9 @@
 )
 
 // Guards against values that the production version cannot read when it leads again during an upgrade.
-// Every value that this version stores, also in the presence of a gang, is decoded with production's
-// fields, and the only kind of key that production lacks is gangsKey, which it ignores.
+// What this version stores, with a gang among the jobs, is decoded with production's fields, except for
+// the relay's messages, which are decoded with this version's. The only kind of key that production
+// lacks is gangsKey, which it ignores.
 func TestProductionReadsStoredValues(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
@@ -88,14 +89,15 @@
 	})
 }
 
-// productionReader decodes stored values into the types of the production version.
+// productionReader decodes stored values with the fields of the production version.
 type productionReader struct {
 	t            *testing.T
 	cancelledJob string         // ID of the only job that was cancelled
 	read         map[string]int // number of values read, by kind: job, chunk, end, or a key's first two parts
 }
 
-// readItem decodes one value and checks the fields that production needs.
+// readItem decodes one value and checks the fields that production needs. It only counts the catalog,
+// the leader's key and keys of unknown kinds.
 func (r *productionReader) readItem(item kvstore.Item) {
 	key := item.Key
 	id, chunk, isJobKey := jobstore.SplitKey(key)
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -3,8 +3,8 @@
 package controller
 
 // Rolling upgrades: controllers are replaced one at a time while they serve, so this version and an older
-// one lead alternately, with the same records, machines and peers. Each test checks that the case it
-// tests has occurred.
+// one lead alternately, with the same records, machines and peers. Each test checks that its case has
+// occurred.
 
 import (
 	"fmt"
