--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -48,14 +48,17 @@
 	}
 }
 
-// stopAttempts stops all live attempts of a job. Attempts whose start was never sent are withdrawn. If
-// they are not recorded, this waits until no write is in flight, since a write in flight may record them.
-// Attempts of a cancelled job that are confirmed gone (Node.ConfirmedGone) are ended. All others are
-// halted without a grace period.
+// stopAttempts stops all live attempts of a job:
 //
-// Attempts that were confirmed gone under an earlier leader are ended too. Guards against a new leader
-// that returns machines for tasks that are long gone: the ends of their jobs could not be recorded in
-// time (docs/incidents/inc-b469.md).
+//   - Unrecorded attempts are withdrawn, as their starts were never sent. While the writer is busy they
+//     are left, since a write in flight may record them; stopObsolete calls stopAttempts again.
+//   - Recorded attempts whose starts were never sent are ended.
+//   - Attempts of a cancelled job that are confirmed gone (Node.ConfirmedGone) are ended.
+//   - All others are halted without a grace period.
+//
+// Attempts may have been confirmed gone under an earlier leader that could not record the end of their
+// job in time. Without the third rule the new leader would return their machines, as if these still held
+// the cancelled tasks (docs/incidents/inc-b469.md).
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.requestPending {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
@@ -265,5 +268,5 @@
 func (e jobsCancelled) apply(l *Leader) { l.attempts.cancelJobs(e.jobIDs, time.Now()) }
 
 // JobsCancelled queues a report that jobs are cancelled. It is safe for concurrent use. If the event
-// queue is full, the report is dropped, and reconcile finds the cancelled jobs later.
+// queue is full, the report is dropped, and stopObsolete finds the cancelled jobs later.
 func (l *Leader) JobsCancelled(jobIDs []string) { l.loop.trySubmit(jobsCancelled{jobIDs}) }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -26,7 +26,7 @@
 
 // forRelayedMachine returns the commands for a machine that only another controller reaches. Commands
 // to forget exited tasks are left out, as they can wait until the partition is over. With them the
-// commands for a large zone exceeded the limit of what may be written.
+// commands for a large zone exceeded the size limits of the key-value store.
 func (c *commandSource) forRelayedMachine(machine *agent.Machine, now time.Time) []agent.Command {
 	neverSettled := func(string) bool { return false }
 	return machine.PendingCommands(c.term.Number(), agent.MaxCommands, neverSettled, now)
--- a/internal/leader/dispatcher.go
+++ b/internal/leader/dispatcher.go
@@ -25,8 +25,8 @@
 // Limits of direct requests.
 const (
 	// socketDivisor is the divisor of MaxSockets that gives the maximum number of machines with commands
-	// in flight, and of machines with a probe in flight. Guards against a lack of sockets for agents:
-	// a burst of starts on hundreds of machines would take them.
+	// in flight, and of machines with a probe in flight. Guards against heartbeats that find no free
+	// socket: a burst of starts on hundreds of machines would take too many.
 	socketDivisor = 20
 
 	// probeInterval is the minimum time between two probes of one machine.
@@ -94,7 +94,8 @@
 
 // handleDirectAnswer applies the status that an agent answered to a direct request. If err is not nil,
 // it is unknown whether commands have been executed or will be; later heartbeats show it. An answer is
-// ignored if the machine is gone, or if another machine has sent the answer.
+// ignored if the machine is gone, or if another machine has sent the answer. If its token is above this
+// leader's, only the token is reported to the election.
 func (l *Leader) handleDirectAnswer(machine *agent.Machine, status *agent.Heartbeat, err error) {
 	machine.RequestInFlight = false
 	if err != nil {
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -20,8 +20,8 @@
 // The estimates are stored in the key-value store for the next leader. Guards against too low a forecast
 // after an election: without them the history of a new leader holds only the unfinished jobs, each as an
 // arrival at the time of its submission. Without the jobs that have ended, the usual load can be
-// estimated too low, and too few machines are then rented for it. The owners' estimates of run times are
-// not corrected until tasks are done.
+// estimated too low, and too few machines are then rented for it. A new leader without the stored
+// estimates also cannot correct the owners' estimates of run times until tasks are done.
 type forecast struct {
 	*environment
 	topology *topology
@@ -81,8 +81,8 @@
 	if arrived.IsGang() {
 		f.gangArrived(arrived, state)
 	}
-	// Arrays of teams without a guarantee are left out. Guards against empty machines: those kept for
-	// more such arrays stay long after the arrays are done.
+	// Arrays of teams without a guarantee are left out. Guards against empty machines: the machines kept
+	// for further such arrays would stay long after the arrays are done.
 	if arrived.Spec.Shape == job.Array && !f.jobs.opportunistic(arrived) {
 		f.arrayArrived(arrived, state)
 	}
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -36,21 +36,22 @@
 	// the network is more likely at fault than the machines.
 	partitionSilentDivisor = 3
 
-	// inconclusiveMachines is the number of machines up to which, inclusive, no network partition is
-	// concluded: more than this many must be silent (suggestsPartition), or, for a zone without
-	// heartbeats, more than this many of its machines must have booted (noHeartbeats).
+	// inconclusiveMachines is the largest number of machines that is too small to show a network
+	// partition. suggestsPartition requires more silent machines, and noHeartbeats more machines of the
+	// zone that have booted.
 	inconclusiveMachines = 2
 
-	// partitionMissedHeartbeats is the minimum number of consecutive heartbeats that a zone must have
-	// missed, by the heartbeat interval and its number of machines, to count as partitioned.
+	// partitionMissedHeartbeats is the minimum number of heartbeats that must be missing from a zone
+	// since its last one for the zone to count as partitioned. The number missing is computed from the
+	// heartbeat interval and the number of machines in the zone.
 	partitionMissedHeartbeats = 10
 
 	// partitionMinSilence is the minimum time without any heartbeat from a zone for it to count as
 	// partitioned.
 	partitionMinSilence = time.Second
 
-	// partitionLeases is the retention period, in leases, of machines in a partitioned zone. Machines
-	// with services may have a shorter one (silenceLimitInPartition).
+	// partitionLeases is the silence, in leases, after which a machine in a partitioned zone counts as
+	// lost. The limit for machines with services may be lower (silenceLimitInPartition).
 	partitionLeases = 3
 
 	// unresponsiveTimeout is the time after which an unresponsive machine is retired. It exceeds
@@ -59,8 +60,8 @@
 	unresponsiveTimeout = RelayAfterSilence + 3*time.Second
 
 	// cancelOverdueShare is the share of the cancellation deadline after which a machine that holds a
-	// cancelled task is retired, and cancelOverdueShareReconciling the share that applies while a new
-	// leader reconciles.
+	// cancelled task is retired, and cancelOverdueShareReconciling the share that applies until a new
+	// leader's ReconcileTimeout has passed.
 	cancelOverdueShare            = 0.55
 	cancelOverdueShareReconciling = 0.8
 )
@@ -215,10 +216,10 @@
 // noHeartbeats reports whether a zone is partitioned, as none of its machines sends heartbeats. Zones
 // that have sent this leader no heartbeat yet, and zones of up to inconclusiveMachines, do not count.
 //
-// Guards against retiring machines of the zone before suggestsPartition holds: those whose last
-// heartbeats were the oldest when the partition began. Hundreds of machines send dozens of heartbeats
-// each second, so a zone without any is known to be partitioned long before a third of its machines
-// are silent.
+// Guards against retiring machines of the zone before suggestsPartition holds. The machines whose last
+// heartbeats were the oldest when the partition began would be the first to count as lost. Hundreds of
+// machines send dozens of heartbeats each second, so a zone without any is known to be partitioned long
+// before a third of its machines are silent.
 func (h *machineHealth) noHeartbeats(count silentCount, lastHeartbeat, now time.Time) bool {
 	if lastHeartbeat.IsZero() || count.total <= inconclusiveMachines {
 		return false
@@ -232,9 +233,9 @@
 // or after UnhealthyAfter if it has also left a probe unanswered and a partition is ruled out.
 //
 // Machines in a partitioned zone are kept for longer, as they are not dead. A controller in the zone may
-// extend their leases. Without one their tasks end when the leases expire. Even then returning the
-// machines gains nothing, since their replacements would be cut off too, unless services wait to start
-// elsewhere.
+// extend their leases. Without such a controller their tasks end when the leases expire. Even then
+// returning the machines gains nothing, since their replacements would be cut off too. The exception is
+// a machine with a service: the service can start elsewhere once the machine is returned.
 //
 // When a partition has ended, the time limits count anew from its end. After an election a machine that
 // has not sent a heartbeat to the new leader has at least a lease's time, as its agent may have to try
@@ -262,9 +263,10 @@
 //
 //   - ReplaceAfter for every machine,
 //   - partitionLeases for a machine that runs no service, or whose zone has a controller,
-//   - one lease for any other machine, unless it has not sent this leader a heartbeat and the whole zone
-//     is silent. In that case the partition began before this leader did, since agents of other zones
-//     have found this leader by that time.
+//   - one lease for any other machine. This does not apply to a machine without a heartbeat to this
+//     leader in a zone that is silent as a whole. The partition of such a zone began before this leader
+//     was elected: otherwise its agents would have found this leader by now, as those of other zones
+//     have.
 func (h *machineHealth) silenceLimitInPartition(machine *agent.Machine, zone silentCount) time.Duration {
 	replaceAfter, lease := h.Operator.ReplaceAfter, h.Settings.Workers.Lease
 	leasesKept := h.Settings.HasController(h.topology.zones[machine.Zone])
@@ -302,7 +304,7 @@
 
 // bootOverdue reports whether the time since Machine.Created is longer than any healthy machine of the
 // type takes to boot; false if the type is unknown. Callers exclude machines that have registered.
-// An overdue machine may never boot, so what it was rented for is rented again.
+// An overdue machine may never boot, so a replacement is rented if its capacity is still needed.
 func (h *machineHealth) bootOverdue(machine *agent.Machine, now time.Time) bool {
 	if machine.Type == unknownIndex {
 		return false
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -73,8 +73,9 @@
 	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, false
 }
 
-// isNewest reports whether a heartbeat is the newest that was applied to its machine. A late copy does
-// not show by which route newer ones arrive.
+// isNewest reports whether a heartbeat is the newest that was applied to its machine. Only the newest
+// may change RelayedBy: a late copy may arrive directly while newer heartbeats are relayed, or the
+// reverse.
 func isNewest(machine *agent.Machine, heartbeat *agent.Heartbeat) bool {
 	return heartbeat.Incarnation == machine.Incarnation && heartbeat.Sequence == machine.Sequence
 }
@@ -112,7 +113,7 @@
 	return machine
 }
 
-// logRunning logs the attempts that the heartbeat applied at now is the first to report as running.
+// logRunning logs the attempts that were first reported as running by the heartbeat applied at now.
 func logRunning(machine *agent.Machine, now time.Time) {
 	for _, assignment := range machine.Assignments {
 		if assignment.RunningSince.Equal(now) {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -35,8 +35,8 @@
 }
 
 // Limits for failing jobs. A job with minFailedAttempts failures and no attempt done in between was
-// probably submitted with an error, so one task at a time is tried, with an exponential backoff between
-// the limits.
+// probably submitted with an error. From then on its tasks start one by one, or those of a gang
+// together, with an exponential backoff from minFailingBackoff to maxFailingBackoff between two starts.
 const (
 	minFailedAttempts = 4
 	minFailingBackoff = 2 * time.Second
@@ -120,9 +120,10 @@
 
 // tasksToStart returns the number of a job's waiting tasks that should start now.
 //
-// Exception 7 to the design (docs/placement.md): jobs that fail on every machine try one task at a time.
-// Without the limit all of their tasks were tried again each minute, with as many writes. Machines were
-// rented for them. They also counted against their team's guarantee before jobs that do not fail.
+// Exception 7 to the design (docs/placement.md): a job that fails on every machine, unless it is a gang,
+// starts one task after each backoff. Without the limit all of its tasks were tried again each minute,
+// with as many writes, and machines were rented for them. Such jobs also claim their team's guarantee
+// last (jobsByGuaranteeClaim). Otherwise they counted against it before jobs that do not fail.
 func (t *jobTable) tasksToStart(j *jobstore.Job) int {
 	startable := j.StartableTasks(t.Node.ValueBytes())
 	if t.states[j].isFailing() && !j.IsGang() {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -31,8 +31,8 @@
 	ValueBytes() int
 	// IsCancelled reports whether this controller has learned that a job's cancellation is durable.
 	IsCancelled(jobID string) bool
-	// ConfirmedGone reports whether a heartbeat, received by this or another controller, has proven
-	// that a recorded attempt of a cancelled job is gone.
+	// ConfirmedGone reports whether a recorded attempt of a cancelled job is proven gone: by a heartbeat
+	// that this or another controller received, or by the return of its machine to the cloud.
 	ConfirmedGone(attempt job.AttemptID) bool
 	// MayExtendLeases reports whether this controller's list of cancellations is recent enough for it
 	// to extend the leases of worker agents.
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -17,16 +17,16 @@
 	goroutines sync.WaitGroup
 }
 
-// minQueuedEvents is the smallest capacity of the queue. Above it the capacity is the maximum number of
-// sockets, as each connection has at most one request in flight.
+// minQueuedEvents is the lower bound of the queue's capacity. The capacity is the maximum number of
+// sockets if that number is larger, as each connection has at most one request in flight.
 const minQueuedEvents = 512
 
 func newEventLoop(ctx context.Context, maxSockets int) *eventLoop {
 	return &eventLoop{ctx: ctx, events: make(chan event, max(minQueuedEvents, maxSockets))}
 }
 
-// trySubmit queues an event unless the queue is full, and reports whether it did. It is for events whose
-// content also arrives in another way, so that one may be dropped.
+// trySubmit queues an event unless the queue is full, and reports whether it did. It is for events that
+// may be dropped: their content also arrives in another way, or their sender retries.
 func (q *eventLoop) trySubmit(e event) bool {
 	select {
 	case q.events <- e:
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -145,10 +145,10 @@
 	return t.confirmedPresent(machine) && healthy && staying && now.Sub(machine.LastHeartbeat) < t.Operator.UnhealthyAfter
 }
 
-// confirmedPresent reports whether a registered machine has been proven to exist during this leadership:
-// by a fencing token of this leader, which it can only have from a response of this leader, or by the
-// cloud's list. A heartbeat alone is no proof: it may be a delayed copy from a machine that was returned
-// before this leader was elected.
+// confirmedPresent reports whether a registered machine has been proven to exist during this leadership.
+// The cloud's list or its response to a rental is a proof. A heartbeat is one only if its fencing token
+// is at least firstTerm, as agents are not sent such a token before this leader is elected. Any other
+// heartbeat may be a delayed copy from a machine that was returned before the election.
 func (t *machineTable) confirmedPresent(machine *agent.Machine) bool {
 	return machine.Registered && (machine.FencingToken >= t.firstTerm || machine.Listed)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -15,7 +15,7 @@
 
 // Times of the watch on the records of jobs.
 const (
-	recordsWatchTimeout = 10 * time.Second       // wait of one watch request for a change
+	recordsWatchTimeout = 10 * time.Second       // maximum wait for a change in one watch request
 	recordsWatchRetry   = 300 * time.Millisecond // delay after a failed watch request
 
 	// recordsWatchPause is the delay between two watch requests. Changes arrive in bursts, those of this
