--- a/internal/leader/relays.go
+++ b/internal/leader/relays.go
@@ -55,9 +55,10 @@
 	return &relayGateway{environment: env, topology: topology, machines: machines, heartbeats: heartbeats, relays: map[string]*relayState{}}
 }
 
-// watchHeartbeats watches the batches of heartbeats that other controllers write, until ctx ends. It
-// skips batches written before it starts and, if the revision that it has reached is compacted, those
-// up to the current revision.
+// watchHeartbeats watches the batches of heartbeats that other controllers write, until ctx ends. The
+// watch begins at the store's current revision, so batches written earlier are skipped. If the store
+// cannot return the changes since the last revision (kvstore.ErrCompacted), the watch begins again at
+// the revision that is current then, and the batches in between are skipped.
 func (g *relayGateway) watchHeartbeats(ctx context.Context) {
 	var revision uint64
 	for ctx.Err() == nil {
@@ -164,7 +165,7 @@
 }
 
 // writeCommands writes the commands for machines whose heartbeats are relayed, where they have changed.
-// It forgets controllers that have relayed nothing for the operator's UnhealthyAfter.
+// It removes the state of controllers that have relayed nothing for the operator's UnhealthyAfter.
 func (g *relayGateway) writeCommands(now time.Time) {
 	if len(g.relays) == 0 || !g.term.Valid() {
 		return
@@ -174,7 +175,7 @@
 			continue
 		}
 		if now.Sub(state.lastReceived) > g.Operator.UnhealthyAfter {
-			delete(g.relays, node) // the network partition has ended
+			delete(g.relays, node) // the controller no longer relays, as after the end of a partition
 			continue
 		}
 		state.nextWrite = now.Add(relayCheckInterval)
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -13,9 +13,9 @@
 	"tulipshelf/internal/placement"
 )
 
-// reservations decides for which anticipated gangs machines are kept free: those of classes that should
-// start sooner than a machine boots. Such a gang starts in time only if its machines are up before it
-// arrives. Only the event loop uses it.
+// reservations selects the anticipated gangs for which machines are kept free. A class gets such gangs
+// if its jobs should start within less time than a machine takes to boot: a gang of this class starts in
+// time only if its machines are up before it arrives. Only the event loop uses it.
 type reservations struct {
 	*environment
 	topology *topology
@@ -23,10 +23,10 @@
 	forecast *forecast
 }
 
-// gangs returns the anticipated gangs for which machines are kept free, each the size of the largest of
-// its class. There is one for each class that should start sooner than a machine boots. More are added,
-// one class after the other, until they and the unfinished gangs cover the load of gangs that usually
-// arrives. There are none while that load is below 1 CPU.
+// gangs returns the anticipated gangs for which machines are kept free. Each is a copy of the largest
+// gang of its class that has arrived. Each class of urgentGangs gets one. More are added, one class
+// after the other, until the CPUs of the anticipated and of the unfinished gangs together reach the load
+// that the forecast expects from gangs. There are none while that load is below 1 CPU.
 func (r *reservations) gangs(now time.Time) (reserved []gangTemplate) {
 	if r.forecast.gangs.Empty() {
 		return nil
@@ -71,8 +71,8 @@
 	return gangs
 }
 
-// startsBeforeBoot reports whether jobs of a class should start sooner than a machine of the type that
-// takes longest boots.
+// startsBeforeBoot reports whether jobs of a class should start within less time than the slowest
+// machine type takes to boot.
 func (r *reservations) startsBeforeBoot(class string) bool {
 	boot := r.topology.slowestBoot()
 	for i := range r.Settings.Objectives {
@@ -95,12 +95,14 @@
 }
 
 // asJobs returns the anticipated gangs as jobs of a scheduling pass, which keeps machines free for them.
-// Guards against reservations without effect: arrays would take the machines that were rented for them.
+// Guards against reservations without effect: arrays would take the machines that were rented for the
+// anticipated gangs.
 //
-// At equal priority the anticipated gangs come after all waiting gangs, also those beyond their teams'
-// guarantees, and before arrays of the same standing. Guards against machines that are kept from a
-// waiting gang: one such gang preempted 52 tasks in a second, and each time the machines were reserved
-// for anticipated gangs before all of them were free (docs/incidents/inc-f015.md).
+// At equal priority the anticipated gangs come after all waiting gangs. If a waiting gang is beyond its
+// team's guarantee, all anticipated gangs are placed as if they were too. They come before arrays with
+// the same BeyondGuarantee. Guards against anticipated gangs that take machines from a waiting gang: one
+// waiting gang preempted 52 tasks in a second, and each time its machines were reserved for anticipated
+// gangs before all of them were free (docs/incidents/inc-f015.md).
 func (r *reservations) asJobs(now time.Time, waiting []placement.Job) (reserved []placement.Job) {
 	anyBeyondGuarantee := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
 	for _, gang := range r.gangs(now) {
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -187,9 +187,10 @@
 			continue
 		}
 		machine := s.machines.findOrAdd(name, now)
-		// The machine counts as booting until the list or a heartbeat shows otherwise. Guards against a
-		// scale-out that stalls: a machine from which a heartbeat is expected keeps a new leader from
-		// renting more until reconciliation times out.
+		// The machine counts as booting until the cloud's list or a heartbeat shows otherwise. Guards
+		// against a scale-out that stalls: until reconciliation times out, a new leader rents nothing
+		// while an expected heartbeat is missing, and only booting or failed machines are not expected
+		// to send one (recovery.reportedShare).
 		machine.Listed, machine.Booting = true, !machine.Registered
 		if machine.Type == unknownIndex {
 			machine.Type, machine.Zone, machine.Spot = rentedPool.machineType, rentedPool.zone, rentedPool.spot
@@ -232,9 +233,10 @@
 // listLagMargin is the margin added to twice the list lag of the settings.
 const listLagMargin = 2 * time.Second
 
-// retireUnlisted retires machines that are missing from the list, if at the time of the request their
-// creation, and their last heartbeat if any, were longer ago than the list may lag. A missing entry does
-// not prove that a machine is gone; the cloud's response to its return does.
+// retireUnlisted retires machines that are missing from the cloud's list. Because the list lags, it
+// skips machines that were created, or last sent a heartbeat, at most twice the list lag plus
+// listLagMargin before the request. A missing entry does not prove that a machine is gone; the cloud's
+// response to its return does.
 func (s *scaler) retireUnlisted(listed map[string]bool, requestedAt time.Time) {
 	lag := 2*s.Settings.Cloud.ListLag + listLagMargin
 	s.machines.registry.Each(func(machine *agent.Machine) {
@@ -249,7 +251,8 @@
 	})
 }
 
-// clusterUsage counts machines of known type, and of the registered ones the empty ones and the CPUs.
+// clusterUsage holds the numbers of machines of known type, and their CPUs. The fields empty, cpus and
+// freeCPUs count registered machines only.
 type clusterUsage struct {
 	machines, spot, registered, empty int
 	cpus, freeCPUs                    float64
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -26,14 +26,14 @@
 
 	lastPass     time.Time     // start of the last pass; zero: none yet
 	passDuration time.Duration // duration of the last pass
-	unplaced     int           // tasks within their team's limit that found no machine in the last pass
+	unplaced     int           // tasks that found no machine in the last pass, by placement.Plan.Unplaced
 }
 
 // Intervals from the start of one pass to the start of the next. Guards against passes that keep the
 // processor busy: lease renewals and heartbeats would be late.
 const (
 	minPassInterval = 50 * time.Millisecond // lower bound, whatever has changed
-	maxPassInterval = time.Second           // without a change, for what depends on time alone
+	maxPassInterval = time.Second           // without a change, as some decisions depend only on time
 
 	// passIntervalFactor is the least interval, in durations of the last pass: passes take at most a fifth
 	// of the time.
@@ -77,8 +77,9 @@
 // waitingJobs returns the jobs of which tasks may start now, by arrival.
 func (s *scheduler) waitingJobs(now time.Time) (waiting []*jobstore.Job) {
 	s.jobs.store.Each(func(j *jobstore.Job) {
-		// A gang restarts only once none of its tasks is live. Tasks of it that started earlier would wait
-		// for members that do not start.
+		// A gang restarts only once none of its tasks is live. Guards against members that wait for
+		// others that never start: attempts placed now would have another number than the live ones, and
+		// starts of a gang are sent only if all its attempts share one number (Attempt.Dispatchable).
 		incompleteGang := j.IsGang() && j.LiveTasks() > 0
 		if j.WaitingTasks() == 0 || incompleteGang {
 			return
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -86,9 +86,10 @@
 //
 // Exception 9 to the design (docs/placement.md), an exception to number 3 (guarantee before arrival): one
 // waiting gang of each team is ordered as if it were within its team's guarantee.
-// Guards against starved gangs: arrays within their teams' guarantees take each gap between tasks, while
-// a gang needs all of its gaps at once, and so waits for as long as such arrays arrive
-// (docs/incidents/inc-82e5.md, TestGangBeyondGuaranteeNotStarvedByArrays).
+// Guards against starved gangs: arrays within their teams' guarantees take resources as soon as a task
+// frees them, while a gang needs resources for all of its tasks at once. A gang beyond the guarantee
+// then waits for as long as such arrays arrive (docs/incidents/inc-82e5.md,
+// TestGangBeyondGuaranteeNotStarvedByArrays).
 func (s *scheduler) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
 	first := map[*jobstore.Job]bool{}
 	teamHasGang := map[int]bool{}
@@ -101,8 +102,10 @@
 	return first
 }
 
-// overdueAfter is the wait after which a job of which no task has started may start one before all other
-// jobs: half of the four minutes that the users allow.
+// overdueAfter is the time from submission after which a job without a live or done task is overdue. One
+// task of an overdue service or array is placed before all other jobs. An overdue gang may reserve
+// machines that have room only after placement's usual limit. The time is half of the four minutes that
+// the users allow.
 const overdueAfter = 2 * time.Minute
 
 // overdue reports whether a job has waited longer than overdueAfter with no task live or done, or half as
@@ -117,8 +120,8 @@
 
 // mayPreemptOpportunistic reports whether a job of a team with a guarantee has waited so long that tasks
 // of opportunistic teams may be preempted for it: half of the time in which work within a guarantee
-// should start, or Operator.UnhealthyAfter if no objective sets that time. Until then the short ones of
-// these tasks end by themselves.
+// should start, or Operator.UnhealthyAfter if no objective sets that time. During the wait, short tasks
+// of opportunistic teams can end without being preempted.
 func (s *scheduler) mayPreemptOpportunistic(j *jobstore.Job, now time.Time) bool {
 	minWait := s.Operator.UnhealthyAfter
 	for i := range s.Settings.Objectives {
@@ -130,9 +133,9 @@
 }
 
 // priority returns a waiting job's priority: the lowest for opportunistic teams, whatever their jobs
-// specify. Guards against endless preemption: tasks of such teams would take the machines on which tasks
-// were just stopped for work within a guarantee, and be stopped for that work again
-// (TestTeamWithoutGuaranteeUsesIdleCapacity).
+// specify. Guards against endless preemption: when tasks are stopped to make room for work within a
+// guarantee, tasks of opportunistic teams with a higher priority would take that room first, and would
+// be preempted for the same work again (TestTeamWithoutGuaranteeUsesIdleCapacity).
 func (s *scheduler) priority(j *jobstore.Job) int {
 	if s.jobs.opportunistic(j) {
 		return job.RankBestEffort
@@ -200,8 +203,8 @@
 
 // Limits of the time to fetch an image, relative to the time in which a job should start.
 const (
-	// fetchLimitDivisor is the divisor of that time that gives the longest acceptable fetch. If a fetch
-	// takes longer, machines that have the image are preferred.
+	// fetchLimitDivisor sets the longest acceptable fetch: the time in which the job should start,
+	// divided by fetchLimitDivisor. If a fetch takes longer, machines that have the image are preferred.
 	fetchLimitDivisor = 4
 
 	// slowFetchFactor is the duration of a slow fetch, as a multiple of the usual duration: "give or take
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -53,9 +53,9 @@
 	reason := fmt.Sprintf("%d tasks unplaced, %.0f more CPUs needed for arrays, %d tasks reserved for anticipated services and gangs",
 		s.scheduler.unplaced, math.Max(0, missing.needed), reserved)
 	missing = s.addArrays(list, waiting.arrays, missing)
-	// The reserve for anticipated arrays, in tasks like those of the last array. What addArrays has left of
-	// missing.needed is not added to it. Guards against machines that stand idle: that rest may be for
-	// tasks beyond their team's limit, which are not allowed to start.
+	// The reserve for anticipated arrays, in tasks like those of the last array. It does not include the
+	// missing.needed that remains after addArrays. Guards against machines that stand idle: the
+	// remaining CPUs may be for tasks beyond their team's limit, which are not allowed to start.
 	if last := s.forecast.lastArray; missing.anticipated > 0 && last != nil {
 		tasks := int(missing.anticipated/sizingCPUs(last.need) + 0.5)
 		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: placement.AnyZone, Spot: true, Tasks: tasks})
@@ -137,8 +137,9 @@
 	return tasks
 }
 
-// addAllOrNothing adds a service as far as its team's limit allows, or a whole gang. A gang is left out
-// while any of its tasks is live, and if its team's CPU limit has no headroom for all of them.
+// addAllOrNothing adds a service as far as its team's limit allows, or a gang. A gang is left out while
+// any of its tasks is live, and if its team's CPU limit has no headroom for all of them. The GPU limit
+// is not checked for a whole gang: add adds the tasks that fit into it.
 func (d *demandList) addAllOrNothing(j *jobstore.Job) {
 	team := &d.teams[d.jobs.states[j].team]
 	switch {
@@ -164,15 +165,15 @@
 // if they use more.
 type arrayCPUs struct {
 	needed      float64 // for waiting and anticipated arrays together
-	anticipated float64 // for the load that usually arrives alone
+	anticipated float64 // for anticipated arrays only, by the forecast of the usual load
 }
 
 // missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of the free CPUs go to
 // other demand.
 //
-// It counts CPUs, not tasks. Guards against renting too much: if an array of larger tasks comes first in
-// the order, a number of tasks that was counted for an array of tiny tasks would be rented at the larger
-// size (TestSmallTasksDoNotOverprovision).
+// It counts CPUs, not tasks. Guards against renting too much: a number of tasks that is determined for
+// an array of tiny tasks would be rented at the size of larger tasks if an array of these comes first in
+// the order (TestSmallTasksDoNotOverprovision).
 func (s *sizer) missingArrayCPUs(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
 	boot := s.topology.slowestBoot()
 	load := s.arrayLoad(teams, now)
@@ -266,8 +267,9 @@
 }
 
 // serviceReserve returns the reserve for anticipated services, which miss their objective unless they
-// start at once: the share of Operator.Reserve of the CPUs that the unfinished services ask for, in tasks
-// of the largest size among them; nil if none of them needs CPUs.
+// start at once. The reserve is Operator.Reserve times the CPUs of all unfinished services, in tasks
+// like those of the service with the most CPUs per task, rounded up. It is nil if no unfinished service
+// needs CPUs.
 func (s *sizer) serviceReserve() []autoscaler.Demand {
 	var cpus float64
 	var largest *jobstore.Job
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -9,8 +9,9 @@
 
 // leadershipTransfer ends the term if far more machines reach another controller than this one.
 //
-// Guards against a leader that has lost contact with its worker agents, but neither with the key-value
-// store nor with the other controllers: those redirect the agents to it until their leases expire.
+// Guards against a leader that has lost contact with its worker agents, but not with the key-value store
+// or the other controllers: these controllers redirect the agents to the leader until the agents' leases
+// expire.
 type leadershipTransfer struct {
 	*environment
 	registry *agent.Registry
@@ -27,17 +28,18 @@
 )
 
 const (
-	// transferDelay is the time for which shouldTransfer must have held. It leaves the third controller
-	// the time to learn which one is to be elected.
+	// transferDelay is the time for which shouldTransfer must have held. Within this time the third
+	// controller receives the number of machines that reach the preferred controller, so that it defers
+	// to that controller in the election.
 	transferDelay = 1500 * time.Millisecond
 
 	// unacknowledgedTransferDelay is the minimum time from the start of a leadership to a transfer if fewer
 	// machines have acknowledged a token of this leader than reach the other controller. Such a leader
-	// cannot have lost those machines.
+	// cannot have lost contact with all of these machines, as some have never acknowledged its token.
 	//
-	// Guards against leaders that transfer to each other forever while nothing reaches the machines:
-	// their agents send heartbeats to one controller after the other, and a leader needs three of them
-	// from a machine to detect that it is unresponsive (TestAllUnresponsiveMachinesAreReplaced).
+	// Guards against leaders that transfer to each other forever while nothing reaches the machines: the
+	// agents send heartbeats to one controller after the other, and a leader needs three heartbeats from
+	// a machine to detect that the machine is unresponsive (TestAllUnresponsiveMachinesAreReplaced).
 	unacknowledgedTransferDelay = time.Minute
 )
 
@@ -65,7 +67,7 @@
 type contactCounts struct {
 	direct       int // machines whose last heartbeat came directly and is not overdue
 	acknowledged int // machines whose last heartbeat carries a fencing token of this leader
-	redirected   int // most machines that have recently contacted any one other controller
+	redirected   int // largest number of machines that recently contacted the same other controller
 }
 
 func (t *leadershipTransfer) countContacts(now time.Time) contactCounts {
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -210,18 +210,19 @@
 	advanceCheckInterval = time.Second
 
 	// maxExitedTasks is the largest number of exited tasks that an agent may report without the term
-	// being advanced. It is told to forget a task only once its token is above the term of the task's
-	// attempt.
+	// being advanced. Advancing the term raises the agent's fencing token. The agent is told to forget a
+	// task only once this token is above the term of the task's attempt.
 	maxExitedTasks = 40
 
-	// lostStartHeartbeats is the number of consecutive heartbeats that must miss an attempt being
-	// stopped before its start counts as lost.
+	// lostStartHeartbeats is a number of consecutive heartbeats. If an attempt that is being stopped is
+	// missing from this many, its start counts as lost.
 	lostStartHeartbeats = 2
 )
 
 // needsNewTerm reports whether the term needs to be advanced: either to prove that lost starts can no
-// longer take effect, or to let agents forget exited tasks. It returns false if the last check was less
-// than advanceCheckInterval ago.
+// longer take effect, or to let agents forget exited tasks. It returns false, without a check, if the
+// election or the last advance was less than advanceInterval ago, or the last check less than
+// advanceCheckInterval ago.
 func (w *recordWriter) needsNewTerm(now time.Time) bool {
 	tooSoon := now.Sub(w.advancedAt) < advanceInterval || now.Sub(w.startedAt) < advanceInterval
 	if tooSoon || now.Sub(w.advanceCheckedAt) < advanceCheckInterval {
