--- a/internal/autoscaler/demand_history.go
+++ b/internal/autoscaler/demand_history.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// DemandHistory estimates the load caused by arrivals, in seconds of run time that arrive per second.
-// This equals the average number of tasks that run at once. The caller sets TimeConstant before the first
-// use and guards the history against concurrent use.
+// DemandHistory estimates the load caused by arrivals, in CPU seconds that arrive per second. This
+// equals the average number of CPUs in use at once. The caller sets TimeConstant before the first use
+// and guards the history against concurrent use.
 type DemandHistory struct {
 	TimeConstant time.Duration // time in which the weight of an arrival falls to 1/e; must be positive
 
-	decayedSeconds float64   // run time that arrived, in seconds, each arrival weighted by its age at decayedAt
+	decayedSeconds float64   // CPU seconds that arrived, each arrival weighted by its age at decayedAt
 	firstArrival   time.Time // zero if nothing has arrived
 	decayedAt      time.Time
 	lastArrival    time.Time
@@ -22,21 +22,23 @@
 
 const (
 	// maxSilenceIntervals is the longest time without an arrival that is attributed to chance, in mean
-	// intervals. After a longer one arrivals count as ceased, long before TimeConstant has passed.
+	// intervals. After a longer silence, arrivals may have ceased: Rate then lowers the load without
+	// waiting for the weights to decay with TimeConstant.
 	maxSilenceIntervals = 3
 
 	// intervalSmoothing is the inverse of the weight of a new interval in the smoothed mean. Guards
 	// against a single long silence that counts as the usual interval.
 	intervalSmoothing = 8
 
-	// minObservedShare is the lower bound of the observed share: the part of all weight that the age of
-	// the history covers. Rates are divided by this share to make up for the part not observed. Without
-	// the bound the first arrivals alone would count as a load many times as high.
+	// minObservedShare is the lower bound of the observed share: the share that the time since the first
+	// arrival has in the total weight of an endless history. Rates are divided by this share to make up for
+	// the part not observed. Without the bound the first arrivals alone would count as a load many times as
+	// high.
 	minObservedShare = 0.6
 )
 
-// Add records the arrival of work, in seconds of run time, at the given time. The time may be in the
-// past: a new leader reads jobs that arrived before its term.
+// Add records the arrival of work, in CPU seconds, at the given time. The time may be in the past:
+// a new leader reads jobs that arrived before its term.
 func (h *DemandHistory) Add(seconds float64, at time.Time) {
 	h.decay(at)
 	if at.Before(h.firstArrival) {
@@ -65,9 +67,9 @@
 // Empty reports whether no arrival has been recorded.
 func (h *DemandHistory) Empty() bool { return h.lastArrival.IsZero() }
 
-// Rate returns the estimated load, in seconds of run time that arrive per second; 0 if nothing has
-// arrived. After a silence of more than maxSilenceIntervals mean intervals, it is also lowered in
-// inverse proportion to the silence.
+// Rate returns the estimated load, in CPU seconds that arrive per second; 0 if nothing has arrived.
+// After a silence of more than maxSilenceIntervals mean intervals, it is also lowered in inverse
+// proportion to the silence.
 func (h *DemandHistory) Rate(now time.Time) float64 {
 	if h.firstArrival.IsZero() {
 		return 0
--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -11,7 +11,7 @@
 // The codec tags are part of the stored format and must not change. Fields that end in MS are
 // milliseconds of Unix time.
 type Estimates struct {
-	DecayedSeconds float64               `cbor:"sum"`      // run time that arrived, in weighted seconds
+	DecayedSeconds float64               `cbor:"sum"`      // CPU seconds that arrived, weighted by age
 	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival
 	DecayedAtMS    int64                 `cbor:"last_ms"`  // time to which the weights have decayed
 	LastArrivalMS  int64                 `cbor:"came_ms"`  // last arrival
--- a/internal/autoscaler/pool_selection.go
+++ b/internal/autoscaler/pool_selection.go
@@ -60,7 +60,7 @@
 // bestZone returns the zone whose machines have room for the most tasks of the demand; of equal zones,
 // the one with the lowest index. Room for more tasks than demanded does not count. A zone qualifies if
 // it has room for all tasks or if machines for the rest can be rented there. The result is negative if
-// no zone qualifies.
+// no zone qualifies; place then packs the tasks into machines of any zone.
 func (p *packing) bestZone(demand *Demand) int {
 	rentable := p.rentableZones(demand)
 	fittingTasks := p.fittingTasksByZone(demand)
