--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -38,8 +38,8 @@
 type chunkWrite struct {
 	job     *Job
 	chunk   *chunk
-	starts  []*Attempt // attempts whose starts are recorded
-	lastEnd uint64     // number (Store.endSequence) up to which ends of attempts are recorded
+	starts  []*Attempt // attempts whose starts the write contains
+	lastEnd uint64     // Store.endSequence when the batch was built; the write contains no later end
 }
 
 // endWrite is the part of a batch that records the end of a job.
@@ -51,7 +51,7 @@
 // BatchLimits limits a batch to what the key-value store accepts at present.
 type BatchLimits struct {
 	Mutations      int // maximum number of mutations
-	SpareMutations int // number of mutations at which no more deferrable changes are added
+	SpareMutations int // a batch with this many mutations takes no further deferrable change
 	ValueBytes     int // maximum size of a value, in bytes of JSON
 }
 
--- a/internal/jobstore/candidate.go
+++ b/internal/jobstore/candidate.go
@@ -24,16 +24,17 @@
 	urgencyDeferrable urgency = 0 // done or lost attempt that does not end its job
 
 	// urgencyCancelledEnd is the urgency of the end of a cancelled job. The end can be deferred, as
-	// the job's record already shows its user the cancellation. It becomes overdue after maxDeferral:
-	// until it is recorded, a new leader treats the job's tasks as running and returns healthy
-	// machines because of them (docs/incidents/inc-b469.md).
+	// the job's record already shows its user the cancellation. It becomes overdue after maxDeferral.
+	// Guards against the return of healthy machines: until the end is recorded, a new leader treats
+	// the job's tasks as running, and returns their machines because the tasks outlive the
+	// cancellation (docs/incidents/inc-b469.md).
 	urgencyCancelledEnd urgency = 1
 
 	urgencyOverdue urgency = 50  // change that has waited for maxDeferral
 	urgencyStart   urgency = 200 // start of an attempt; the rank of the job's priority is added
 
-	// urgencyDoneEnd is the urgency of the end of a job whose tasks are all done. Its user waits for
-	// it, and a stream of starts at a higher urgency would delay it by minutes.
+	// urgencyDoneEnd is the urgency of the end of a job that is not cancelled and whose tasks are all
+	// done. Its user waits for it, and a stream of starts at a higher urgency would delay it by minutes.
 	urgencyDoneEnd urgency = 300
 )
 
--- a/internal/jobstore/chunk.go
+++ b/internal/jobstore/chunk.go
@@ -15,7 +15,7 @@
 	revision         uint64    // revision of the chunk's key; 0 if it is not known to be stored
 	dirty            bool      // whether there are changes that no batch holds yet
 	dirtySince       time.Time // start of the waiting time of these changes
-	unrecordedStarts int       // number of starts that no batch holds yet
+	unrecordedStarts int       // number of starts that no batch holds yet, also of attempts ended since
 }
 
 // chunkOf returns the index of the chunk that holds a task.
--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -44,8 +44,8 @@
 }
 
 // DecodeRecordSummary decodes two fields of the value of a job's key: whether the job is cancelled, and
-// the number of its first valid chunk. Chunks with lower numbers precede a rechunk. The error wraps
-// ErrMalformed.
+// the number of its first chunk (Record.FirstChunk). Chunks with lower numbers precede a rechunk. The
+// error wraps ErrMalformed.
 func DecodeRecordSummary(value []byte) (cancelled bool, firstChunk int, err error) {
 	var summary struct {
 		CancelledMS int64 `cbor:"cancelled_ms"`
--- a/internal/jobstore/job.go
+++ b/internal/jobstore/job.go
@@ -22,13 +22,13 @@
 	tasks  taskTable
 
 	chunks         map[int]*chunk // by index
-	previousChunks []int          // numbers of stored chunks that precede the rechunk
-	garbageChunks  []int          // numbers of stored chunks to delete; empty until the end is recorded
+	previousChunks []int          // numbers of chunks that precede the rechunk and may be stored
+	garbageChunks  []int          // numbers of chunks to delete; empty until the job's end is recorded
 
-	// unrecordedEnds maps each task whose latest end is not recorded to the sequence number of that
-	// end (Store.endSequence).
+	// unrecordedEnds holds the tasks whose last ended attempt has an unrecorded end. The value is the
+	// sequence number of that end (Store.endSequence).
 	unrecordedEnds map[int]uint64
-	endReadySince  time.Time // time at which NextBatch first found the end ready to record; zero: not yet
+	endReadySince  time.Time // time at which NextBatch first found the job ready to end; zero: not yet
 
 	gangDispatch gangDispatchState
 }
@@ -57,9 +57,9 @@
 // ResultDurable reports whether the latest end of a task is recorded. It is false while the task's chunk
 // is not stored.
 //
-// Ends are tracked for each task, not for each chunk. The chunks of a large array are hardly ever clean
-// while it runs, so a check of the whole chunk would block the return of machines that have run all of
-// their tasks until the array ended.
+// Ends are tracked for each task, not for each chunk. Guards against machines that have run all of their
+// tasks and cannot be returned before the job ends: the chunks of a large array are hardly ever clean
+// while it runs, so a check of the whole chunk would nearly always fail.
 func (j *Job) ResultDurable(task int) bool {
 	_, unrecorded := j.unrecordedEnds[task]
 	stored := j.chunks[j.chunkOf(task)]
--- a/internal/jobstore/lifecycle.go
+++ b/internal/jobstore/lifecycle.go
@@ -33,9 +33,9 @@
 // RenumberUnrecorded gives numbers of a new term to all attempts that are not recorded, and so were
 // never sent. It calls onRenumbered for each of them.
 //
-// Guards against starts that are never sent: a start that waits to be written while the leader advances
-// its term would never be sent under its old number, and would hold resources until that is detected
-// (docs/incidents/inc-bc39.md).
+// Guards against starts that are never sent: only starts of the current term may be sent. Without a new
+// number, a start that waits to be written while the leader advances its term would hold resources until
+// the fault is detected (docs/incidents/inc-bc39.md).
 func (s *Store) RenumberUnrecorded(term uint64, onRenumbered func(Renumbered)) {
 	for job := range s.dirty {
 		job.gangDispatch = gangDispatchUnknown
--- a/internal/jobstore/rechunk.go
+++ b/internal/jobstore/rechunk.go
@@ -58,8 +58,8 @@
 }
 
 // needsRechunk reports whether the value of a dirty chunk exceeds valueBytes and smaller chunks would
-// help. It is false for a job that was rechunked before, whose chunks are already sized for
-// valueBytes, or that is cancelled or ready to end.
+// help. It is false if the job was rechunked before, if its chunks are already sized for valueBytes, or
+// if it is cancelled or ready to end.
 func (j *Job) needsRechunk(valueBytes int) bool {
 	wasRechunked := j.record.FirstChunk != 0
 	if wasRechunked || j.record.ChunkSize <= TasksPerChunk(valueBytes) {
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -25,8 +25,9 @@
 	jobs  map[string]*Job   // by ID
 	dirty map[*Job]struct{} // jobs with a dirty chunk or an end to record
 
-	// endedIDs holds the IDs of jobs whose end is recorded and for which the watch has not yet reported
-	// the deletion of the record. Guards against a late event that would add an ended job again.
+	// endedIDs holds the IDs of jobs whose end is known to be recorded. The watch's report that the
+	// record is deleted removes the ID; an ID that is added after this report stays. Guards against a
+	// late event that would add an ended job again.
 	endedIDs map[string]struct{}
 
 	attemptSequence uint64 // sequence number in the last allocated attempt number; 0: none allocated
--- a/internal/jobstore/tasks.go
+++ b/internal/jobstore/tasks.go
@@ -27,7 +27,8 @@
 	return taskTable{states: make([]taskState, tasks), live: map[int]*Attempt{}}
 }
 
-// rangeAt returns the range with an index if each range, except the last, has the given size.
+// rangeAt divides the tasks into ranges of the given size, of which the last may be shorter, and returns
+// the range with the given index, counted from 0.
 func (t *taskTable) rangeAt(index, size int) taskRange {
 	first := index * size
 	return taskRange{first, min(first+size, len(t.states))}
