--- a/internal/cancellation/doc.go
+++ b/internal/cancellation/doc.go
@@ -20,9 +20,9 @@
 // # Staleness bound
 //
 // Each register keeps a time up to which it is complete: it holds every cancellation that
-// was confirmed up to that time and whose tasks may still run. That this time is advanced
-// soundly is shown by induction. A register that is complete up to t becomes complete up to
-// a later time s in one of three ways:
+// was confirmed up to that time and whose tasks may still run. The following induction shows
+// that this time is advanced soundly. A register that is complete up to t becomes complete up
+// to a later time s in one of three ways:
 //
 //   - It merges a read of all records that was sent at s. Confirmed cancellations are
 //     recorded, so the read returns them.
--- a/internal/cancellation/register.go
+++ b/internal/cancellation/register.go
@@ -8,9 +8,9 @@
 )
 
 // retentionSlack is the part of a job's retention period that exceeds the deadline of its tasks.
-// The deadline counts from the confirmation, but the retention period starts when the job is
-// added to a register. That may be before the confirmation, and another register may receive the
-// job from this one long after it was added here.
+// The deadline counts from the confirmation, but in each register the retention period starts when
+// the job is added there. That may be before the confirmation. Registers may also add a job at very
+// different times, as one may receive it from another long after the other added it.
 const retentionSlack = 15 * time.Second
 
 // maxJobs is the maximum number of jobs in a register. One message between controllers carries
--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -19,8 +19,8 @@
 
 	// incarnationMargin is the minimum age that a register must have at a time t for its controller's
 	// answer to cover all cancellations confirmed since t. The age counts from retainedSince, usually
-	// the start of the incarnation. When a cancellation is confirmed, the answers that show that it
-	// is held may be up to answerValidity old. The other half is a safety margin.
+	// the start of the incarnation. Half of the margin is necessary: a cancellation may be confirmed
+	// by answers that are up to answerValidity old. The other half is a safety margin.
 	incarnationMargin = 2 * answerValidity
 )
 
@@ -99,7 +99,7 @@
 // holds mu.
 func (r *Register) advanceByMajority(now time.Time) {
 	if r.completeUntil.IsZero() {
-		return // no incarnation covers all cancellations ever confirmed
+		return // answers cover no cancellation confirmed before the incarnations began
 	}
 	latestStart := r.completeUntil.Add(-incarnationMargin)
 	var askedAt []time.Time
