--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -23,8 +23,8 @@
 	// the interval at which an unchanged leader is confirmed (Candidate.ConfirmedLeader).
 	followInterval = 5 * time.Second
 
-	// deferDivisor is the divisor of the lease's TTL that gives the delay by which a candidate
-	// defers to a preferred one. The delay is short, as the preferred candidate may be unable to
+	// deferDivisor determines the delay of a candidate that defers to a preferred one: the lease's
+	// TTL divided by deferDivisor. The delay is short, as the preferred candidate may be unable to
 	// campaign.
 	deferDivisor = 4
 )
@@ -55,8 +55,9 @@
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 // campaign tries once to have this node elected and returns its term. It returns nil without an
-// error if another node leads, after a change of leadership or followInterval, and if the node
-// defers to a preferred one, after the delay of deferDivisor.
+// error in two cases. If another node leads, campaign first waits for a change of leadership, at
+// most for followInterval. If this node defers to a preferred one, campaign first waits for the
+// delay that deferDivisor determines.
 func (c *Candidate) campaign(ctx context.Context) (*Term, error) {
 	state, err := c.readState(ctx)
 	if err != nil {
@@ -93,9 +94,10 @@
 	return c.PreferOther != nil && !c.hasDeferred && c.PreferOther()
 }
 
-// claimLeadership claims the leadership with a new lease and returns the node's term. It
-// revokes the lease if the claim fails. Guards against a claim that the store applies late: the
-// holder's key would name a node that does not act as the leader.
+// claimLeadership claims the leadership with a new lease and returns the node's term. If the
+// claim fails, claimLeadership revokes the lease. Guards against a claim without a response that
+// the store has applied, or applies later: the holder's key would name a node that does not act
+// as the leader.
 func (c *Candidate) claimLeadership(ctx context.Context, state electionState) (*Term, error) {
 	sent := time.Now()
 	lease, err := c.Store.Grant(ctx, c.LeaseTTL)
--- a/internal/leadership/doc.go
+++ b/internal/leadership/doc.go
@@ -8,9 +8,9 @@
 //
 // A process creates one Candidate and calls its Run method. Run campaigns for leadership; while
 // the node leads, Run renews the lease and runs the leader's work with the node's Term. The
-// decisions are made by functions that send no requests, read no clocks and take no locks: the
-// methods of electionState decide on what the store contains, those of view on what the node
-// has observed.
+// decisions are made by functions that send no requests, read no clocks and take no lock but
+// that of Term: the methods of electionState decide from the content of the store, those of view
+// from the observations of the node.
 //
 // The reasons for this design are in docs/leadership.md.
 package leadership
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -12,8 +12,9 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Pause before each renewal and time-out of its request, as divisors of the lease's TTL. After a
-// renewal that times out, there is time for another one before the lease expires.
+// Pause before each renewal and time-out of its request, as divisors of the lease's TTL. If one
+// renewal times out and the response to the previous one was not slow, there is time for another
+// renewal before the lease expires.
 const (
 	renewIntervalDivisor = 4
 	renewTimeoutDivisor  = 3
--- a/internal/leadership/view.go
+++ b/internal/leadership/view.go
@@ -35,8 +35,8 @@
 	return v.leader, v.term
 }
 
-// observe records the leader of a term, as read from the store. A term below the highest known
-// one is ignored.
+// observe records the leader of a term, as read from or written to the store. A term below the
+// highest known one is ignored.
 func (v *view) observe(leader string, term uint64) {
 	if term >= v.term {
 		v.leader, v.term = leader, term
