--- a/internal/agent/assignment.go
+++ b/internal/agent/assignment.go
@@ -63,10 +63,10 @@
 	return assignment
 }
 
-// Release removes the assignment of an attempt that no heartbeat applied to the machine has proven gone.
-// The caller must know that its start was never sent, that it was confirmed gone in another way, or that
-// the end of its job is recorded. If the newest heartbeat lists the attempt as live, the attempt counts
-// as an unknown task from then on.
+// Release removes the assignment of an attempt without a heartbeat that proves the attempt gone. The
+// caller must know that the start of the attempt was never sent, that the attempt was confirmed gone in
+// another way, or that the end of its job is recorded. If the newest heartbeat lists the attempt as
+// live, the attempt counts as an unknown task from then on.
 func (m *Machine) Release(attempt *jobstore.Attempt) {
 	id := attempt.ID()
 	delete(m.Assignments, id)
@@ -76,9 +76,9 @@
 	m.Version++
 }
 
-// Renumber moves the assignment of an attempt from previousNumber to the attempt's current number. An
-// attempt whose start was never sent is renumbered when a new term begins. Renumber does nothing if
-// previousNumber is not assigned.
+// Renumber moves the assignment of an attempt from previousNumber to the attempt's current number. When
+// a new term begins, the leader renumbers the attempts that are not recorded yet, whose starts were
+// therefore never sent. Renumber does nothing if previousNumber is not assigned.
 func (m *Machine) Renumber(attempt *jobstore.Attempt, previousNumber uint64) {
 	previousID := job.AttemptID{Task: attempt.TaskName(), Number: previousNumber}
 	assignment := m.Assignments[previousID]
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -12,7 +12,7 @@
 // SortedAssignments. Commands for reported attempts that are not assigned follow in arbitrary order.
 // Starts of attempts that the agent already lists are omitted. VerbForget is returned for an exited
 // attempt only if settled reports that the result of its task is durable. If limit cuts off starts or
-// halts, the machine stays urgent.
+// halts, PendingCommands marks the machine as urgent. Otherwise it clears the mark.
 //
 // The commands contain pointers into the assignments: only the leader's event loop may encode them.
 func (m *Machine) PendingCommands(token uint64, limit int, settled func(task string) bool, now time.Time) []Command {
@@ -52,7 +52,7 @@
 	for id, assignment := range m.Assignments {
 		_, listed := m.Reported[id]
 		if assignment.Stopping {
-			// A start that was never sent and is not listed needs no halt.
+			// An attempt that is not listed and whose start this leader never sent needs no halt.
 			if listed || !assignment.FirstSent.IsZero() {
 				needing = append(needing, assignment)
 			}
@@ -90,8 +90,8 @@
 			commands = append(commands, Command{VerbHalt, id.Task, id.Number, &noGracePeriod})
 			continue
 		}
-		// Guards against a second run: under an equal token the agent would still execute a late copy
-		// of the start.
+		// Guards against a second run: an agent that has forgotten the attempt executes a late copy of
+		// its start, unless the agent has seen a higher token than the term of the attempt.
 		if id.Term() < m.FencingToken && settled(id.Task) {
 			commands = append(commands, Command{Verb: VerbForget, Task: id.Task, Attempt: id.Number})
 		}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -19,7 +19,8 @@
 	Cause      ExitCause
 }
 
-// heartbeatState is the part of a machine's state before the heartbeat that is being applied.
+// heartbeatState holds the values that some fields of a machine had before the newest heartbeat was
+// applied. detectUnresponsive compares the heartbeat with them.
 type heartbeatState struct {
 	registered   bool
 	incarnation  uint64
--- a/internal/agent/image_cache.go
+++ b/internal/agent/image_cache.go
@@ -14,7 +14,8 @@
 }
 
 // Use records that a task with the image is, or soon will be, on the machine. It evicts the least
-// recently used images until the rest fit into capacityGB. The given image itself is never evicted.
+// recently used images until the rest fit into capacityGB. It never evicts the given image itself, nor
+// images last used at the same time.
 func (c *ImageCache) Use(image string, sizeGB, capacityGB float64, now time.Time) {
 	if c.sizeGB == nil {
 		c.sizeGB, c.lastUsed = map[string]float64{}, map[string]time.Time{}
@@ -30,8 +31,8 @@
 	}
 }
 
-// usage returns the total size of all images and the least recently used image. It returns newest, which
-// must be the most recently used image, if no other image was used before it.
+// usage returns the total size of all images and the least recently used image. The argument newest must
+// be the most recently used image. It is returned as oldest if no image was last used before it.
 func (c *ImageCache) usage(newest string) (totalGB float64, oldest string) {
 	oldest = newest
 	for image, sizeGB := range c.sizeGB {
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -16,11 +16,14 @@
 
 	Index   int       // dense index; reused once the machine is gone
 	Name    string    // never reused for another machine
-	Created time.Time // time at which Registry.Add added the machine
+	Created time.Time // when it was added, or its earlier creation time in the cloud's list
 
-	// Content of the newest heartbeat, set by ApplyHeartbeat. Addr and Spot are also set from the
-	// cloud's list; Type and Zone are set by the caller, from either source. After the response to a
-	// direct request the caller restores the previous LastHeartbeat, if there was one.
+	// Content of the newest heartbeat. The caller sets Type and Zone, ApplyHeartbeat the other fields.
+	// The caller also sets Type, Zone, Spot and Addr from the cloud's list before the first heartbeat,
+	// and all of these but Addr from a rental while Type is unknown.
+	//
+	// The response to a direct request does not show that heartbeats still arrive. After it is applied,
+	// the caller therefore restores the previous LastHeartbeat, unless that was zero.
 
 	Addr          string    // IPv4 address and port of the agent
 	Type          int       // index into the leader's machine types; -1: unknown
@@ -56,8 +59,8 @@
 	Gone           bool                // returned to the cloud; no attempt runs on it any longer
 
 	// Delivery of commands, set by the caller and by the methods in responsiveness.go and commands.go.
-	// The flag urgent is adjacent to Gone in memory because the leader reads both flags of every machine
-	// after every few events.
+	// Stop also sets urgent. The flag urgent is adjacent to Gone in memory because the leader reads both
+	// flags of every machine after every few events.
 
 	urgent bool // commands are pending that should be sent before the next heartbeat
 
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -74,7 +74,7 @@
 	CauseIncomplete  ExitCause = "incomplete" // gang not complete within the time allowed
 
 	// CauseLost is the cause of an attempt that ended without a reported exit: its incarnation or its
-	// machine is gone, or it was never started. It is never sent in a message.
+	// machine is gone, or it was never started. Agents do not report it for an exited attempt.
 	CauseLost ExitCause = ""
 )
 
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -19,8 +19,9 @@
 }
 
 const (
-	// returnedRetention is the retention period of the names of returned machines. It is far longer
-	// than the delay of lists of the cloud and of heartbeats; a delayed one would add the machine again.
+	// returnedRetention is the retention period of the names of returned machines. A list of the cloud
+	// or a heartbeat that names the machine after this period would add it again. The period is
+	// therefore far longer than the delay of either.
 	returnedRetention = 30 * time.Minute
 
 	// pruneInterval is the shortest time between two scans of all returned names. Without it each
@@ -56,7 +57,7 @@
 // Add returns the machine with the given name and creates it if it does not exist. It returns nil if the
 // machine has been returned. Guards against adding a returned machine again: lists of the cloud and
 // heartbeats lag and may still name it. The cloud never reuses a name. The time now becomes Created and
-// IdleSince of a new machine.
+// IdleSince of a new machine; it may be the machine's earlier creation time from the cloud's list.
 func (r *Registry) Add(name string, now time.Time) *Machine {
 	if machine := r.byName[name]; machine != nil {
 		return machine
--- a/internal/agent/responsiveness.go
+++ b/internal/agent/responsiveness.go
@@ -11,12 +11,12 @@
 
 import "time"
 
-// unresponsiveHeartbeats is the number of consecutive heartbeats with too low a token, or without an
-// attempt whose start was sent, from which a machine counts as unresponsive.
+// unresponsiveHeartbeats is the minimum number of consecutive heartbeats that mark a machine as
+// unresponsive because their token is too low or they do not list an attempt whose start was sent.
 const unresponsiveHeartbeats = 3
 
-// missingStartDelay is the least time from the first sending of a start until its absence from
-// heartbeats counts. Before that the start may be in transit.
+// missingStartDelay is the minimum time since a start was first sent before a heartbeat that does not
+// list the attempt is a sign of an unresponsive machine. Until then the start may be in transit.
 const missingStartDelay = 8 * time.Second
 
 // responseHistory records the responses to a machine's heartbeats and how many heartbeats ignored them.
@@ -38,8 +38,8 @@
 }
 
 // MarkResponsive records that a response or request has reached the machine, for example a probe that it
-// has answered. This also clears the mark of a machine whose incarnation ended although its heartbeats
-// were answered: its agent was merely restarted.
+// has answered. It clears UnresponsiveSince, also if the end of an incarnation has set it: the agent was
+// merely restarted then.
 func (m *Machine) MarkResponsive() {
 	m.UnresponsiveSince = time.Time{}
 	m.responses.ignoredTokens = 0
