--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -45,19 +45,19 @@
 }
 
 // mayExtendLeases reports whether this controller may extend the leases of worker agents by answering
-// their heartbeats. Its register of cancellations must be so fresh that a cancellation missing from it
-// was confirmed recently: a lease extended now expires at least leaseExpiryMargin before the deadline of
-// that cancellation.
+// their heartbeats. It requires that the register of cancellations is fresh (Register.Staleness): a
+// confirmed cancellation that the register lacks must be so recent that a lease extended now expires at
+// least leaseExpiryMargin before the deadline of that cancellation.
 //
 // Guards against tasks of cancelled jobs that run past the deadline promised to users: a controller,
-// leading or not, that cannot learn of cancellations would extend the leases of their machines. Agents
-// that it does not answer try the other controllers. If none may answer, the leases expire and the tasks
-// end.
+// leading or not, that cannot learn of cancellations would extend the leases of their machines. An agent
+// whose lease it does not extend tries the other controllers. If none of them may extend the lease, the
+// lease expires and the tasks end.
 func (n *Node) mayExtendLeases() bool {
 	staleness, known := n.cancelled.Staleness()
 	workers := &n.settings.Workers
-	// The minimum applies if a lease leaves hardly any time before the deadline, or none. The expiry of
-	// leases cannot guarantee the promise then.
+	// The limit is at least 2*cancellationReadInterval, even if a lease lasts almost as long as the
+	// deadline, or longer. A lease may then expire too late for the tasks to end by the deadline.
 	limit := max(workers.CancelDeadline-workers.Lease-leaseExpiryMargin, 2*cancellationReadInterval)
 	return known && staleness < limit
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -14,7 +14,7 @@
 )
 
 // catalogKey is the key of the machine types that a leader last stored. A controller that starts in an
-// outage of the cloud can accept submissions with them.
+// outage of the cloud reads them, so that it can accept submissions.
 const catalogKey = "catalog"
 
 // catalogValue is the value under catalogKey.
@@ -35,9 +35,10 @@
 	catalogRefreshInterval = time.Minute // the catalog's prices change
 )
 
-// refreshCatalog reads the machine types from the cloud until ctx ends: every catalogRetryInterval until
-// a read succeeds, then every catalogRefreshInterval for new prices. If a read fails while no types are
-// known, it takes those in the key-value store, where the leader stores them.
+// refreshCatalog reads the machine types from the cloud until ctx ends. The next read follows after
+// catalogRefreshInterval, to get new prices, or after catalogRetryInterval if the read failed or
+// returned no types. If a read fails while no types are known, refreshCatalog takes those in the
+// key-value store, where the leader stores them.
 func (n *Node) refreshCatalog(ctx context.Context) {
 	var stored []byte
 	for ctx.Err() == nil {
--- a/internal/controller/expiring_set.go
+++ b/internal/controller/expiring_set.go
@@ -55,7 +55,7 @@
 	return len(s.addedAt)
 }
 
-// put is add. The caller holds mu.
+// put implements add. The caller holds mu.
 func (s *expiringSet) put(name string, now time.Time) {
 	if _, ok := s.addedAt[name]; !ok && len(s.addedAt) >= s.limit {
 		s.expire(now)
--- a/internal/controller/gone_attempts.go
+++ b/internal/controller/gone_attempts.go
@@ -18,7 +18,7 @@
 // Controllers that know of it then return the machines (reapCancelled).
 type goneAttempts struct {
 	mu        sync.Mutex
-	watched   map[string][]jobstore.Location // by machine: not confirmed gone as of the last watch; guarded by mu
+	watched   map[string][]jobstore.Location // by machine: unconfirmed at the last watch(); guarded by mu
 	confirmed map[job.AttemptID]struct{}     // nil until the first call of watch; guarded by mu
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -60,9 +60,9 @@
 	return wire.Response{Status: wire.StatusMisdirectedRequest, Body: wire.Marshal(redirection{Leader: name})}
 }
 
-// leaderConfirmedWithin is the maximum age of the last read of the key-value store that named another
-// controller as the leader, for this controller to answer agents in its place. With the default lease of
-// the leader, the key of a leader that has crashed expires sooner.
+// leaderConfirmedWithin limits the age of the last read of the key-value store that named another
+// controller as the leader. If that read is older, this controller does not answer agents in place of
+// the leader. With the default lease, the key of a crashed leader expires in less time than this.
 const leaderConfirmedWithin = 8 * time.Second
 
 // relayHeartbeat answers an agent in the place of a leader that this controller, and so probably the
@@ -87,8 +87,8 @@
 	return wire.Response{Status: wire.StatusOK, Body: wire.Marshal(answer)}, true
 }
 
-// storeUnreachableAfter is the time since the key-value store last served this controller from which on
-// leaderUnconfirmed counts the store as unreachable.
+// storeUnreachableAfter is the time after which leaderUnconfirmed counts the key-value store as
+// unreachable if the store has not served this controller.
 const storeUnreachableAfter = 3 * time.Second
 
 // leaderUnconfirmed reports whether neither source confirms to this controller who leads: the key-value
@@ -102,8 +102,9 @@
 // mayExtendWithoutLeader reports whether this controller extends an agent's lease although it cannot
 // confirm who leads. If so it records the machine in n.extended. The response repeats the agent's own
 // fencing token and carries no commands of a leader, so that the lease and the tasks last until a leader
-// can be reached again. The agent's next heartbeat is redirected, so that an agent that can reach the
-// leader does so. An agent that cannot returns before its lease expires.
+// can be reached again. The agent's next heartbeat is redirected, so that the agent contacts the leader
+// if it can. An agent that cannot reach the leader sends a heartbeat to this controller again before its
+// lease expires.
 //
 // Guards against the loss of all running tasks in two cases: controllers restart in an outage of the
 // key-value store that outlasts the leases, or a zone with a controller is partitioned from everything
@@ -121,8 +122,8 @@
 const agentRetryRound = 5 * time.Second
 
 // redirectedCount returns the number of machines that recently sent heartbeats to this controller while
-// it did not lead. Recently means within the time that an agent takes to return from a controller that
-// does not answer.
+// it did not lead. Recently means within HeartbeatOverdue plus agentRetryRound: an agent still counts
+// while it tries a controller that does not answer.
 func (n *Node) redirectedCount() int { return n.redirected.count(time.Now()) }
 
 // haltCancelled returns commands that halt, without a grace period, the tasks in a heartbeat whose jobs
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	// readyServedWithin is the time since the key-value store last served this controller up to which the
-	// store counts as reachable.
+	// readyServedWithin is the maximum time since the key-value store last served this controller. After
+	// a longer time the store counts as unreachable.
 	readyServedWithin = 4 * time.Second
 
 	// readyAnsweredWithin is the maximum age of other controllers' answers that count when ready checks
--- a/internal/controller/reaper.go
+++ b/internal/controller/reaper.go
@@ -15,14 +15,16 @@
 	reaperInterval = time.Second
 
 	// reapOverdueShare is the share of the cancellation deadline after which a controller returns the
-	// machines that hold tasks of a cancelled job, if it knows of no leader that does (leaderReaps). It
-	// exceeds the share after which a leader returns them, 0.55 (leader's cancelOverdueShare), except
-	// that of a leader that still reconciles, 0.8 (cancelOverdueShareReconciling).
+	// machines that hold tasks of a cancelled job, if it knows of no leader that returns them
+	// (leaderReaps). It is above the share that a leader uses, 0.55 (cancelOverdueShare in package
+	// leader), but below the share of a leader that still reconciles, 0.8
+	// (cancelOverdueShareReconciling).
 	reapOverdueShare = 0.75
 )
 
-// reapCancelled returns the machines that hold overdue tasks of cancelled jobs while no leader is known
-// that does, until ctx ends. Each second it also updates the attempts that n.gone watches.
+// reapCancelled runs until ctx ends. Each second it updates the attempts that n.gone watches. If no
+// leader is known that returns machines with overdue tasks of cancelled jobs (leaderReaps), it also
+// returns such machines to the cloud, at most cloud.MaxReturn each time.
 func (n *Node) reapCancelled(ctx context.Context) {
 	for clock.Sleep(ctx, reaperInterval) {
 		n.gone.watch(n.cancelledLocations(0))
