--- a/internal/fake/gang.go
+++ b/internal/fake/gang.go
@@ -19,8 +19,9 @@
 // while it calls a method of Gangs.
 type Gangs struct {
 	wait time.Duration // maximum time that a member waits for the others of its attempt to start
-	// notice is the time after which members detect that another one is gone. It is also the time, from
-	// the first halted member on, within which all must be halted for a checkpoint.
+	// notice is the time after which members detect that another one is gone. It also limits the time
+	// between the halts of the first and the last member: if they are further apart, no checkpoint is
+	// saved.
 	notice time.Duration
 
 	mu     sync.Mutex // guards the fields below and those of gangJob, gangAttempt and gangMember
@@ -33,7 +34,7 @@
 	Began        int // attempts whose members all started
 	Done         int // attempts that completed
 	Checkpointed int // attempts that saved a checkpoint and stopped
-	MembersGone  int // tasks that exited because another member of their attempt was gone
+	MembersGone  int // tasks that exited because a member was gone or a checkpoint failed
 	Incomplete   int // tasks that exited because not all members started within Gangs.wait
 }
 
@@ -261,8 +262,9 @@
 	}
 }
 
-// rollBack sets the gang's progress back to the last checkpoint, at most once per attempt. The caller
-// holds Gangs.mu.
+// rollBack sets the gang's progress to the last periodic checkpoint, at most once per attempt: the
+// runtime reached so far is rounded down to a multiple of CheckpointS. Without periodic checkpoints the
+// progress stays as it is. The caller holds Gangs.mu.
 func (a *gangAttempt) rollBack() {
 	if a.rolledBack {
 		return
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -13,8 +13,8 @@
 	"tulipshelf/internal/job"
 )
 
-// InvariantChecker records violations of the rules. It also stores the specifications of jobs. Agents look
-// them up in it, as real agents do in the storage to which users upload them.
+// InvariantChecker records violations of the rules. It also stores the specifications of jobs for the
+// agents. Real agents read the specifications from the storage to which users upload them.
 type InvariantChecker struct {
 	// CancelDeadline is the time from the confirmation of a job's cancellation until all its tasks must be
 	// gone; 0 disables the check. It must be set before the first use.
