--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -66,8 +66,8 @@
 	dataLength int // length in bytes of the data that follows
 }
 
-// maxChunkLine is the maximum number of received bytes without a line end. After more bytes the line
-// before a chunk is refused as malformed.
+// maxChunkLine is the maximum length in bytes of the line before the data of a chunk while its line end
+// has not arrived. A longer line is then refused as malformed.
 const maxChunkLine = 64
 
 // readChunkHeader parses the line at the start of buf. Chunk extensions, which follow a semicolon, are
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -50,8 +50,8 @@
 	maxKeptBuffer = 16 << 10
 )
 
-// ErrNotSent is wrapped by the errors of requests of which no byte was written. Such a request has had
-// no effect and will not have one later.
+// ErrNotSent is wrapped by the error of a request for which no connection could be opened. No byte of
+// the request was written: it has had no effect and will not have one later.
 var ErrNotSent = errors.New("wire: request not sent")
 
 // errTrailingBytes reports that the server sent bytes after the end of a response.
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -68,7 +68,8 @@
 	return out, evio.None
 }
 
-// send passes out to the event loop, which writes it and then closes the connection if closing is set.
+// send queues the bytes of out for the event loop, which writes them and then closes the connection if
+// closing is set.
 //
 // A closed connection is not woken. Guards against a write to an unrelated descriptor: after the event
 // loop has ended, the number of its wake descriptor may be in use for another file.
--- a/internal/wire/header.go
+++ b/internal/wire/header.go
@@ -34,8 +34,9 @@
 			return headers{}, err
 		}
 	}
-	// Guards against request smuggling: if two peers choose different framings of a message that has
-	// both, a request can be hidden in the body of another.
+	// A message with both Content-Length and Transfer-Encoding is refused. Guards against request
+	// smuggling: if two peers choose different framings of such a message, a request can be hidden in
+	// the body of another.
 	if parsed.chunked && parsed.length != noLength {
 		return headers{}, malformed("both content-length and transfer-encoding")
 	}
@@ -44,7 +45,8 @@
 
 func validName(name []byte) bool { return len(name) > 0 && !bytes.ContainsAny(name, " \t\r\n") }
 
-// set sets the field of h for one header field. Other header fields are ignored.
+// set stores the value of one header field in h. Header fields that h does not hold are ignored. The
+// error wraps ErrMalformed.
 func (h *headers) set(name, value string) error {
 	switch strings.ToLower(name) {
 	case "content-length":
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -16,8 +16,8 @@
 // ErrIncomplete reports that the message does not end within the bytes received so far.
 var ErrIncomplete = errors.New("wire: message incomplete")
 
-// ErrMalformed is wrapped by every error that reports bytes that cannot become a valid message, whatever
-// bytes follow.
+// ErrMalformed is wrapped by the errors for received bytes that are not the beginning of a valid
+// message. Further bytes cannot make the message valid, unlike after ErrIncomplete.
 var ErrMalformed = errors.New("wire: malformed message")
 
 // ErrTooLarge is wrapped by the errors that report a body over the limit. It wraps ErrMalformed, since
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -28,8 +28,9 @@
 	ReadTimeout time.Duration // maximum time from a request's first byte to its last
 	Handler     Handler
 
-	// Lasting reports whether the connection of a request is to last: it is not evicted, and is closed
-	// near MaxConns only above closeLastingShare. nil: no connection is to last.
+	// Lasting reports whether the connection of a request is to last. After such a request the
+	// connection is not evicted while idle, and the share of MaxConns above which it is closed after
+	// its response is closeLastingShare instead of closeShare. nil: no connection is to last.
 	Lasting func(*Request) bool
 
 	open       atomic.Int64   // number of connections that the event loop has opened and not yet closed
@@ -45,9 +46,9 @@
 	closeShare = 0.8
 
 	// closeLastingShare is the share of MaxConns above which every connection is closed after its
-	// response. Guards against clients that are refused until their leases have expired: other clients
-	// hold every connection. If connections are closed, clients take turns, and each is served
-	// (docs/size.md).
+	// response. Guards against the refusal of a worker agent until its lease has expired: other clients
+	// may hold every connection. Closing connections makes the clients take turns, so that each is
+	// served (docs/size.md).
 	closeLastingShare = 0.95
 
 	// restartDelay is the delay before a failed listener is restarted. Guards against a busy loop: a
@@ -105,8 +106,8 @@
 	return evio.Serve(events, "tcp://"+s.Addr)
 }
 
-// opened runs on the event loop. It starts the goroutine of a new connection, or closes the connection if
-// MaxConns are open and none of them can be evicted.
+// opened runs on the event loop. It starts the goroutine of a new connection, or closes the connection
+// if MaxConns are open and none of them can be evicted.
 func (s *Server) opened(ctx context.Context, conn evio.Conn) evio.Action {
 	if s.open.Add(1) > int64(s.MaxConns) && !s.evictLongestIdle() {
 		return evio.Close
@@ -117,7 +118,8 @@
 	return evio.None
 }
 
-// closed runs on the event loop after a connection is closed, also for one that opened refused.
+// closed runs on the event loop after a connection is closed, also for a connection that Server.opened
+// has refused.
 func (s *Server) closed(conn evio.Conn) {
 	s.open.Add(-1)
 	if c, ok := conn.Context().(*connection); ok {
