--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -11,7 +11,9 @@
 // Priority determines which requests are refused first when the rate budget runs short.
 type Priority int
 
-// Priorities, in descending order.
+// Priorities, in descending order. PriorityLease also applies to the records that a new leader reads.
+// PriorityUser also applies to relayed heartbeats and commands, to reads of job records for users,
+// and to the leader's reads of keys whose compares failed.
 const (
 	PriorityLease      Priority = iota // leadership, watches: never refused by the client, may overdraw
 	PriorityUser                       // submissions, cancellations, polls: may use the whole budget
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -86,8 +86,8 @@
 }
 
 // send sends a request and returns the response, whatever its status. The error wraps ErrRefused
-// if nothing was sent, and otherwise ErrUnknown. After an error it closes the idle connections,
-// which may be broken as well.
+// if no connection could be opened, and otherwise ErrUnknown. After an error it closes the idle
+// connections, which may be broken as well.
 func (c *Client) send(ctx context.Context, req request) (wire.Response, error) {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -11,7 +11,7 @@
 
 // Errors that callers distinguish with errors.Is. After ErrUnknown, and after any error that is
 // neither listed here nor a *ConflictError, a transaction may have been applied or may still be
-// applied later. Reading the keys shows which.
+// applied later. Reading the keys shows whether it has been applied so far.
 var (
 	// ErrRefused is returned for a request that was not executed and never will be: nothing
 	// was sent, or the store responded that it is unavailable (status 503) or that the request
--- a/internal/kvstore/response.go
+++ b/internal/kvstore/response.go
@@ -15,7 +15,7 @@
 }
 
 // decodeResponse decodes the body of a response into out, unless out is nil, and returns the error
-// that the response's status stands for. After a conflict out is decoded as well.
+// that the response's status stands for. The body of a conflict (status 409) is decoded as well.
 func decodeResponse(req request, resp wire.Response, out any) error {
 	switch resp.Status {
 	case wire.StatusOK:
--- a/internal/kvstore/types.go
+++ b/internal/kvstore/types.go
@@ -39,7 +39,7 @@
 	Put      string   `cbor:"put"`   // key that was written; "": this is a delete
 	Value    wire.Raw `cbor:"value"` // value of a put
 	Revision uint64   `cbor:"stamp"` // revision of the change
-	Delete   string   `cbor:"drop"`  // key that was deleted, also with its lease; "": this is a put
+	Delete   string   `cbor:"drop"`  // deleted key, also at the end of its lease; "": this is a put
 }
 
 // Bodies of requests and responses.
