--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -89,7 +89,8 @@
 
 // Rent requests machines and returns the names of those rented, which may be fewer than
 // rental.Count. After an error other than ErrNoCapacity the rental may or may not have been
-// executed; only repeating the same request shows which.
+// executed. Only repeating the same request settles this: it returns the machines of an executed
+// rental, and otherwise executes the rental.
 func (c *Client) Rent(ctx context.Context, rental Rental) ([]string, error) {
 	var resp rentResponse
 	err := c.do(ctx, wire.MethodPost, "/rentals", wire.Marshal(rental), &resp)
