--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -47,9 +47,9 @@
 	return unavailable()
 }
 
-// recordCancellation marks a job as cancelled in its record, of which item is the version last read.
-// It writes nothing if the job is already marked. The error is that of decoding the record or of the
-// transaction, which conflicts if the record has changed since it was read.
+// recordCancellation marks a job as cancelled in its record. item is the record as last read. Nothing is
+// written if the job is already marked. The error is that of decoding the record or that of the
+// transaction: a *kvstore.ConflictError if the record has changed since it was read.
 func (h *Handler) recordCancellation(ctx context.Context, id string, item *kvstore.Item) error {
 	record, err := jobstore.DecodeRecord(item.Value)
 	if err != nil {
@@ -70,10 +70,12 @@
 	return err
 }
 
-// confirmCancellation answers a cancellation request after the cancellation was recorded. From that
-// record on, no start of a task of the job can be recorded. The replica is refreshed before the answer,
-// so that Locations returns all starts that were recorded earlier: from the answer on, the controllers
-// have to ensure that these tasks end.
+// confirmCancellation answers a cancellation request after the cancellation was recorded.
+//
+// Guards against missing a task that has to end: From the answer on, the controllers have to ensure that
+// all tasks of the job end, which they find by Locations. The replica is therefore refreshed before the
+// answer. It then contains every recorded start of a task of the job, as none can be recorded after the
+// cancellation.
 func (h *Handler) confirmCancellation(ctx context.Context, id string) wire.Response {
 	h.cfg.OnJobCancelled(id)
 	h.cfg.OnJobChanged(id) // the leader also needs the record's new revision
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -85,7 +85,7 @@
 	cancelSuffix = "/abort" // suffix of a job's path
 )
 
-// requestTimeout limits the processing of one request. A request that is still undecided after it is
+// requestTimeout limits the processing of one request. A request that is not decided within this time is
 // answered with 503, so that the user can retry, possibly at another node, instead of waiting for this
 // one.
 const requestTimeout = 1500 * time.Millisecond
--- a/internal/api/replica.go
+++ b/internal/api/replica.go
@@ -175,9 +175,9 @@
 	return cancelled, nil
 }
 
-// load replaces all views by a new read of all records. The pages of the read have different revisions.
-// The changes since the first page, which refresh reads next, make them consistent: views ignore
-// changes that are not newer than their contents.
+// load replaces all views by a new read of all records. The pages of the read have different revisions,
+// so the views are not consistent with each other yet. They become consistent when refresh next applies
+// the changes since the first page. Views ignore the changes that a later page already included.
 //
 // Guards against reporting an accepted job as missing: A request whose freshness was confirmed looks
 // up a job while the records are being read. The previous views therefore stay until all are read.
