--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -58,7 +58,8 @@
 }
 
 // attemptsThatFit returns a prefix of the attempts that takes at most the given number of bytes of a
-// heartbeat. The others can be left for a later heartbeat, as they only save work.
+// heartbeat. The others can be left for a later heartbeat: the report of a gone attempt only saves the
+// receiver work, such as returning a machine whose tasks are already gone.
 //
 // Guards against all controllers counting each other as dead: a heartbeat larger than a request body is
 // refused by every member. docs/size.md gives the bound of each part.
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -37,12 +37,12 @@
 	o.started = time.Now()
 }
 
-// record records a member's answer to a heartbeat of this controller. Other heartbeats must not be
-// passed to it.
+// record records a member's answer to a heartbeat of this controller. A heartbeat that the member sent
+// as a request must not be passed to record.
 //
 // Guards against agents waiting for an unreachable leader until their leases expire, which has
-// happened: a heartbeat that a member sends may arrive as a late copy, so it does not show that the
-// member is reachable.
+// happened: a member's request may arrive as a late copy, so it does not show that the member is
+// reachable.
 func (o *observations) record(answer *Heartbeat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
