--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -21,8 +21,9 @@
 	// between share a transaction, as all controllers share the store's limit for the rate of writes.
 	writeInterval = 500 * time.Millisecond
 
-	// resendAfter is the time allowed for a full heartbeat to reach the leader. The leader repeats its
-	// request in the meantime, which must not cause another full heartbeat.
+	// resendAfter is the time allowed for a full heartbeat to reach the leader. Until the heartbeat
+	// arrives, the leader keeps requesting it (MachineCommands.ResendFull). These requests must not
+	// cause another full heartbeat.
 	resendAfter = 3 * time.Second
 )
 
@@ -61,12 +62,14 @@
 	return err
 }
 
-// nextBatches returns as many of the pending heartbeats as one transaction carries, as values for the
-// up keys, and the heartbeats to mark as forwarded once those are written. Heartbeats that do not fit
-// remain pending for a later transaction.
+// nextBatches packs as many of the pending heartbeats as one transaction carries. It returns the
+// batches, which are the values for the up keys, and the packed heartbeats, which are to be marked as
+// forwarded once the batches are written. Heartbeats that do not fit remain pending for a later
+// transaction.
 //
 // Heartbeats without changes come first: they are small, and the leader abandons a machine from which
-// it receives none. The others are ordered by the time at which their machines were last forwarded.
+// it receives none. The others are ordered by the time at which a heartbeat of the same machine was last
+// forwarded, earliest first.
 func (p *Proxy) nextBatches(now time.Time) ([]HeartbeatBatch, []forwardedHeartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,8 +89,8 @@
 	delta     *HeartbeatDelta    // delta to previous; nil: the heartbeat is forwarded in full
 }
 
-// compareLastForwarded orders heartbeats by the time at which their machines were last forwarded,
-// earliest first, and then by the machines' names.
+// compareLastForwarded orders heartbeats by the time at which a heartbeat of the same machine was last
+// forwarded, earliest first, and then by the machines' names. Machines without one come first.
 func compareLastForwarded(a, b outgoing) int {
 	return cmp.Or(a.previous.at.Compare(b.previous.at), strings.Compare(a.heartbeat.Machine, b.heartbeat.Machine))
 }
