--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,7 +14,7 @@
 	UnhealthyAfter   time.Duration // time without a heartbeat until nothing new is placed on a machine
 	ReplaceAfter     time.Duration // time without a heartbeat until a machine is returned
 	IdleReturn       time.Duration // time for which a machine is empty before it is returned
-	Reserve          float64       // CPUs kept free for services, as a share of those of unfinished ones
+	Reserve          float64       // CPUs kept free for services, as a share of unfinished services' CPUs
 }
 
 // DefaultOperator returns the values of the settings that the operator file leaves out.
--- a/internal/config/parse_settings.go
+++ b/internal/config/parse_settings.go
@@ -100,9 +100,11 @@
 	return teams
 }
 
-// parseMaximum returns one maximum of a team's quota, or +Inf if it is 0 or missing: the platform gives
-// no maximum in both ways. Guards against the refusal of each job of a team without a guarantee: 0 is
-// taken literally (docs/incidents/inc-c8e5.md, docs/incidents/inc-bc39.md).
+// parseMaximum returns one limit of a team's quota, or +Inf if the field is 0, null or missing. In all
+// these cases the platform means that there is no limit.
+//
+// Guards against refusing every job of a team without a guarantee: a limit of 0, taken literally, allows
+// no use of the resource (docs/incidents/inc-c8e5.md, docs/incidents/inc-bc39.md).
 func parseMaximum(team object, name string) float64 {
 	if maximum := team.optionalNumber(name, 0, maxAmount); maximum > 0 {
 		return maximum
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -33,9 +33,9 @@
 	Addr string // its listen address for other controllers
 }
 
-// Team is a team with its quota: a guarantee and a maximum of CPUs and of GPUs. 0 stands for no guarantee,
-// +Inf for no maximum. A maximum below the guarantee is allowed and takes effect; Settings.Warnings
-// reports it.
+// Team is a team with its quota: a guarantee and a limit (MaxCPUs, MaxGPUs), each in CPUs and in GPUs. 0
+// stands for no guarantee, +Inf for no limit. A limit below the guarantee is allowed and takes effect;
+// Settings.Warnings reports it.
 type Team struct {
 	Name           string
 	GuaranteedCPUs float64
@@ -69,7 +69,7 @@
 type Workers struct {
 	HeartbeatInterval time.Duration
 	Lease             time.Duration // time for which an agent keeps its tasks without a response
-	CancelDeadline    time.Duration // time from a cancellation until no task of the job may run any more
+	CancelDeadline    time.Duration // time from a confirmed cancellation until the job's tasks must end
 	GangWait          time.Duration // time for which a task waits for its gang's other members; 0: unknown
 	GangNotice        time.Duration // time within which a gang's members detect that one is gone; 0: unknown
 }
@@ -89,9 +89,10 @@
 	Next *StoreLimits
 }
 
-// Safe returns limits on values and transactions that hold both before and after Next takes effect. Rates
-// are the current ones: the lower ones would delay starts before they are in force. The store reports
-// when a rate is exceeded.
+// Safe returns the limits with those on values and transactions lowered, so that these hold both before
+// and after Next takes effect. The rates remain the current ones: the rates of Next, applied before they
+// are in force, would delay the start of tasks. Once in force, they show in the store's refusals of
+// requests that exceed them.
 func (s StoreLimits) Safe() StoreLimits {
 	if s.Next != nil {
 		s.ValueBytes = min(s.ValueBytes, s.Next.ValueBytes)
