--- a/cmd/tulipshelf/commands.go
+++ b/cmd/tulipshelf/commands.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// noArgs refuses arguments, among them names that are not those of a subcommand. The error is a
+// noArgs refuses any argument, such as the name of a subcommand that does not exist. The error is a
 // usageError.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(cmd, args); err != nil {
