--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -15,7 +15,7 @@
 // Guards against cancelled tasks that run on until an outage of the store ends. The leader is
 // separated from the store and its peers, but not from its machines. A job is cancelled through
 // another controller, and then the store fails for longer than the deadline. The next leader halts the
-// tasks without the store: a recorded cancellation needs no further confirmation by it.
+// tasks without the store: a recorded cancellation needs no further confirmation by the store.
 func TestCancelThenStoreOutage(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -38,7 +38,7 @@
 type cancellationOutage struct {
 	name                 string
 	leaderIsolated       bool // whether the old leader is separated from its peers too, not only from the store
-	storeFailsOnElection bool // whether the store fails only on the next election, before the leader reads
+	storeFailsOnElection bool // whether the store fails only on the next election, before records are read
 	inject               func(c *cluster, oldLeader, confirming int)
 	otherJobSurvives     bool // whether the tasks of a job that is not cancelled must keep running
 }
@@ -116,8 +116,9 @@
 // leader has read the cancellation. The leader is separated from the store, and another controller
 // confirms a cancellation. The store then fails for all controllers, for longer than the deadline,
 // while agents still send their heartbeats to the old leader. Whichever further fault follows, the
-// tasks are gone in time and do not start again. A job that is not cancelled keeps running where a
-// controller is left that holds the cancellation and so can distinguish the two.
+// tasks are gone in time and do not start again. In the cases with otherJobSurvives, the machines
+// respond and a controller that holds the cancellation can distinguish the two jobs. The job that is
+// not cancelled must keep running there.
 func TestCancelledTasksStopWhenStoreFailsAfterConfirmation(t *testing.T) {
 	for _, outage := range cancellationOutages {
 		t.Run(outage.name, func(t *testing.T) {
@@ -184,8 +185,9 @@
 
 // Guards against tasks of a cancelled job that are started by commands in flight. The store fails for
 // all controllers just after the confirmation. The old leader has recorded the starts, but the
-// confirming controller has not read them. Either the commands arrive after the confirmation, or they
-// have arrived just before it, the machines hang, and the leader that sent the commands crashes.
+// confirming controller may not have read them yet. Either the commands arrive after the confirmation,
+// or they have arrived just before it, the machines hang, and the leader that sent the commands
+// crashes.
 func TestCancelledStartInFlightStopsWhenStoreFails(t *testing.T) {
 	for name, hang := range map[string]bool{"command is delayed": false, "machines hang and the leader ends": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -57,10 +57,10 @@
 	})
 }
 
-// Guards against a leader, elected long after a cancellation, that returns machines with cancelled
-// tasks before they have had the time to send it a heartbeat. It halts the tasks on the machines
-// instead. Until its election a controller that could not learn of the cancellation kept the tasks
-// running.
+// Guards against a new leader that returns machines with cancelled tasks before the machines have had
+// the time to send it a heartbeat. An outage of the store follows the cancellation and delays the
+// election by 32 s. During the outage the machines reach only the old leader, which cannot receive the
+// cancellation and keeps the tasks running. Afterwards the tasks are halted on the machines.
 func TestCancelLongBeforeElection(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -102,8 +102,8 @@
 		c.waitUntil("transactions that record the starts held back", 10*time.Second, func() bool { return c.store.Unacknowledged() > 0 })
 		c.cancel(1, "wk-000002")
 		c.submitUntilAccepted(5*time.Second, 2, newJob("wk-000003", job.Array, 16, 5))
-		// Advancing the term would prove that the starts were never sent, but only after half a minute.
-		// That proof is not needed here.
+		// Advancing the term would prove that the starts can no longer take effect, but only after half a
+		// minute. Starts that were never sent do not need this proof.
 		c.waitForStatuses(15*time.Second, map[string]string{"wk-000003": jobstore.StatusDone, "wk-000002": jobstore.StatusCancelled})
 		c.waitUntil("end of the job recorded", 20*time.Second, func() bool { return len(c.store.Keys(jobstore.EndKey("wk-000002"))) == 1 })
 		if n := c.invariants.StartsByTask()["wk-000002/0"]; n != 0 {
@@ -265,7 +265,8 @@
 }
 
 // A zone with machines and a controller is separated from the rest for longer than a lease, while a
-// job with tasks there is cancelled. Its tasks are gone in time, and those of other jobs are kept.
+// job with tasks there is cancelled. The cancelled tasks are gone in time. Afterwards the other service
+// in the zone runs, and so does the one outside the zone, without being started again.
 func TestCancelInPartitionedZone(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartInTwoZones()
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -164,7 +164,8 @@
 	return record.Term
 }
 
-// messageCounts holds the numbers of requests sent so far, by receiver. storeChanges counts mutations.
+// messageCounts holds the numbers of requests received so far, by receiver. toControllers counts requests
+// of users and agents, not those of other controllers. storeChanges counts mutations, not requests.
 type messageCounts struct{ toStore, toCloud, storeChanges, toMachines, toControllers int }
 
 func (c *cluster) countMessages() messageCounts {
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -1,6 +1,7 @@
 package controller
 
-// Faults of a test cluster: controllers that fail, network partitions, and machines that hang.
+// Faults of a test cluster: controllers that fail, network partitions, outages of the store, delayed
+// commands, and machines that hang.
 
 import (
 	"slices"
@@ -42,13 +43,13 @@
 	c.store.UpdateFaults(func(faults *fake.StoreFaults) { faults.Down = false })
 }
 
-// enforceStoreLimits makes the store enforce the lower limits that the settings have announced.
+// enforceStoreLimits makes the store enforce the given limits. It does not change the settings.
 func (c *cluster) enforceStoreLimits(limits config.StoreLimits) {
 	c.store.SetLimits(fake.StoreLimits{ValueBytes: limits.ValueBytes, TxnOps: limits.TxnOps, WriteRPS: limits.WriteRPS})
 }
 
-// partitionLeader separates the leader from the store and the other controllers, but not from the machines
-// or users. It waits until another controller leads and returns the separated one.
+// partitionLeader separates the leader from the store, the cloud and the other controllers, but not from
+// the machines or users. It waits until another controller leads and returns the separated one.
 func (c *cluster) partitionLeader() (old int) {
 	c.t.Helper()
 	old = c.leader()
--- a/internal/controller/cluster_gangs_test.go
+++ b/internal/controller/cluster_gangs_test.go
@@ -44,7 +44,8 @@
 	c.waitUntil("gang runs", time.Minute, func() bool { return c.cloud.Gangs.Counts().Began > began })
 }
 
-// waitForGangAttempts waits until the number of gang attempts, of all jobs, that have begun to run is begun.
+// waitForGangAttempts waits until the number of gang attempts whose members have all started equals begun.
+// It counts the attempts of all gangs since the start of the test.
 func (c *cluster) waitForGangAttempts(begun int, limit time.Duration) {
 	c.t.Helper()
 	c.waitUntil(fmt.Sprintf("%d attempts of gangs have begun", begun), limit, func() bool { return c.cloud.Gangs.Counts().Began == begun })
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -56,8 +56,10 @@
 	Status string `cbor:"status"`
 }
 
-// record records a response about a job. It returns a description of the fault if the response contradicts
-// an earlier one or knownBefore, the status known before the request was sent, and "" otherwise.
+// record records a response about a job. knownBefore is the most advanced status in the responses that
+// were received before the request was sent. record returns a description of the fault if the response
+// shows less progress than knownBefore, or another final status than an earlier response, and ""
+// otherwise.
 func (a *answerLog) record(id, knownBefore string, resp wire.Response) string {
 	var body statusBody
 	accepted := resp.Status == wire.StatusOK || resp.Status == wire.StatusCreated
@@ -83,7 +85,7 @@
 }
 
 // request sends a user's request to a controller and returns the response, with status 0 if there was none.
-// It fails the test if a response about a job is older than one received before the request was sent,
+// It fails the test if the response contradicts an earlier one about the same job (see answerLog.record),
 // whichever controllers sent them.
 func (c *cluster) request(node int, method, path string, body []byte) wire.Response {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/v1/jobs/"), "/")
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -214,8 +214,9 @@
 
 // A controller that leads is separated from the store while so much is written that it cannot read the
 // missed changes afterwards: more bytes than one response carries, or more changes than the store
-// keeps. Once reconnected it reloads the records and serves users within seconds. A leader that has to
-// reload continues under a new term. No replica is started again.
+// keeps. Once reconnected it reloads the records and serves users within seconds. A leader that misses
+// changes in this way ends, and the next one has a new term: at most two further terms are issued. No
+// replica is started again.
 func TestNodeReloadsAfterMissingChanges(t *testing.T) {
 	for name, written := range map[string]struct{ changes, bytes int }{
 		"more bytes than a response carries": {1000, 6000},
--- a/internal/controller/kvstore_transaction_test.go
+++ b/internal/controller/kvstore_transaction_test.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// About half of the transactions are applied at once but their responses are lost, while other
-// controllers read what was written and answer users with it: submissions, cancellations, starts,
-// ends, elections.
+// Guards against answers to users that contradict each other because transactions are applied at once but
+// their responses are lost. This affects about half of all transactions: submissions, cancellations,
+// starts, ends and elections. Meanwhile other controllers read what was written and answer users with it.
 func TestLostTransactionResponses(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -75,7 +75,8 @@
 }
 
 // One in four transactions has no response and is applied seconds later, after newer ones of the same
-// controller. Meanwhile jobs are submitted, end and are cancelled, and the leader changes.
+// controller. Meanwhile jobs are submitted, end and are cancelled, and the leader changes. Every job is
+// reported as cancelled if it was reported so before, and otherwise as done.
 func TestDelayedTransactionsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
--- a/internal/controller/leader_access_test.go
+++ b/internal/controller/leader_access_test.go
@@ -41,8 +41,8 @@
 	return count
 }
 
-// machinesWithImage returns the number of machines that, to the knowledge of controller i, which must
-// lead, have fetched an image.
+// machinesWithImage returns the number of machines that have fetched an image, according to the machine
+// registry of controller i, which must lead.
 func (c *cluster) machinesWithImage(i int, image string) (count int) {
 	c.processes[i].node.leader.Load().Inspect(func(machines *agent.Registry) {
 		machines.Each(func(m *agent.Machine) {
--- a/internal/controller/machine_failure_test.go
+++ b/internal/controller/machine_failure_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// Machines with a termination notice are drained. Services move at once. Tasks with checkpoints save
-// their progress before the machine is taken, and then move. Tasks without checkpoints run on where
-// they are.
+// Machines with a termination notice are drained. A service moves first, within 20 s. A task with
+// checkpoints moves later, once it has saved its progress. A task without checkpoints runs on where it
+// is, as the fake does not terminate the machine when the 30 s of the notice are over.
 func TestTerminationNoticeDrainsMachine(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
--- a/internal/controller/network_partition_test.go
+++ b/internal/controller/network_partition_test.go
@@ -44,9 +44,10 @@
 	})
 }
 
-// A leader that is separated from its machines, but neither from the store nor from its peers,
-// transfers the leadership before the machines' leases expire. No machine counts as unresponsive, and
-// is returned, because of requests that the partition held back and that arrive once it has healed.
+// Guards against the loss of tasks and machines when the leader is separated from its machines, but
+// neither from the store nor from its peers. The leader transfers the leadership before the machines'
+// leases expire. Requests between the old leader and a machine are lost in the partition, but the machine
+// does not count as unresponsive and is not returned.
 func TestLeaderPartitionedFromWorkersStepsDown(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -134,7 +135,7 @@
 }
 
 // Commands arrive and are executed only after the requests that carry them have timed out, while the
-// leader changes and a job is cancelled.
+// leader changes and a job is cancelled. The cancelled tasks stop, and all other tasks complete or run.
 func TestDelayedCommandsAcrossFailovers(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -156,10 +157,11 @@
 	})
 }
 
-// Every request that was delivered is delivered again, within a second and up to more than a lease
-// later: heartbeats, commands, transactions, rentals and returns, submissions and cancellations,
-// heartbeats between controllers. Guards against tasks that start twice, answers to users that
-// contradict earlier ones, and machines that are rented twice.
+// Guards against tasks that start twice, answers to users that contradict earlier ones, and machines
+// that are rented twice, because requests are duplicated. The network delivers each request three more
+// times: after 300 ms, after 5 s, and after 40 s, which is longer than a lease. This applies to
+// heartbeats of agents and of controllers, commands, transactions, rentals, returns, submissions and
+// cancellations.
 func TestDuplicatedRequests(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.network.SetFaults(fake.NetworkFaults{DuplicateAfter: []time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}})
