--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -63,9 +63,10 @@
 	})
 }
 
-// Guards against one read of the store per poll, which exceeds the store's rate in large
-// deployments: one read confirms concurrent polls. No answer is older than an earlier answer of
-// another controller.
+// Guards against one read of the store per poll, which exceeds the store's rate in large deployments.
+// Concurrent polls share reads, so they take at most a quarter as many requests to the store. Answers
+// are not stale either: once one controller has confirmed a cancellation, another one answers that the
+// job is cancelled.
 func TestConcurrentPollsShareStoreReads(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.waitForElection()
@@ -236,8 +237,8 @@
 }
 
 // read has 12 users send one request each within 6 ms, and does not wait for the responses. One user
-// in four repeats the submission, the others query the job. No response may say that the job is
-// unknown.
+// in four repeats the submission, the others query the job. No response may say that the job is unknown
+// or, as status 201 does, that it has just been created.
 func (r *consistentReaders) read(id string, request jobRequest) {
 	for user := range 12 {
 		r.running.Add(1)
--- a/internal/controller/autoscaling_test.go
+++ b/internal/controller/autoscaling_test.go
@@ -10,8 +10,9 @@
 	"tulipshelf/internal/job"
 )
 
-// Guards against renting machines for the number of small tasks in an array instead of for their resources.
-// Larger tasks would later be entitled to the surplus machines.
+// Guards against renting too many machines by counting the waiting tasks of all arrays instead of their
+// CPUs. An array of larger tasks comes first here, so the number counted for the small tasks of the
+// second array would be rented at the larger size.
 func TestSmallTasksDoNotOverprovision(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithCapacity(60, 1000)
@@ -26,8 +27,9 @@
 	})
 }
 
-// Guards against a new leader that rents no more machines while the first that it has rented still boot and
-// the cloud's list leaves them out.
+// Guards against a new leader that rents no further machines until its first ones have booted. The
+// cloud's list lags by 4 s, so it does not include the first machines yet. More work is submitted
+// meanwhile, and more machines are rented for it within 3 s.
 func TestScaleOutWhileMachinesBoot(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.cloud.Change(func(cloud *fake.Cloud) { cloud.Lag = 4 * time.Second })
--- a/internal/controller/gang_recovery_test.go
+++ b/internal/controller/gang_recovery_test.go
@@ -69,9 +69,9 @@
 	})
 }
 
-// Guards against a gang that stops without a checkpoint: one of its machines will be terminated, while
-// another cannot be reached in time to save. No task is halted, as the checkpoint would be
-// incomplete and stop the other tasks for nothing.
+// Guards against a gang that stops without a checkpoint. One of its machines gets a termination notice
+// while another is unreachable, so the tasks there cannot be told in time to save. No task is halted:
+// the checkpoint would be incomplete, and the other tasks would stop for nothing.
 func TestGangNotStoppedWhileMemberUnreachable(t *testing.T) {
 	withAndWithoutFailover(t, func(c *cluster, failOver func()) {
 		c.runGang(newGang(10, 30))
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -146,8 +146,8 @@
 			t.Errorf("%d transactions refused for their size and %d for the rate, want at most 30 and at least 1 in all", refused.TooLarge, refused.TooMany)
 		}
 		c.waitUntil("only the records of both services left", time.Minute, func() bool {
-			// Two records of services; five records of tasks: those of one service, and those of the other in
-			// both layouts.
+			// Two records of services and five chunks: one of wk-000001, and of wk-000050 the one from
+			// before the rechunk and the three from after it.
 			return len(c.store.Keys(jobstore.JobPrefix)) == 2+5
 		})
 	})
--- a/internal/controller/previous_fixture_test.go
+++ b/internal/controller/previous_fixture_test.go
@@ -35,9 +35,10 @@
 # commands go through the state service.
 `
 
-// Guards against a fixture that differs from what the previous version stores. The previous version
-// writes each key of the fixture again, but for the numbers in keys, such as those of chunks. Keys
-// without a / (the catalog and the heartbeat) are not compared.
+// Guards against a fixture that differs from what the previous version stores. Controllers of that
+// version create the fixture's state again, and for each key of the fixture they store a key of the
+// same pattern (keyPattern, which ignores numbers such as those of chunks). Values are not compared,
+// nor are keys without a / (the catalog and the heartbeat).
 func TestPreviousFixture(t *testing.T) {
 	simulateFrom(t, newPreviousController, func(c *cluster) {
 		c.createFixtureState()
--- a/internal/controller/production_reader_test.go
+++ b/internal/controller/production_reader_test.go
@@ -14,8 +14,9 @@
 	"tulipshelf/internal/wire"
 )
 
-// The fields that the production version reads, under its names, of a job's record, of a chunk of the
-// job's tasks, of the job's final state, of the autoscaler's estimates and of the term.
+// Types for decoding stored values as the production version does. They have the fields that it reads,
+// under the names that it uses. In this order, they are a job's record, an attempt in a chunk, a chunk
+// of a job's tasks, a job's final state, the autoscaler's estimates and the term.
 type (
 	productionRecord struct {
 		Spec        *job.Spec `cbor:"spec"`
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -371,7 +371,7 @@
 				c.makeOlderVersionLead(olderFirst)
 				c.enforceStoreLimits(*c.nextStoreLimits)
 				c.replaceHungMachineOf("wk-000050", 80)
-				// A rechunk numbers the chunks from 100000; jobs have fewer chunks before it.
+				// Chunk numbers have six digits; only a rechunk's, from 100000, begin with 1.
 				rechunked := func() bool { return len(c.store.Keys(jobstore.JobKey("wk-000050")+"/1")) > 1 }
 				c.waitUntil("records rechunked", time.Minute, rechunked)
 				startsBefore := c.startsOf("wk-000050")
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -102,8 +102,8 @@
 }
 
 // A failover happens in the middle of a large array of short tasks, and a service is submitted after
-// it: the mutations per task are bounded, only few tasks run again because they were not yet
-// recorded as done, and the service starts in time.
+// it. The mutations per task are bounded, and the service starts in time. At most one task in 20 runs
+// again: a task that is done runs again if the former leader had not yet recorded it as done.
 func TestLargeArrayWritesBoundedAcrossFailover(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		const tasks = 6000
@@ -127,8 +127,9 @@
 	})
 }
 
-// Four jobs of one task are submitted a second for two minutes, and a quarter of them is cancelled: each
-// job reaches the final state that the response to its cancellation gives, and the others are done.
+// Four jobs of one task are submitted each second for two minutes. A cancellation is requested for a
+// quarter of them, and each of these reaches the final state that the response to the request gives.
+// All other jobs are done in the end.
 func TestStreamOfSingleTaskJobs(t *testing.T) {
 	simulate(t, func(c *cluster) {
 		c.restartWithLargeFleet()
