--- a/internal/leader/health_test.go
+++ b/internal/leader/health_test.go
@@ -83,8 +83,8 @@
 }
 
 // Guards against a cancelled task that outlives the cancellation deadline on a machine that cannot be
-// sent the halt. The machine is retired in time for the task to be gone by the deadline, later while a
-// new leader still reconciles.
+// sent the halt. The machine is retired in time for the task to be gone by the deadline. While a new
+// leader still reconciles, more of the time until the deadline passes before the machine is retired.
 func TestMachineWithCancelledTaskIsRetired(t *testing.T) {
 	l := newTestLeader(healthSettings())
 	deadline := l.Settings.Workers.CancelDeadline
--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -40,9 +40,10 @@
 	return j
 }
 
-// Guards against jobs that are placed in the wrong zone: a machine that is known only from the records has
-// no zone yet, so the count of a job's tasks by zone is incomplete. Jobs whose tasks belong in one zone,
-// or apart, may not be placed by it.
+// Guards against tasks that are placed in the wrong zone by an incomplete count of the job's tasks in
+// each zone. The count leaves out a task on a machine that is known only from the records, because the
+// zone of that machine is not known yet. tasksInZones then returns allKnown as false, and jobs whose
+// tasks belong in one zone, or are spread over zones, may not be placed by the count.
 func TestTasksInUnknownZoneAreNotCounted(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := newTestLeader(config.Settings{})
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -73,8 +73,10 @@
 		Cloud: cloud.New(dial, "10.2.0.2:8443", settings.Cloud.RPS), Node: fakeNode{types: []cloud.Type{{Name: "box", CPUs: 4, Zones: []string{"a"}}}}}
 }
 
-// The term is advanced if a start that is to be stopped has been lost, as only a higher token can prove
-// that it will not take effect.
+// Guards against a task that is to be stopped but whose lost start command takes effect later. A start
+// counts as lost once lostStartHeartbeats heartbeats lack its task. The term is then advanced, as only
+// a higher fencing token can prove that the command will not take effect. The leader checks for lost
+// starts at most once per advanceCheckInterval.
 func TestTermIsAdvancedForUnansweredStarts(t *testing.T) {
 	l := newTestLeader(config.Settings{})
 	j := l.admit(t, arrayRecord("wk-000001", 2))
