--- a/internal/leadership/candidate_test.go
+++ b/internal/leadership/candidate_test.go
@@ -46,10 +46,10 @@
 	return kvstore.New(c.network.Dial(name), storeAddr, 1000, 1000)
 }
 
-// node is a running candidate. Its leader's work only waits for the end of its context.
+// node is a running candidate whose lead function only waits for the end of the leadership.
 type node struct {
 	*Candidate
-	leading atomic.Pointer[Term] // term whose leader's work is running; nil if none
+	leading atomic.Pointer[Term] // term for which the lead function runs; nil if none
 	stop    context.CancelFunc   // stops the candidate without revoking its lease, as a crash does
 }
 
