--- a/internal/placement/feasibility_test.go
+++ b/internal/placement/feasibility_test.go
@@ -59,8 +59,9 @@
 }
 
 // TestClassesKeepTasksApart guards against cached results that are reused for tasks with other feasible
-// machines: tasks that differ in a property have the same class, or a job has a class though its other
-// tasks or failures matter.
+// machines. Jobs that differ in a property on which feasibility depends have different equivalence
+// classes. A job has no class if its feasible machines also depend on its other tasks or its failures,
+// or if it is a gang.
 func TestClassesKeepTasksApart(t *testing.T) {
 	base := func() Job { return Job{Need: Amounts{CPU: 1}, Zone: AnyZone, TasksInZone: make([]int, 2)} }
 	first := base()
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestGangTakesFirstOfEqualZones guards against plans that differ between two leaders with the same
-// snapshot: of equal zones, another than the first is chosen.
+// snapshot. Of zones that are equally good, a gang always takes the one with the lowest number.
 func TestGangTakesFirstOfEqualZones(t *testing.T) {
 	machines := []Machine{{AcceptsTasks: true, Zone: 1, Free: Amounts{CPU: 2}}, {AcceptsTasks: true, Zone: 0, Free: Amounts{CPU: 2}}}
 	jobs := []Job{{Gang: true, OneZone: true, Zone: AnyZone, Need: Amounts{CPU: 1}, Waiting: 2, Tasks: 2, TasksInZone: make([]int, 2)}}
--- a/internal/placement/load_index_test.go
+++ b/internal/placement/load_index_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestIndexIndependentOfUpdatePace guards against weights of the old value other than
-// e^(-interval/smoothing) (the design's paper prints e^(-smoothing)), and against intervals without an
-// update that are not counted.
+// TestIndexIndependentOfUpdatePace guards against two errors in the weight of the old value. For one
+// interval the weight is e^(-interval/smoothing), although the design's paper prints e^(-smoothing).
+// After a gap the weight covers all intervals since the last update, not only one.
 func TestIndexIndependentOfUpdatePace(t *testing.T) {
 	const seconds, smoothing = 8, 4 * time.Second
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestOverdueJobsBeginWithOneTask guards against overdue jobs of which no task, or more than one, is
-// placed before the other jobs, or which are not placed in order of arrival. It also guards against
-// overdue gangs that are placed in part.
+// TestOverdueJobsBeginWithOneTask guards against overdue jobs that wait behind all others or go before
+// them with all their tasks. Exactly one task of each overdue job is placed first, in order of arrival.
+// Overdue gangs are left out, as one task would be a part of a gang.
 func TestOverdueJobsBeginWithOneTask(t *testing.T) {
 	job := func(arrival uint64, priority int, overdue, gang bool) Job {
 		return Job{Arrival: arrival, Priority: priority, Overdue: overdue, Gang: gang, Zone: AnyZone,
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -73,9 +73,11 @@
 	}
 }
 
-// TestMachineChosenForPreemption guards against services that preempt on machines without their image,
-// and against gangs that preempt for the image at the cost of more lost run time, though a gang starts
-// only when its last task can.
+// TestMachineChosenForPreemption guards against services that preempt on a machine without their image
+// while another machine has it. It also guards against gangs that choose the machine with the image
+// though the victims there lose more run time: a gang starts only when its last task can, so the image
+// on one machine gains nothing. A gang for which a fetch is too slow does choose the machine with the
+// image.
 func TestMachineChosenForPreemption(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// busy returns a machine with one task of one CPU for each given time until its end.
+// busy returns a machine without free resources. It runs one task of one CPU for each of ends, the
+// times from traceStart until the tasks end.
 func busy(ends ...time.Duration) Machine {
 	machine := Machine{AcceptsTasks: true}
 	for _, end := range ends {
@@ -31,9 +32,9 @@
 	return reserved
 }
 
-// TestReservedMachines guards against reservations of machines that will not have room for a gang
-// soonest, of more machines than the gang needs, and of any machines if the gang will not have room
-// within the maximum wait.
+// TestReservedMachines guards against reservations that keep machines idle in vain. The reserved
+// machines are those that have room for the whole gang soonest, and of these as few as hold it. A gang
+// that would wait longer than maxReservationWait reserves no machine, unless it is overdue.
 func TestReservedMachines(t *testing.T) {
 	inZone := func(zone int, machine Machine) Machine {
 		machine.Zone = zone
@@ -67,8 +68,8 @@
 	}
 }
 
-// TestTimeLeft guards against tasks that have overrun their expected end and are expected to end at
-// once: machines would be reserved for gangs that do not become free.
+// TestTimeLeft guards against reservations of machines that do not become free: a task that has overrun
+// its expected end would be expected to end at once.
 func TestTimeLeft(t *testing.T) {
 	now := traceStart
 	for _, test := range []struct {
