--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -1,7 +1,7 @@
 package autoscaler
 
 // Stored estimates. Without them the history of a new leader would hold only the unfinished jobs, each as
-// an arrival at the time of its submission. Without the jobs that have ended, the usual load can be
+// an arrival at the time of its submission. Without the jobs that have ended, the average load can be
 // estimated too low, and too few machines are then rented for it. The owners' estimates of run times
 // would not be corrected until tasks are done.
 
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -96,7 +96,7 @@
 		names := rented[rental.Name]
 		mu.Unlock()
 		if first {
-			time.Sleep(time.Minute) // longer than any time-out
+			time.Sleep(time.Minute) // longer than any timeout
 		}
 		return success(map[string]any{"shelves": names})
 	}
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -58,8 +58,9 @@
 // which jobs it knows to be done or cancelled. A controller that alone cannot reach the store is not
 // ready, so that users are sent to the others.
 //
-// Guards against users who find no controller for up to a minute after an outage: after each removal
-// within two minutes a load balancer waits twice as long before it tries a controller again.
+// Guards against users who find no controller for up to a minute after an outage: after each further
+// removal of a controller within two minutes, a load balancer doubles its wait before it tries the
+// controller again.
 func (n *Node) ready() bool {
 	if n.types.Load() == nil {
 		return false
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -15,11 +15,11 @@
 	"tulipshelf/internal/wire"
 )
 
-// forecast estimates run times and the load that usually arrives. Only the event loop uses it.
+// forecast estimates run times and the average load of arrivals. Only the event loop uses it.
 //
 // The estimates are stored in the key-value store for the next leader. Guards against too low a forecast
 // after an election: without them the history of a new leader holds only the unfinished jobs, each as an
-// arrival at the time of its submission. Without the jobs that have ended, the usual load can be
+// arrival at the time of its submission. Without the jobs that have ended, the average load can be
 // estimated too low, and too few machines are then rented for it. A new leader without the stored
 // estimates also cannot correct the owners' estimates of run times until tasks are done.
 type forecast struct {
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -161,8 +161,8 @@
 
 // tasksInZones counts a job's live attempts by zone. After an election the zone of a machine is not known
 // until the cloud's list or a heartbeat names it, and allKnown is false until then. Guards against tasks
-// in a wrong zone: a job whose tasks belong in one zone, or apart, would be placed by an incomplete
-// count.
+// in a wrong zone: a job whose tasks must run in one zone, or be spread over zones, would be placed by
+// an incomplete count.
 func (s *scheduler) tasksInZones(j *jobstore.Job) zoneCounts {
 	counts := zoneCounts{tasks: make([]int, len(s.topology.zones)), allKnown: true}
 	j.EachAttempt(func(attempt *jobstore.Attempt) {
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -165,7 +165,7 @@
 // if they use more.
 type arrayCPUs struct {
 	needed      float64 // for waiting and anticipated arrays together
-	anticipated float64 // for anticipated arrays only, by the forecast of the usual load
+	anticipated float64 // for anticipated arrays only, by the forecast of the average load
 }
 
 // missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of the free CPUs go to
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -12,7 +12,7 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Pause before each renewal and time-out of its request, as divisors of the lease's TTL. If one
+// Pause before each renewal and timeout of its request, as divisors of the lease's TTL. If one
 // renewal times out and the response to the previous one was not slow, there is time for another
 // renewal before the lease expires.
 const (
--- a/internal/peer/observations.go
+++ b/internal/peer/observations.go
@@ -107,7 +107,7 @@
 }
 
 // StoreReachableByNone reports whether at least one member has answered within the last d, and none of
-// those that have was served by the key-value store.
+// the members that have answered within it was served by the key-value store.
 func (o *observations) StoreReachableByNone(d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -97,8 +97,9 @@
 	byImage := cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b))
 	byLoss := cmp.Compare(options[a].lostSeconds, options[b].lostSeconds)
 	if job.Gang && !job.FetchTooSlow {
-		// The image on these machines may not let the gang start sooner: it starts only when its last task
-		// can, and some of its tasks use free resources of machines that may have to fetch the image.
+		// The image on these machines does not always let the gang start sooner: it starts only when its
+		// last task can, and some of its tasks use free resources of machines that may have to fetch the
+		// image.
 		return cmp.Or(byLoss, byImage)
 	}
 	return cmp.Or(byImage, byLoss)
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -32,9 +32,10 @@
 	return reserved
 }
 
-// TestReservedMachines guards against reservations that keep machines idle in vain. The reserved
-// machines are those that have room for the whole gang soonest, and of these as few as hold it. A gang
-// that would wait longer than maxReservationWait reserves no machine, unless it is overdue.
+// TestReservedMachines guards against reservations that keep machines idle for a gang that cannot start
+// there, or only late. The reserved machines are those that have room for the whole gang soonest, and of
+// these as few as hold it. A gang that would wait longer than maxReservationWait reserves no machine,
+// unless it is overdue.
 func TestReservedMachines(t *testing.T) {
 	inZone := func(zone int, machine Machine) Machine {
 		machine.Zone = zone
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -40,7 +40,7 @@
 	minIdle = 2
 
 	// maxIdleAge is the idle time from which on a connection is not used again. It is below the idle
-	// time-out of the servers that are called, so that a connection is rarely found closed by its server.
+	// timeout of the servers that are called, so that a connection is rarely found closed by its server.
 	maxIdleAge = 20 * time.Second
 
 	// minRead is the least number of bytes by which a full read buffer grows.
