--- a/internal/agent/responsiveness.go
+++ b/internal/agent/responsiveness.go
@@ -74,7 +74,8 @@
 }
 
 // restartedDespiteResponses reports whether an incarnation ended although its heartbeats had been
-// answered for at least one lease. The responses cannot have arrived then.
+// answered for at least one lease, the last of them less than half a lease ago. The responses did not
+// arrive then, unless the agent was merely restarted (MarkResponsive).
 //
 // Responses that have only just resumed prove nothing. Guards against hundreds of healthy machines being
 // returned at once: the end of a network partition delivers the heartbeats that it delayed and, right
