--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -161,8 +161,8 @@
 
 // deleteChunks adds deletions of an ended job's chunks as far as there is write rate to spare, and
 // returns the indices of these chunks. The other chunks become garbage that is deleted later, so
-// that they do not delay other changes. Of all mutations that a job of one task needs, only the
-// deletion of its chunk can be deferred.
+// that they do not delay other changes. If the first attempt of a job of one task is done and the
+// job is not cancelled, the deletion of its chunk is the only one of its mutations that can be deferred.
 func (b *batchBuilder) deleteChunks(job *Job) []int {
 	var deleted []int
 	limit := min(b.limits.Mutations, b.limits.SpareMutations)
--- a/internal/jobstore/codec.go
+++ b/internal/jobstore/codec.go
@@ -1,6 +1,6 @@
-// This file defines the encodings of stored values. Apart from those in job.Spec, the names of their
-// fields are set only here. Older versions read and write the same values, so no tag may change
-// (docs/upgrades.md).
+// This file defines the encodings of the values that are stored for jobs. The cbor names of their
+// fields are set only here and in job.Spec. Older versions read and write the same values, so no tag
+// may change (docs/upgrades.md).
 
 package jobstore
 
