--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -57,8 +57,9 @@
 //   - All others are halted without a grace period.
 //
 // Attempts may have been confirmed gone under an earlier leader that could not record the end of their
-// job in time. Without the third rule the new leader would return their machines, as if these still held
-// the cancelled tasks (docs/incidents/inc-b469.md).
+// job in time. A new leader reads them from the records as live. Without the third rule, cancelOverdue
+// would find that their machines still hold the cancelled tasks, and the machines would be retired and
+// returned (docs/incidents/inc-b469.md).
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.requestPending {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
--- a/internal/leader/health.go
+++ b/internal/leader/health.go
@@ -20,7 +20,7 @@
 	lastPartitioned []time.Time
 }
 
-// Limits after which machines are retired.
+// Limits by which the health of machines and zones is judged.
 const (
 	// bootTimeoutFactor is the multiple of the usual boot time after which a machine that has not
 	// booted is retired, and bootOverdueFactor the multiple after which its capacity is no longer
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -24,7 +24,7 @@
 // jobState is the leader's state of a job beyond the job's record.
 type jobState struct {
 	team  int               // index of the job's team; unknownIndex: not in the settings
-	zone  int               // index of the only zone in which its tasks may run; unknownIndex: any zone
+	zone  int               // index of the only allowed zone; unknownIndex: any; len(zones): no such zone
 	types []bool            // allowed machine types, by index
 	need  placement.Amounts // resources of one task
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -31,8 +31,8 @@
 	loadIndex placement.LoadIndex
 
 	cached      bool                // the fields below are filled in
-	version     uint64              // agent.Machine.Version at that time
-	machineType int                 // index of the machine type at that time
+	version     uint64              // agent.Machine.Version when the cache was filled in
+	machineType int                 // agent.Machine.Type when the cache was filled in
 	free        placement.Amounts   // resources not taken by assignments
 	tasks       []placement.Task    // one per assignment
 	assignments []*agent.Assignment // in the order of tasks
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -26,7 +26,7 @@
 
 	lastPass     time.Time     // start of the last pass; zero: none yet
 	passDuration time.Duration // duration of the last pass
-	unplaced     int           // tasks that found no machine in the last pass, by placement.Plan.Unplaced
+	unplaced     int           // sum of placement.Plan.Unplaced over the jobs that waited in the last pass
 }
 
 // Intervals from the start of one pass to the start of the next. Guards against passes that keep the
@@ -92,8 +92,8 @@
 	return waiting
 }
 
-// snapshotMachines returns the snapshots of all machines for placement, by index, and the machines'
-// assignments in the order of the snapshots' tasks.
+// snapshotMachines returns a snapshot of each machine for placement, by Machine.Index, and each
+// machine's assignments in the order of the tasks in its snapshot.
 func (s *scheduler) snapshotMachines(now time.Time) ([]placement.Machine, [][]*agent.Assignment) {
 	machines := make([]placement.Machine, s.machines.registry.Size())
 	assignments := make([][]*agent.Assignment, len(machines))
