--- a/internal/leadership/candidate.go
+++ b/internal/leadership/candidate.go
@@ -18,7 +18,7 @@
 type Candidate struct {
 	// Fields to be set before the first method call and not changed afterwards.
 	Node        string          // name of this node, unique among the candidates
-	LeaseTTL    time.Duration   // TTL of the lease; maximum delay of elections after a crash of the leader
+	LeaseTTL    time.Duration   // TTL of the lease; no node is elected before a crashed leader's expires
 	Store       *kvstore.Client // client of the key-value store with the election's keys
 	PreferOther func() bool     // whether another node should preferably be elected; nil means never
 
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -13,8 +13,8 @@
 )
 
 // Pause before each renewal and timeout of its request, as divisors of the lease's TTL. If one
-// renewal times out and the response to the previous one was not slow, there is time for another
-// renewal before the lease expires.
+// renewal is answered quickly and the next times out, a third is sent about 1/4 + 1/3 + 1/4 = 5/6 of
+// a TTL after the first, and so before the lease expires.
 const (
 	renewIntervalDivisor = 4
 	renewTimeoutDivisor  = 3
--- a/internal/leadership/view.go
+++ b/internal/leadership/view.go
@@ -83,7 +83,7 @@
 	return true
 }
 
-// transferring reports whether this node leads and its leadership ends by a transfer to another
+// transferring reports whether this node is ending its own leadership by a transfer to another
 // node.
 func (v *view) transferring() bool { return v.current != nil && v.current.transferring }
 
