--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -50,7 +50,8 @@
 	totalCost float64   // sum of load indices, or run time lost in seconds; compared at equal ranks
 }
 
-// compare returns a negative number if the outcome is better than the other.
+// compare returns a negative number if the outcome is better than the other: by slowest, then by
+// totalCost. Both must be complete, as compare does not distinguish incomplete outcomes.
 func (o zoneOutcome) compare(other zoneOutcome) int {
 	return cmp.Or(cmp.Compare(o.slowest, other.slowest), cmp.Compare(o.totalCost, other.totalCost))
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -5,12 +5,16 @@
 // Job is a job with waiting tasks in the snapshot of a pass. It is identified by its position in the list
 // of jobs.
 type Job struct {
-	// Order of placement.
+	// Order of placement. BeyondGuarantee is set for a job that does not fit into its team's guarantee
+	// together with the team's jobs that claim it earlier, except for each team's first waiting gang.
+	// For anticipated gangs it is set if it is set for any waiting gang (reservations in package leader).
+	// InverseResponseRatio is, for an array, the run time of its waiting tasks / (time since submission +
+	// run time of one task).
 	Priority             int     // higher values are placed first
-	BeyondGuarantee      bool    // not covered by the team's guarantee, which earlier jobs use up
-	InverseResponseRatio float64 // remaining work / (time waited + run time); lower values are placed first
+	BeyondGuarantee      bool    // placed after jobs of the same priority for which it is not set
+	InverseResponseRatio float64 // lower values are placed first; 0 unless an array
 	Arrival              uint64  // lower values are placed first
-	Overdue              bool    // waiting time is over the limit and no task has started
+	Overdue              bool    // submitted longer ago than the limit, and no task is live or done
 
 	// Resources and numbers of tasks.
 	Team    int     // position in the list of teams
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -8,10 +8,13 @@
 	Assignments []Assignment
 	Preemptions []Preemption
 
-	// Unplaced is the number of tasks that found no machine, by position of the job. It is 0 for
-	// independent tasks of a team at its limit and for anticipated gangs. Tasks for which victims are
-	// stopped are included, except where an urgent job with FetchTooSlow preempts on machines that have
-	// its image.
+	// Unplaced is the number of waiting tasks without room on free resources, by position of the job.
+	// For a gang it is the number of all its waiting tasks, or 0. It is also 0 for anticipated gangs and
+	// for independent tasks of a team at its limit.
+	//
+	// Tasks for which victims are preempted count as unplaced, with one exception: if an urgent job of
+	// independent tasks has FetchTooSlow, those for which it preempts on machines that have its image do
+	// not count.
 	Unplaced []int
 }
 
