--- a/internal/autoscaler/estimates.go
+++ b/internal/autoscaler/estimates.go
@@ -1,7 +1,7 @@
 package autoscaler
 
 // Stored estimates. Without them the history of a new leader would hold only the unfinished jobs, each as
-// an arrival at the time of its submission. Without the jobs that have ended, the usual load can be
+// an arrival at the time of its submission. Without the jobs that have ended, the average load can be
 // estimated too low, and too few machines are then rented for it. The owners' estimates of run times
 // would not be corrected until tasks are done.
 
@@ -11,7 +11,7 @@
 // The codec tags are part of the stored format and must not change. Fields that end in MS are
 // milliseconds of Unix time.
 type Estimates struct {
-	DecayedSeconds float64               `cbor:"sum"`      // run time that arrived, in weighted seconds
+	DecayedSeconds float64               `cbor:"sum"`      // CPU seconds that arrived, weighted by age
 	FirstArrivalMS int64                 `cbor:"start_ms"` // first arrival
 	DecayedAtMS    int64                 `cbor:"last_ms"`  // time to which the weights have decayed
 	LastArrivalMS  int64                 `cbor:"came_ms"`  // last arrival
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	// readyServedWithin is the time since the key-value store last served this controller up to which the
-	// store counts as reachable.
+	// readyServedWithin is the maximum time since the key-value store last served this controller. After
+	// a longer time the store counts as unreachable.
 	readyServedWithin = 4 * time.Second
 
 	// readyAnsweredWithin is the maximum age of other controllers' answers that count when ready checks
@@ -58,8 +58,9 @@
 // which jobs it knows to be done or cancelled. A controller that alone cannot reach the store is not
 // ready, so that users are sent to the others.
 //
-// Guards against users who find no controller for up to a minute after an outage: after each removal
-// within two minutes a load balancer waits twice as long before it tries a controller again.
+// Guards against users who find no controller for up to a minute after an outage: after each further
+// removal of a controller within two minutes, a load balancer doubles its wait before it tries the
+// controller again.
 func (n *Node) ready() bool {
 	if n.types.Load() == nil {
 		return false
--- a/internal/jobstore/batch.go
+++ b/internal/jobstore/batch.go
@@ -38,8 +38,8 @@
 type chunkWrite struct {
 	job     *Job
 	chunk   *chunk
-	starts  []*Attempt // attempts whose starts are recorded
-	lastEnd uint64     // number (Store.endSequence) up to which ends of attempts are recorded
+	starts  []*Attempt // attempts whose starts the write contains
+	lastEnd uint64     // Store.endSequence when the batch was built; the write contains no later end
 }
 
 // endWrite is the part of a batch that records the end of a job.
@@ -51,7 +51,7 @@
 // BatchLimits limits a batch to what the key-value store accepts at present.
 type BatchLimits struct {
 	Mutations      int // maximum number of mutations
-	SpareMutations int // number of mutations at which no more deferrable changes are added
+	SpareMutations int // a batch with this many mutations takes no further deferrable change
 	ValueBytes     int // maximum size of a value, in bytes of JSON
 }
 
@@ -161,8 +161,8 @@
 
 // deleteChunks adds deletions of an ended job's chunks as far as there is write rate to spare, and
 // returns the indices of these chunks. The other chunks become garbage that is deleted later, so
-// that they do not delay other changes. Of all mutations that a job of one task needs, only the
-// deletion of its chunk can be deferred.
+// that they do not delay other changes. If the first attempt of a job of one task is done and the
+// job is not cancelled, the deletion of its chunk is the only one of its mutations that can be deferred.
 func (b *batchBuilder) deleteChunks(job *Job) []int {
 	var deleted []int
 	limit := min(b.limits.Mutations, b.limits.SpareMutations)
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -12,8 +12,9 @@
 	"tulipshelf/internal/kvstore"
 )
 
-// Pause before each renewal and time-out of its request, as divisors of the lease's TTL. After a
-// renewal that times out, there is time for another one before the lease expires.
+// Pause before each renewal and timeout of its request, as divisors of the lease's TTL. If one
+// renewal is answered quickly and the next times out, a third is sent about 1/4 + 1/3 + 1/4 = 5/6 of
+// a TTL after the first, and so before the lease expires.
 const (
 	renewIntervalDivisor = 4
 	renewTimeoutDivisor  = 3
