--- a/internal/cancellation/replication.go
+++ b/internal/cancellation/replication.go
@@ -21,8 +21,8 @@
 	incarnationMargin = 2 * answerValidity
 )
 
-// Statement is what a controller says of its register in a heartbeat or in the answer to one.
-type Statement struct {
+// State is what a controller says of its register in a heartbeat or in the answer to one.
+type State struct {
 	Jobs           []string      // all that it holds, in no order
 	Sequence       uint64        // number of the job that it learned last; not sent to others
 	Memory         time.Duration // for which it has forgotten nothing too early
@@ -38,7 +38,7 @@
 }
 
 // State returns what to send to other controllers.
-func (r *Register) State() Statement {
+func (r *Register) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -47,7 +47,7 @@
 	for id := range r.jobs {
 		ids = append(ids, id)
 	}
-	return Statement{
+	return State{
 		Jobs:           ids,
 		Sequence:       r.lastSequence,
 		Memory:         now.Sub(r.memoryStart),
@@ -59,7 +59,7 @@
 // MergeAnswer merges the answer of another controller, theirs, to a request that was sent at
 // sent with the State of this register at the given sequence number. By answering, the other
 // controller says that it has merged that state.
-func (r *Register) MergeAnswer(node string, seq uint64, sent time.Time, theirs Statement) {
+func (r *Register) MergeAnswer(node string, seq uint64, sent time.Time, theirs State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -34,5 +34,5 @@
 // prefersOther reports whether another controller, which far more machines reach, had better be
 // elected.
 func (n *Node) prefersOther() bool {
-	return n.peers.MostRedirected(leader.RedirectedWithin) > leader.TransferFactor*max(n.redirectedCount(), 1)
+	return n.peers.MostRedirected(leader.RedirectionWindow) > leader.TransferMachineRatio*max(n.redirectedCount(), 1)
 }
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -56,12 +56,12 @@
 func (t *attemptTracker) stopAttempts(stopped *jobstore.Job, now time.Time) {
 	if !t.writer.busy {
 		for _, attempt := range t.jobs.store.WithdrawUnrecorded(stopped, now) {
-			t.machines.machine(attempt.Machine, now).Release(attempt)
+			t.machines.findOrAdd(attempt.Machine, now).Release(attempt)
 		}
 	}
 	var gone []*jobstore.Attempt
 	stopped.EachAttempt(func(attempt *jobstore.Attempt) {
-		machine := t.machines.machine(attempt.Machine, now)
+		machine := t.machines.findOrAdd(attempt.Machine, now)
 		assignment := machine.AssignmentOf(attempt)
 		switch {
 		case assignment == nil || !attempt.Recorded:
@@ -74,7 +74,7 @@
 		}
 	})
 	for _, attempt := range gone {
-		t.machines.machine(attempt.Machine, now).Release(attempt)
+		t.machines.findOrAdd(attempt.Machine, now).Release(attempt)
 		t.jobs.store.EndAttempt(attempt, false, now)
 	}
 }
@@ -105,7 +105,7 @@
 func (t *attemptTracker) checkpointGang(gang *jobstore.Job, now time.Time) {
 	reachable := true
 	gang.EachAttempt(func(attempt *jobstore.Attempt) {
-		machine := t.machines.machine(attempt.Machine, now)
+		machine := t.machines.findOrAdd(attempt.Machine, now)
 		reachable = reachable && machine.AssignmentOf(attempt) != nil && t.reachable(machine, now)
 	})
 	if !reachable || gang.DoneTasks() > 0 || !gang.GangComplete() {
@@ -113,7 +113,7 @@
 		return
 	}
 	gang.EachAttempt(func(attempt *jobstore.Attempt) {
-		machine := t.machines.machine(attempt.Machine, now)
+		machine := t.machines.findOrAdd(attempt.Machine, now)
 		machine.Stop(machine.AssignmentOf(attempt), gang.Spec.SaveS)
 	})
 }
@@ -229,7 +229,7 @@
 	t.trigger.request()
 	delete(t.jobs.states, j)
 	j.EachAttempt(func(attempt *jobstore.Attempt) {
-		t.machines.machine(attempt.Machine, time.Now()).Release(attempt)
+		t.machines.findOrAdd(attempt.Machine, time.Now()).Release(attempt)
 	})
 	t.writer.addGarbage(j.GarbageMutations(maxGarbageOfJob)...)
 }
@@ -241,7 +241,7 @@
 func (t *attemptTracker) renumberUnsent(now time.Time) {
 	t.jobs.store.RenumberUnrecorded(t.term.Number(), func(renumbered jobstore.Renumbered) {
 		attempt := renumbered.Attempt
-		t.machines.machine(attempt.Machine, now).Renumber(attempt, renumbered.PreviousNumber)
+		t.machines.findOrAdd(attempt.Machine, now).Renumber(attempt, renumbered.PreviousNumber)
 	})
 }
 
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -88,7 +88,7 @@
 	if h.machines.registry.Add(heartbeat.Machine, now) == nil {
 		return nil
 	}
-	machine := h.machines.machine(heartbeat.Machine, now)
+	machine := h.machines.findOrAdd(heartbeat.Machine, now)
 	machine.Type, machine.Zone = h.topology.resolve(heartbeat.Type, heartbeat.Zone)
 	previousVersion := machine.Version
 	wasSilent := !machine.Registered || now.Sub(machine.LastHeartbeat) >= h.Operator.UnhealthyAfter
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -112,12 +112,12 @@
 	return t.topology.teams[t.states[j].team].Opportunistic()
 }
 
-// wanted returns how many of a job's waiting tasks should start.
+// tasksToStart returns how many of a job's waiting tasks should start.
 //
 // It guards against jobs that fail on every machine: all of their tasks were tried again each
 // minute, with as many writes, machines were rented for them, and they counted in their team's
 // guarantee before jobs in order.
-func (t *jobTable) wanted(j *jobstore.Job) int {
+func (t *jobTable) tasksToStart(j *jobstore.Job) int {
 	startable := j.StartableTasks(t.Node.ValueBytes())
 	if t.states[j].isFailing() && !j.IsGang() {
 		return min(1, startable)
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -42,9 +42,9 @@
 		registry: agent.NewRegistry(), states: map[*agent.Machine]*machineState{}}
 }
 
-// machine returns the machine of that name, and makes it if it is new. For one that was returned
+// findOrAdd returns the machine of that name, and makes it if it is new. For one that was returned
 // to the cloud an empty machine stands, as it holds nothing.
-func (t *machineTable) machine(name string, now time.Time) *agent.Machine {
+func (t *machineTable) findOrAdd(name string, now time.Time) *agent.Machine {
 	machine := t.registry.Add(name, now)
 	if machine == nil {
 		return &agent.Machine{Name: name, Gone: true}
@@ -96,7 +96,7 @@
 		view.FetchesImage = view.FetchesImage || assignment.RunningSince.IsZero()
 	}
 	view.Free, view.Tasks, view.Load = state.free, state.tasks, state.loadIndex.Value()
-	view.Open = t.acceptsTasks(machine, now)
+	view.AcceptsTasks = t.acceptsTasks(machine, now)
 	return view, state.assignments
 }
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -102,7 +102,7 @@
 	now := time.Now()
 	l.jobs.store.Each(func(j *jobstore.Job) {
 		j.EachAttempt(func(attempt *jobstore.Attempt) {
-			l.machines.machine(attempt.Machine, now).Assign(attempt, now)
+			l.machines.findOrAdd(attempt.Machine, now).Assign(attempt, now)
 		})
 	})
 	l.jobs.store.FinishLoading()
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -91,7 +91,7 @@
 		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minPaidTime+s.Operator.IdleReturn)
 		candidates = append(candidates, machine)
 		snapshots = append(snapshots, autoscaler.Machine{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Free: snapshot.Free,
-			Usable: snapshot.Open || expected, Empty: s.isEmpty(machine), Idle: idle})
+			Usable: snapshot.AcceptsTasks || expected, Empty: s.isEmpty(machine), Idle: idle})
 	})
 	return candidates, snapshots
 }
@@ -180,7 +180,7 @@
 		if s.machines.registry.Add(name, now) == nil {
 			continue
 		}
-		machine := s.machines.machine(name, now)
+		machine := s.machines.findOrAdd(name, now)
 		// Until the list tells of it, it boots. Taken for one that should send heartbeats, it would
 		// keep a new leader from renting more until reconciliation has timed out.
 		machine.Listed, machine.Booting = true, !machine.Registered
@@ -212,7 +212,7 @@
 	if s.machines.registry.Add(entry.Name, created) == nil {
 		return
 	}
-	machine := s.machines.machine(entry.Name, now)
+	machine := s.machines.findOrAdd(entry.Name, now)
 	if !machine.Registered {
 		machine.Type, machine.Zone = s.topology.resolve(entry.Type, entry.Zone)
 		machine.Spot, machine.Addr = entry.Spot, entry.Addr
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -24,9 +24,9 @@
 		image := s.imageOf(waitingJob, images)
 		zones := s.tasksInZones(waitingJob)
 		view := placement.Job{
-			Team: state.team, Priority: s.priority(waitingJob), Arrival: waitingJob.Arrival, WorkPerWait: s.inverseResponseRatio(waitingJob, now),
-			BeyondGuarantee: beyond && !firstGangs[waitingJob], MayDisplace: s.mayDisplace(waitingJob, now) && !beyond,
-			Need: state.need, Waiting: s.jobs.wanted(waitingJob), Tasks: spec.Tasks, Gang: waitingJob.IsGang(),
+			Team: state.team, Priority: s.priority(waitingJob), Arrival: waitingJob.Arrival, InverseResponseRatio: s.inverseResponseRatio(waitingJob, now),
+			BeyondGuarantee: beyond && !firstGangs[waitingJob], MayPreemptOpportunistic: s.mayPreemptOpportunistic(waitingJob, now) && !beyond,
+			Need: state.need, Waiting: s.jobs.tasksToStart(waitingJob), Tasks: spec.Tasks, Gang: waitingJob.IsGang(),
 			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			Avoid: s.machinesToAvoid(state), Urgent: spec.Shape != job.Array, Overdue: s.overdue(waitingJob, now),
 			Image: image.byMachine, FetchTooSlow: image.fetchTooSlow, TasksInZone: zones.tasks,
@@ -112,10 +112,10 @@
 	return now.Sub(j.SubmittedAt) > limit && j.LiveTasks() == 0 && j.DoneTasks() == 0
 }
 
-// mayDisplace reports whether a job of a team with a guarantee has waited for so long that work of
+// mayPreemptOpportunistic reports whether a job of a team with a guarantee has waited for so long that work of
 // teams without one is to be stopped for it: half of the time in which work within a guarantee
 // should start. Until then short tasks of theirs end by themselves.
-func (s *scheduler) mayDisplace(j *jobstore.Job, now time.Time) bool {
+func (s *scheduler) mayPreemptOpportunistic(j *jobstore.Job, now time.Time) bool {
 	patience := s.Operator.UnhealthyAfter
 	for i := range s.Settings.Objectives {
 		if objective := &s.Settings.Objectives[i]; objective.Kind == config.KindGuarantee {
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -68,7 +68,7 @@
 			break
 		}
 		taskCPUs := sizingCPUs(s.jobs.states[array].need)
-		tasks := min(s.jobs.wanted(array), int(math.Ceil(missing.needed/taskCPUs)))
+		tasks := min(s.jobs.tasksToStart(array), int(math.Ceil(missing.needed/taskCPUs)))
 		added := float64(list.add(array, tasks)) * taskCPUs
 		missing.needed -= added
 		missing.usual -= added
@@ -142,7 +142,7 @@
 	case j.IsGang() && fitting(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
 		// A part of it is of no use.
 	default:
-		d.add(j, d.jobs.wanted(j))
+		d.add(j, d.jobs.tasksToStart(j))
 	}
 }
 
@@ -194,7 +194,7 @@
 		state := s.jobs.states[array]
 		taskCPUs := sizingCPUs(state.need)
 		liveCPUs := float64(array.LiveTasks()) * taskCPUs
-		waitingCPUs := float64(s.jobs.wanted(array)) * taskCPUs
+		waitingCPUs := float64(s.jobs.tasksToStart(array)) * taskCPUs
 		run := s.forecast.runSeconds(array.Spec) + s.topology.fetchSeconds(array.Spec.ImageGB)
 		work := autoscaler.ArrayWork{DueSeconds: s.dueIn(array, now).Seconds(), RunSeconds: run, CPUSeconds: run * (waitingCPUs + liveCPUs/2)}
 		if array.Spec.CPUs > 0 {
--- a/internal/leader/transfer.go
+++ b/internal/leader/transfer.go
@@ -19,11 +19,11 @@
 	wantedSince time.Time // since when the machines go elsewhere; zero: they do not
 }
 
-// TransferFactor is how many times as many machines must reach another controller before it had
-// better lead, and RedirectedWithin how recently it must have said so. A candidate goes by the same.
+// TransferMachineRatio is how many times as many machines must reach another controller before it had
+// better lead, and RedirectionWindow how recently it must have said so. A candidate goes by the same.
 const (
-	TransferFactor   = 2
-	RedirectedWithin = 3 * time.Second
+	TransferMachineRatio = 2
+	RedirectionWindow    = 3 * time.Second
 )
 
 const (
@@ -65,7 +65,7 @@
 }
 
 func (t *leadershipTransfer) measureReach(now time.Time) reach {
-	r := reach{elsewhere: t.Node.RedirectedElsewhere(RedirectedWithin)}
+	r := reach{elsewhere: t.Node.RedirectedElsewhere(RedirectionWindow)}
 	t.registry.Each(func(machine *agent.Machine) {
 		if !machine.Registered {
 			return
@@ -82,7 +82,7 @@
 
 // favoursOther reports whether another controller had better lead than one that has led for so long.
 func (r reach) favoursOther(led time.Duration) bool {
-	if r.elsewhere <= TransferFactor*max(r.heard, 1) {
+	if r.elsewhere <= TransferMachineRatio*max(r.heard, 1) {
 		return false
 	}
 	return r.answered >= r.elsewhere || led >= keepWithoutAnswers
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -101,7 +101,7 @@
 		if attempt.Job.Cancelled {
 			continue // it was never sent, and stopAttempts takes it back
 		}
-		l.machines.machine(attempt.Machine, now).MarkUrgent()
+		l.machines.findOrAdd(attempt.Machine, now).MarkUrgent()
 	}
 	for _, j := range ended {
 		l.attempts.jobEnded(j)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -90,8 +90,8 @@
 }
 
 // cancellationStatement returns what a heartbeat says of its sender's register of cancelled jobs.
-func cancellationStatement(heartbeat *Heartbeat) cancellation.Statement {
-	return cancellation.Statement{
+func cancellationStatement(heartbeat *Heartbeat) cancellation.State {
+	return cancellation.State{
 		Jobs:           heartbeat.Cancelled,
 		Memory:         time.Duration(heartbeat.MemoryMs) * time.Millisecond,
 		Staleness:      time.Duration(heartbeat.KnownMs) * time.Millisecond,
--- a/internal/placement/equivalence.go
+++ b/internal/placement/equivalence.go
@@ -23,8 +23,8 @@
 // gangPreemptionClass is what decides for how many tasks of a gang preemption makes room in one zone.
 type gangPreemptionClass struct {
 	gangClass
-	priority    int
-	mayDisplace bool
+	priority                int
+	mayPreemptOpportunistic bool
 }
 
 // equivalenceClass returns the class of the job's tasks; ok is false where its other tasks or its failures
--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -19,7 +19,7 @@
 // feasible reports whether a task of the job may be placed on a machine now.
 func (p *pass) feasible(job *Job, machineIndex int, filter machineFilter) bool {
 	machine := &p.machines[machineIndex]
-	return machine.Open &&
+	return machine.AcceptsTasks &&
 		!job.avoids(machineIndex) &&
 		machine.Free.Fits(job.Need) &&
 		job.Allows(machine) &&
--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -45,7 +45,7 @@
 // mayHoldLater reports whether a machine is feasible for a gang's tasks once it has room for them.
 func (p *pass) mayHoldLater(gang *Job, machineIndex, zone int) bool {
 	machine := &p.machines[machineIndex]
-	return machine.Open &&
+	return machine.AcceptsTasks &&
 		gang.Allows(machine) &&
 		!gang.avoids(machineIndex) &&
 		p.passesFilter(gang, machineIndex, machineFilter{zone: zone})
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -99,7 +99,7 @@
 // limit has to have room for all of them. What is free counts as room that costs nothing.
 func (p *pass) tryPreemptForGang(gang *Job, zone int) gangTrial {
 	class, hasClass := gang.gangClass(zone)
-	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayDisplace}
+	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayPreemptOpportunistic}
 	if least, known := p.gangNoPreemption[preemptionClass]; hasClass && known && gang.Waiting >= least {
 		return gangTrial{}
 	}
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -5,11 +5,11 @@
 // Job is a job with waiting tasks in the snapshot of a pass. Its position in the list is its name.
 type Job struct {
 	// Order.
-	Priority        int     // the higher, the sooner
-	BeyondGuarantee bool    // its team has more unfinished work than it is guaranteed
-	WorkPerWait     float64 // work left over time waited; the less, the sooner
-	Arrival         uint64  // the less, the sooner
-	Overdue         bool    // has waited too long with none of its tasks begun
+	Priority             int     // the higher, the sooner
+	BeyondGuarantee      bool    // its team has more unfinished work than it is guaranteed
+	InverseResponseRatio float64 // work left over time waited; the less, the sooner
+	Arrival              uint64  // the less, the sooner
+	Overdue              bool    // has waited too long with none of its tasks begun
 
 	// What its tasks need, and how many there are.
 	Team    int     // position in the list of teams
@@ -27,10 +27,10 @@
 	TasksInZone     []int  // of its tasks not done or now on machines, by zone
 
 	// Image and preemption.
-	Image        []ImageState // what machines have of its image, by position, where that comes before the load index; nil: it does not
-	FetchTooSlow bool         // to fetch its image takes up the time in which it should start
-	Urgent       bool         // may preempt tasks of lower priority
-	MayDisplace  bool         // within its team's guarantee, for which work of opportunistic teams may be stopped
+	Image                   []ImageState // what machines have of its image, by position, where that comes before the load index; nil: it does not
+	FetchTooSlow            bool         // to fetch its image takes up the time in which it should start
+	Urgent                  bool         // may preempt tasks of lower priority
+	MayPreemptOpportunistic bool         // within its team's guarantee, for which work of opportunistic teams may be stopped
 
 	// Gangs.
 	Gang        bool // placed whole or not at all
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -6,7 +6,7 @@
 
 // Machine is a machine in the snapshot of a pass. Its position in the list is its name.
 type Machine struct {
-	Open         bool    // takes new tasks
+	AcceptsTasks bool    // takes new tasks
 	Type         int     // dense index of the machine type; negative: unknown, takes no tasks
 	Zone         int     // dense index; negative: unknown, takes no tasks
 	Spot         bool    // may be taken back by the cloud at any time
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -24,10 +24,10 @@
 		// Exception 3, guarantee before arrival: without it, work within its team's guarantee waits for
 		// other teams' work beyond theirs, which DEPLOY-tulipshelf.md ("guaranteed") rules out.
 		return b.BeyondGuarantee
-	case a.WorkPerWait != b.WorkPerWait:
+	case a.InverseResponseRatio != b.InverseResponseRatio:
 		// Exception 4, response ratio before arrival: by arrival, one large array makes all behind it
 		// late; by the work left alone, a large array might never have its turn.
-		return a.WorkPerWait < b.WorkPerWait
+		return a.InverseResponseRatio < b.InverseResponseRatio
 	}
 	return a.Arrival < b.Arrival
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -38,7 +38,7 @@
 func (p *pass) preemptionCandidates(job *Job, filter machineFilter) []int {
 	var candidates []int
 	for machineIndex := range p.machines {
-		if !p.machines[machineIndex].Open || job.avoids(machineIndex) || !p.passesFilter(job, machineIndex, filter) {
+		if !p.machines[machineIndex].AcceptsTasks || job.avoids(machineIndex) || !p.passesFilter(job, machineIndex, filter) {
 			continue
 		}
 		if job.Urgent && p.contested(machineIndex) {
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, machineIndex := range best.machines {
-		p.machines[machineIndex].Open = false
+		p.machines[machineIndex].AcceptsTasks = false
 	}
 }
 
@@ -71,7 +71,7 @@
 		if enough || slot.wait > maxWait {
 			break
 		}
-		if p.machines[slot.machine].Open {
+		if p.machines[slot.machine].AcceptsTasks {
 			slotsOn[slot.machine]++
 			slots++
 			wait = slot.wait
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -25,7 +25,7 @@
 			p.starvedJobs = append(p.starvedJobs, job)
 		}
 	}
-	if job.Urgent || job.MayDisplace {
+	if job.Urgent || job.MayPreemptOpportunistic {
 		p.preempt(job, remaining, anyMachine)
 	}
 }
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -7,10 +7,10 @@
 // preemptionClaim is what decides which tasks give way on a machine, as long as the team's limit plays no
 // part. Tasks with the same claim share their preemption options.
 type preemptionClaim struct {
-	need        Amounts
-	priority    int
-	urgent      bool
-	mayDisplace bool
+	need                    Amounts
+	priority                int
+	urgent                  bool
+	mayPreemptOpportunistic bool
 }
 
 // preemptionOption is what making room for one task on one machine takes.
@@ -35,7 +35,7 @@
 	if !excess.isZero() {
 		return make([]preemptionOption, len(p.machines)) // they depend on the team and what it uses now
 	}
-	claim := preemptionClaim{need: job.Need, priority: job.Priority, urgent: job.Urgent, mayDisplace: job.MayDisplace}
+	claim := preemptionClaim{need: job.Need, priority: job.Priority, urgent: job.Urgent, mayPreemptOpportunistic: job.MayPreemptOpportunistic}
 	if p.preemptionOptions[claim] == nil {
 		p.preemptionOptions[claim] = make([]preemptionOption, len(p.machines))
 	}
@@ -98,7 +98,7 @@
 	if job.Urgent && task.Priority < job.Priority {
 		return true
 	}
-	return job.MayDisplace && p.teams[task.Team].Opportunistic
+	return job.MayPreemptOpportunistic && p.teams[task.Team].Opportunistic
 }
 
 // compareVictims compares two tasks, the one that is stopped first before the other: those that stop
