--- a/internal/placement/equivalence.go
+++ b/internal/placement/equivalence.go
@@ -1,34 +1,35 @@
 package placement
 
-// Equivalence classes: what tasks have in common for which the same machines are feasible. What the pass
-// finds out for one task of a class holds for all, which keeps it fast when thousands of tasks wait.
+// Equivalence classes of tasks for which the same machines are feasible. A result for one task of a
+// class holds for all, which keeps the pass fast when thousands of tasks wait.
 
 import "slices"
 
-// equivalenceClass is what decides which machines are feasible for a task, as long as the job's other
-// tasks and failures play no part.
+// equivalenceClass holds the properties that determine the feasible machines for a task, provided that
+// these do not depend on the job's other tasks and failures.
 type equivalenceClass struct {
 	need  Amounts
-	types string // the allowed machine types, see typesKey
+	types string // allowed machine types, as returned by typesKey
 	zone  int
 	spot  bool
 }
 
-// gangClass is the equivalenceClass of a gang's tasks that are tried in one zone.
+// gangClass is the equivalenceClass of a gang's tasks when they are tried in one zone.
 type gangClass struct {
 	equivalenceClass
-	triedZone int
+	triedZone int // AnyZone: not restricted to one zone
 }
 
-// gangPreemptionClass is what decides for how many tasks of a gang preemption makes room in one zone.
+// gangPreemptionClass holds the properties that determine the number of tasks of a gang that preemption
+// makes room for in one zone.
 type gangPreemptionClass struct {
 	gangClass
 	priority                int
 	mayPreemptOpportunistic bool
 }
 
-// equivalenceClass returns the class of the job's tasks; ok is false where its other tasks or its failures
-// play a part.
+// equivalenceClass returns the class of the job's tasks. ok is false if feasible machines also depend on
+// the job's other tasks or failures, and for gangs.
 func (j *Job) equivalenceClass() (class equivalenceClass, ok bool) {
 	if j.OneZone || j.SpreadOverZones || j.Gang || j.Avoid != nil {
 		return equivalenceClass{}, false
@@ -36,8 +37,8 @@
 	return j.classOfTasks(), true
 }
 
-// gangClass returns the class of a gang's tasks that are tried in a zone; ok is false where tasks that the
-// gang already has or its failures play a part.
+// gangClass returns the class of a gang's tasks when they are tried in a zone. ok is false if feasible
+// machines also depend on the gang's failures or on tasks that it already has on machines.
 func (j *Job) gangClass(zone int) (class gangClass, ok bool) {
 	hasTasks := slices.ContainsFunc(j.TasksInZone, func(tasks int) bool { return tasks > 0 })
 	if j.Avoid != nil || hasTasks {
@@ -50,7 +51,7 @@
 	return equivalenceClass{need: j.Need, types: j.typesKey(), zone: j.Zone, spot: j.Spot}
 }
 
-// typesKey returns the allowed machine types in a form that can be a map's key.
+// typesKey returns the allowed machine types as a string, which can be part of a map key.
 func (j *Job) typesKey() string {
 	key := make([]byte, len(j.Types))
 	for machineType, allowed := range j.Types {
--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -1,14 +1,14 @@
 package placement
 
-// Feasibility: which machines may take a task at all.
+// Feasibility: the machines on which a task may be placed.
 
-// AnyZone stands for a zone where none is asked for.
+// AnyZone stands in place of the index of a zone where all zones are allowed.
 const AnyZone = -1
 
-// machineFilter limits the machines that are considered for a job beyond what the job itself asks for.
+// machineFilter restricts the machines that are considered for a job beyond the job's own constraints.
 type machineFilter struct {
-	zone       int  // AnyZone: all
-	imageReady bool // only machines that have the job's image
+	zone       int  // dense index; AnyZone: all
+	imageReady bool // only machines with the rank imageOnMachine
 }
 
 var (
@@ -33,11 +33,12 @@
 	return !filter.imageReady || p.imageRankOn(job, machineIndex) == imageOnMachine
 }
 
-// avoids reports whether the job has failed on a machine and is kept off it.
+// avoids reports whether the job must not be placed on a machine because it has failed there.
 func (j *Job) avoids(machineIndex int) bool { return j.Avoid != nil && j.Avoid[machineIndex] }
 
-// Allows reports whether a task of j may start on the machine by its type, its zone and its price, given
-// where j's other tasks are. Room on the machine, and whether it is open, are left out.
+// Allows reports whether the job's constraints on machine types, zones and spot instances allow another
+// task on the machine, given the zones of the job's other tasks. It does not check the machine's free
+// resources, AcceptsTasks, and failures of the job.
 func (j *Job) Allows(machine *Machine) bool {
 	if machine.Type < 0 || machine.Zone < 0 || machine.Zone >= len(j.TasksInZone) {
 		return false
@@ -57,8 +58,8 @@
 	return !j.OneZone || !j.hasTasksOutside(machine.Zone)
 }
 
-// maxTasksPerZone returns how many tasks of a job that is to be spread over zones may be in one: half of
-// them, rounded up.
+// maxTasksPerZone returns the maximum number of tasks in one zone, for a job that is spread over zones:
+// half of its tasks, rounded up.
 func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
 
 func (j *Job) hasTasksOutside(zone int) bool {
--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -1,6 +1,6 @@
 package placement
 
-// Future slots: when machines will have room for a gang's tasks, as the tasks on them end.
+// Future slots: the times at which machines will have room for a gang's tasks, as the tasks on them end.
 
 import (
 	"cmp"
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// futureSlot is room for one task on a machine.
+// futureSlot is room for one task on a machine, now or when other tasks have ended.
 type futureSlot struct {
-	wait    time.Duration // until the room is there
-	machine int           // position
+	wait    time.Duration // time until the room is free; 0: free now
+	machine int           // position in the list of machines
 }
 
-// futureSlotList is the slots for tasks of one class, the soonest first, also on machines that have been
-// closed since.
+// futureSlotList holds the slots for tasks of one class, the soonest first. Some may be on machines that
+// have been reserved since.
 type futureSlotList struct {
 	slots          []futureSlot
-	machineChanges int // the pass's count when they were worked out
+	machineChanges int // value of pass.machineChanges when the slots were computed
 }
 
-// futureSlotsFor returns the slots for a gang's tasks in a zone, or in any, the soonest first. Gangs of the
-// same class share the list as long as no machine changes, as each gang that waits looks for room in each
-// pass.
+// futureSlotsFor returns the slots for a gang's tasks in a zone, or in all zones for AnyZone, the
+// soonest first. Slots are computed for each waiting gang in each pass. To save time, gangs of the same
+// class share the list as long as no machine changes.
 func (p *pass) futureSlotsFor(gang *Job, zone int) []futureSlot {
 	class, hasClass := gang.gangClass(zone)
 	if list, known := p.futureSlots[class]; hasClass && known && list.machineChanges == p.machineChanges {
@@ -42,7 +42,8 @@
 	return slots
 }
 
-// feasibleOnceFree reports whether a machine is feasible for a gang's tasks once it has room for them.
+// feasibleOnceFree reports whether a machine will be feasible for a gang's tasks once it has room for
+// them.
 func (p *pass) feasibleOnceFree(gang *Job, machineIndex, zone int) bool {
 	machine := &p.machines[machineIndex]
 	return machine.AcceptsTasks &&
@@ -51,7 +52,7 @@
 		p.passesFilter(gang, machineIndex, machineFilter{zone: zone})
 }
 
-// appendFutureSlots appends the slots for tasks of one size on a machine, the soonest first.
+// appendFutureSlots appends the slots on a machine for tasks with the given need, the soonest first.
 func (p *pass) appendFutureSlots(slots []futureSlot, need Amounts, machineIndex int) []futureSlot {
 	free := p.machines[machineIndex].Free
 	counted := free.FittingCount(need)
@@ -75,13 +76,13 @@
 	return slots
 }
 
-// taskEnd is the end of a task on a machine.
+// taskEnd is the expected end of a task on a machine.
 type taskEnd struct {
-	wait time.Duration // until then; neverEnds: it does not end
-	need Amounts       // becomes free
+	wait time.Duration // time until the end; neverEnds: does not end by itself
+	need Amounts       // resources that become free
 }
 
-// taskEndsOn returns when the tasks on a machine end, in that order.
+// taskEndsOn returns the expected ends of the tasks on a machine, the soonest first.
 func (p *pass) taskEndsOn(machineIndex int) []taskEnd {
 	if p.taskEnds[machineIndex] == nil {
 		tasks := p.machines[machineIndex].Tasks
@@ -96,11 +97,13 @@
 	return p.taskEnds[machineIndex]
 }
 
-// overrunDivisor gives how long a task is expected to run on once it has overrun: a quarter of its run time
-// so far. Expecting it to end at once would reserve machines that do not become free.
+// overrunDivisor divides the run time of a task so far to give the least time left that is expected of
+// it: a quarter of its run time. Guards against reservations of machines that do not become free:
+// without it, a task that has overrun its expected end would be expected to end at once.
 const overrunDivisor = 4
 
-// timeLeft returns for how long a task is expected to stay.
+// timeLeft returns the time for which a task is expected to stay on its machine: 0 if it was told to
+// stop, and neverEnds if it does not end by itself.
 func (t *Task) timeLeft(now time.Time) time.Duration {
 	if t.Stopping {
 		return 0
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -1,11 +1,12 @@
 package placement
 
-// Gangs: jobs of which all tasks start together or none does.
+// Gangs: jobs whose waiting tasks are placed together or not at all.
 
 import "cmp"
 
-// placeGang places all waiting tasks of a gang in this pass or none. A gang that finds no room makes some
-// if it may preempt, and otherwise has machines reserved.
+// placeGang places all waiting tasks of a gang in this pass, or none. If they do not fit, an urgent gang
+// preempts other tasks. If it is not urgent, or preemption does not free enough, machines are reserved
+// for it. For an anticipated gang machines are only reserved.
 func (p *pass) placeGang(gang *Job) {
 	zones := gang.zonesToTry()
 	if gang.Anticipated {
@@ -19,15 +20,17 @@
 	if !p.teamOf(gang).limitAllows(gang.Need, gang.Waiting) {
 		return
 	}
-	// Preemption is outside the design, as it is for services: without it a gang of high priority waits
-	// behind arrays of lower priority until enough machines have room at once, which thin spread makes late.
+	// Preemption is outside the design, as it is for services. Guards against late gangs of high
+	// priority: they wait behind arrays of lower priority until enough machines have room at the same
+	// time, which takes long because tasks are spread thinly over the machines.
 	if gang.Urgent && p.inBestZone(gang, zones, p.tryPreemptForGang) {
 		return
 	}
 	p.reserveMachines(gang, zones)
 }
 
-// zonesToTry returns the zones in which the job is tried one after the other.
+// zonesToTry returns the zones in which a gang is tried one after the other; AnyZone alone if its tasks
+// may be in different zones.
 func (j *Job) zonesToTry() []int {
 	if !j.OneZone {
 		return []int{AnyZone}
@@ -39,20 +42,21 @@
 	return zones
 }
 
-// zoneOutcome is what trying a gang in one zone comes to.
+// zoneOutcome is the outcome of placing a gang in one zone, or of preempting for it there.
 type zoneOutcome struct {
-	complete  bool      // there is room for all tasks
-	slowest   imageRank // of the machine that would have the image last: the tasks begin when the last one can
-	totalCost float64   // of equal ranks the lower is better: load indices, or run time lost
+	complete  bool      // there is room for all waiting tasks
+	slowest   imageRank // worst rank of the machines: a gang starts when its last task can
+	totalCost float64   // sum of load indices, or run time lost in seconds; compared at equal ranks
 }
 
+// compare returns a negative number if the outcome is better than the other.
 func (o zoneOutcome) compare(other zoneOutcome) int {
 	return cmp.Or(cmp.Compare(o.slowest, other.slowest), cmp.Compare(o.totalCost, other.totalCost))
 }
 
-// inBestZone tries a gang in each zone and then places it, or makes room for it, in the zone where that is
-// best, the first of equals. It reports whether there is a zone that takes all of it; if not, the pass is
-// as it was.
+// inBestZone calls try for a gang in each zone and rolls the changes back. It then calls try again in
+// the zone with the best complete outcome, the first of equals, and keeps the changes. It returns false,
+// with the plan and the snapshot unchanged, if no zone has room for the whole gang.
 func (p *pass) inBestZone(gang *Job, zones []int, try func(gang *Job, zone int) zoneOutcome) bool {
 	bestZone, best := AnyZone, zoneOutcome{}
 	for _, zone := range zones {
@@ -69,7 +73,7 @@
 	return best.complete
 }
 
-// tryPlaceGang places as many of a gang's tasks as fit in a zone, or in any.
+// tryPlaceGang places as many of a gang's tasks as fit in a zone, or in all zones for AnyZone.
 func (p *pass) tryPlaceGang(gang *Job, zone int) zoneOutcome {
 	class, hasClass := gang.gangClass(zone)
 	if minSize, known := p.unplaceableGangSize[class]; hasClass && known && gang.Waiting >= minSize {
@@ -90,13 +94,13 @@
 	}
 	outcome.complete = placed == gang.Waiting
 	if hasClass && !outcome.complete && team.limitAllows(gang.Need, 1) {
-		p.unplaceableGangSize[class] = gang.Waiting // room only shrinks within a pass
+		p.unplaceableGangSize[class] = gang.Waiting // free resources only decrease within a pass
 	}
 	return outcome
 }
 
-// tryPreemptForGang makes room for as many of a gang's tasks as it can in a zone, or in any. The team's
-// limit has to have room for all of them. What is free counts as room that costs nothing.
+// tryPreemptForGang preempts for as many of a gang's tasks as possible in a zone, or in all zones for
+// AnyZone. The team's limit has to allow all of them. Free resources are used as well, at no cost.
 func (p *pass) tryPreemptForGang(gang *Job, zone int) zoneOutcome {
 	class, hasClass := gang.gangClass(zone)
 	preemptionClass := gangPreemptionClass{class, gang.Priority, gang.MayPreemptOpportunistic}
@@ -106,7 +110,7 @@
 	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
 	complete := result.tasks == gang.Waiting
 	if hasClass && !complete {
-		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // what may be stopped only shrinks within a pass
+		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // preemptible resources only decrease within a pass
 	}
 	return zoneOutcome{complete: complete, totalCost: result.lostSeconds}
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -1,50 +1,51 @@
 package placement
 
-// Jobs, as a pass sees them.
+// Jobs in the snapshot of a pass.
 
-// Job is a job with waiting tasks in the snapshot of a pass. Its position in the list is its name.
+// Job is a job with waiting tasks in the snapshot of a pass. It is identified by its position in the list
+// of jobs.
 type Job struct {
-	// Order.
-	Priority             int     // the higher, the sooner
-	BeyondGuarantee      bool    // its team has more unfinished work than it is guaranteed
-	InverseResponseRatio float64 // work left over time waited; the less, the sooner
-	Arrival              uint64  // the less, the sooner
-	Overdue              bool    // has waited too long with none of its tasks begun
-
-	// What its tasks need, and how many there are.
+	// Order of placement.
+	Priority             int     // higher values are placed first
+	BeyondGuarantee      bool    // not covered by the team's guarantee, which earlier jobs use up
+	InverseResponseRatio float64 // remaining work over waiting time; lower values are placed first
+	Arrival              uint64  // lower values are placed first
+	Overdue              bool    // waiting time is over the limit and no task has started
+
+	// Resources and numbers of tasks.
 	Team    int     // position in the list of teams
-	Need    Amounts // of one task
-	Waiting int     // tasks that wait for a machine
-	Tasks   int     // of the job in all, running and done ones included
+	Need    Amounts // resources of one task
+	Waiting int     // number of tasks that wait for a machine
+	Tasks   int     // number of all tasks, running and finished ones included
 
-	// Feasible machines.
+	// Constraints on machines.
 	Types           []bool // allowed machine types, by dense index; nil: any
-	Zone            int    // dense index; AnyZone: any
-	Spot            bool   // may run on spot machines
-	OneZone         bool   // all of its tasks in one zone, whichever
-	SpreadOverZones bool   // no more than half of its tasks in one zone
+	Zone            int    // dense index of the required zone; AnyZone: any
+	Spot            bool   // may run on spot instances
+	OneZone         bool   // all of its tasks in the same zone, whichever
+	SpreadOverZones bool   // at most half of its tasks, rounded up, in one zone
 	Avoid           []bool // machines on which it has failed, by position; nil: none
-	TasksInZone     []int  // of its tasks not done or now on machines, by zone
+	TasksInZone     []int  // number of live tasks by zone; the pass adds those that it places or preempts for
 
 	// Image and preemption.
-	Image                   []ImageState // what machines have of its image, by position, where that comes before the load index; nil: it does not
-	FetchTooSlow            bool         // to fetch its image takes up the time in which it should start
+	Image                   []ImageState // by machine position, compared before the load index; nil: not compared
+	FetchTooSlow            bool         // a fetch of its image takes up the time in which it should start
 	Urgent                  bool         // may preempt tasks of lower priority
-	MayPreemptOpportunistic bool         // within its team's guarantee, for which work of opportunistic teams may be stopped
+	MayPreemptOpportunistic bool         // within its team's guarantee; may preempt tasks of opportunistic teams
 
 	// Gangs.
-	Gang        bool // placed whole or not at all
-	Anticipated bool // a gang that is still to come, for which room is kept free
+	Gang        bool // all of its waiting tasks are placed in one pass, or none
+	Anticipated bool // expected gang that is not submitted yet; machines are reserved for it, nothing is placed
 
-	position int // in the list of jobs; set by the pass
+	position int // position in the list of jobs; set by newPass
 }
 
-// ImageState is what a machine has of a job's image.
+// ImageState is the state of a job's image on a machine.
 type ImageState uint8
 
-// The machine would have to fetch the image, fetches it, or has it.
+// The states of an image on a machine.
 const (
-	ImageMissing ImageState = iota
-	ImageFetching
-	ImageReady
+	ImageMissing  ImageState = iota // would have to be fetched
+	ImageFetching                   // is being fetched
+	ImageReady                      // is on the machine
 )
--- a/internal/placement/load_index.go
+++ b/internal/placement/load_index.go
@@ -1,28 +1,29 @@
 package placement
 
-// The load index, which the design places tasks by.
+// The load index, by which the design ranks machines.
 
 import (
 	"math"
 	"time"
 )
 
-// LoadIndex is the load index of Ferrari and Zhou for one machine: for each resource the exponentially smoothed
-// number of tasks that book it, summed with unit weights. The zero value is that of a machine that has had
-// no tasks. The caller guards it.
+// LoadIndex is the load index of Ferrari and Zhou for one machine: the exponentially smoothed number of
+// tasks that book a resource, summed over all resources with unit weights. The zero value is the index
+// of a machine that has had no tasks. A LoadIndex is not safe for concurrent use.
 type LoadIndex struct {
 	smoothedCounts Amounts
-	updatedAt      time.Time // a whole number of intervals after the first update
+	updatedAt      time.Time // a whole number of intervals after the first update; zero: never updated
 }
 
-// Value returns the index.
+// Value returns the current value of the index.
 func (x *LoadIndex) Value() float64 {
 	return x.smoothedCounts[CPU] + x.smoothedCounts[Memory] + x.smoothedCounts[GPU]
 }
 
-// Update takes the numbers of tasks that book each resource now. With each update interval the old value
-// keeps the weight e^(-interval/smoothing). Intervals that were missed are made up for, so that the index
-// does not depend on how often the caller updates it.
+// Update smooths the index towards counts, the current numbers of tasks that book each resource. For
+// each complete interval since the last update the old value keeps the weight e^(-interval/smoothing).
+// All intervals without an update are applied at once, so that the index does not depend on how often
+// Update is called. Update does nothing if no interval is complete.
 func (x *LoadIndex) Update(counts Amounts, now time.Time, interval, smoothing time.Duration) {
 	if x.updatedAt.IsZero() {
 		x.updatedAt = now.Add(-interval)
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -1,29 +1,30 @@
 package placement
 
-// Machines and their tasks, as a pass sees them.
+// Machines in the snapshot of a pass, and the tasks on them.
 
 import "time"
 
-// Machine is a machine in the snapshot of a pass. Its position in the list is its name.
+// Machine is a machine in the snapshot of a pass. It is identified by its position in the list of
+// machines.
 type Machine struct {
-	AcceptsTasks bool    // takes new tasks
-	Type         int     // dense index of the machine type; negative: unknown, takes no tasks
-	Zone         int     // dense index; negative: unknown, takes no tasks
-	Spot         bool    // may be taken back by the cloud at any time
-	Free         Amounts // not booked
-	Load         float64 // value of its load Index
-	FetchesImage bool    // fetches an image
-	Tasks        []Task  // booked tasks, which preemption and reservations look at
+	AcceptsTasks bool    // new tasks may be placed on it; cleared when it is reserved for a gang
+	Type         int     // dense index of the machine type; negative: unknown, nothing is placed on it
+	Zone         int     // dense index of the zone; negative: unknown, nothing is placed on it
+	Spot         bool    // spot instance, which the cloud may reclaim at any time
+	Free         Amounts // resources that no task has booked
+	Load         float64 // value of its LoadIndex
+	FetchesImage bool    // an image is being fetched to it
+	Tasks        []Task  // booked tasks, which preemption and reservations read
 }
 
-// Task is a task that is booked on a machine.
+// Task is a task booked on a machine.
 type Task struct {
-	ID               int // the caller's name for it; of equal victims the lowest is stopped first
+	ID               int // identifier set by the caller; of equal victims the lowest ID is stopped first
 	Need             Amounts
 	Priority         int
-	Team             int // position in the list of teams; negative: unknown, never preempted
+	Team             int // position in the list of teams; negative: unknown, and the task is never preempted
 	StartedAt        time.Time
-	MembersElsewhere int       // members of its gang on other machines, which lose as much when it is stopped
-	EndsAt           time.Time // when it is expected to end by itself; zero: it does not
-	Stopping         bool      // has been told to stop and may still run
+	MembersElsewhere int       // number of gang members on other machines, which stop with it and lose as much
+	EndsAt           time.Time // expected end; zero: does not end by itself
+	Stopping         bool      // was told to stop and may still run
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -1,6 +1,6 @@
 package placement
 
-// Order: in which order waiting jobs have their turn.
+// Order in which waiting jobs are placed.
 
 import "sort"
 
@@ -14,30 +14,31 @@
 	return sequence
 }
 
-// placedBefore reports whether a has its turn before b: by the design the job of higher priority, and of
-// equals the one that arrived first. Two exceptions to the design (docs/placement.md) come in between.
+// placedBefore reports whether job a is placed before job b. By the design, the job of higher priority
+// is placed first, and of equal priority the one that arrived first. Two exceptions to the design
+// (docs/placement.md) are compared after the priority and before the arrival.
 func placedBefore(a, b *Job) bool {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority > b.Priority
 	case a.BeyondGuarantee != b.BeyondGuarantee:
-		// Exception 3, guarantee before arrival: without it, work within its team's guarantee waits for
-		// other teams' work beyond theirs, which DEPLOY-tulipshelf.md ("guaranteed") rules out.
+		// Exception 3, guarantee before arrival. Guards against a breach of DEPLOY-tulipshelf.md
+		// ("guaranteed"): work within its team's guarantee waits for other teams' work beyond theirs.
 		return b.BeyondGuarantee
 	case a.InverseResponseRatio != b.InverseResponseRatio:
-		// Exception 4, response ratio before arrival: by arrival, one large array makes all behind it
-		// late; by the work left alone, a large array might never have its turn.
+		// Exception 4, response ratio before arrival. In order of arrival, one large array delays all
+		// jobs behind it. In order of remaining work alone, a large array might never be placed.
 		return a.InverseResponseRatio < b.InverseResponseRatio
 	}
 	return a.Arrival < b.Arrival
 }
 
-// startOverdueJobs lets each job that has waited too long with none of its tasks begun begin with one,
-// before all others and in order of arrival.
+// startOverdueJobs places one task of each overdue job before all other jobs, in order of arrival.
+// Overdue gangs are left out.
 //
-// Exception 5 to the design (docs/placement.md): by priority and response ratio alone, a class of low
-// priority or the largest arrays may never have their turn while bursts of others go on, and users count
-// a job that does not begin as failed.
+// Exception 5 to the design (docs/placement.md). Guards against jobs that never start: in order of
+// priority and response ratio alone, a class of low priority or the largest arrays may not be placed
+// while bursts of other jobs go on. Users count a job that does not start as failed.
 func (p *pass) startOverdueJobs(sequence []*Job) {
 	var overdue []*Job
 	for _, job := range sequence {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -1,30 +1,33 @@
 package placement
 
-// The state of a pass: its snapshot, the plan so far, and what the phases remember from job to job.
+// The state of a pass: its snapshot, the plan so far, and results that are cached from job to job.
 
 import "time"
 
-// pass is the state of one pass. Machines and jobs are named by their positions in the caller's lists.
+// pass is the state of one pass. Machines and jobs are identified by their positions in the caller's
+// lists.
 type pass struct {
 	now      time.Time
 	machines []Machine
 	teams    []Team
 	plan     Plan
 
-	// Copy on write, and the rollback of trials (rollback.go).
-	ownsTasks      []bool     // machines whose Tasks are this pass's own copy; others are copied before the first write
-	machineChanges int        // number of changes of machines so far; a rollback takes its changes back
-	savepoint      *savepoint // of the trial under way; nil outside a trial
-
-	// What one task or gang found out and others in this pass need not look for again.
-	infeasibleClasses     map[equivalenceClass]bool              // no machine has room for a task of this class
-	unplaceableGangSize   map[gangClass]int                      // least size of a gang for which there is no room
-	unpreemptableGangSize map[gangPreemptionClass]int            // least size of a gang for which preemption makes no room
-	preemptionOptions     map[preemptionClaim][]preemptionOption // by machine
-	taskEnds              [][]taskEnd                            // by machine; nil: not yet worked out
-	futureSlots           map[gangClass]futureSlotList           // for reservations
-
-	starvedJobs []*Job // those that found no machine, preempt nothing, and come before the jobs that follow
+	// Copy-on-write of tasks, and rollback (rollback.go).
+	ownsTasks      []bool     // machines whose Tasks are a copy of this pass; others are copied before a write
+	machineChanges int        // number of changes of machines so far, without those rolled back
+	savepoint      *savepoint // state that rollBack restores; nil: none
+
+	// Results for one task or gang that are reused for later ones in this pass. The two gang sizes are
+	// the smallest numbers of waiting tasks for which there was no room, and for which preemption could
+	// not make room.
+	infeasibleClasses     map[equivalenceClass]bool // true: no machine has room for a task of the class
+	unplaceableGangSize   map[gangClass]int
+	unpreemptableGangSize map[gangPreemptionClass]int
+	preemptionOptions     map[preemptionClaim][]preemptionOption // by position of the machine
+	taskEnds              [][]taskEnd                            // by position of the machine; nil: not computed
+	futureSlots           map[gangClass]futureSlotList           // slots for reservations
+
+	starvedJobs []*Job // jobs so far that are not urgent and have tasks without a feasible machine
 }
 
 func newPass(now time.Time, machines []Machine, jobs []Job, teams []Team) *pass {
@@ -49,7 +52,8 @@
 // teamOf returns the team of a job.
 func (p *pass) teamOf(job *Job) *Team { return &p.teams[job.Team] }
 
-// invalidateTasksOn drops what was remembered of the tasks on a machine. It is called whenever they change.
+// invalidateTasksOn drops the cached results that depend on the tasks on a machine. It has to be called
+// after each change of these tasks.
 func (p *pass) invalidateTasksOn(machineIndex int) {
 	p.taskEnds[machineIndex] = nil
 	for _, options := range p.preemptionOptions {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,23 +1,23 @@
-// Package placement decides which machine each waiting task goes to. It is pure and deterministic: it is
-// given a snapshot of machines, jobs and teams and the time, and returns a plan, which the controller
-// applies. docs/placement.md states the design, the numbered exceptions to it, and their figures.
+// Package placement decides on which machines waiting tasks run. It is deterministic and does no I/O:
+// from a snapshot of machines, jobs and teams and the current time it computes a plan, which the
+// controller applies. docs/placement.md states the design, the numbered exceptions to it, and their
+// figures.
 package placement
 
 import "time"
 
-// Place makes one scheduling pass over all waiting jobs. Its phases, each in a file of its own:
+// Place makes one scheduling pass over all waiting jobs. Its parts, each in a file of its own:
 //
-//	order.go         in which order jobs have their turn; overdue jobs begin first
-//	feasibility.go   which machines may take a task at all
-//	ranking.go       which of those is best: where the image is, then the lowest load index
-//	tasks.go         jobs whose tasks start one by one
-//	gang.go          gangs, which start whole or not at all
-//	preemption.go    which tasks are stopped to make room
-//	reservation.go   which machines are kept free for a gang that has to wait
+//	order.go         order in which jobs are placed; overdue jobs start one task first
+//	feasibility.go   machines on which a task may be placed
+//	ranking.go       order of the feasible machines: by image state, then by load index
+//	tasks.go         jobs whose tasks start independently
+//	gang.go          gangs, whose tasks are placed together or not at all
+//	preemption.go    tasks that are stopped for other jobs
+//	reservation.go   machines that are kept free for gangs that have to wait
 //
-// It writes to what it is given as it goes: to the machines, though not to the Tasks that they refer to,
-// to the jobs, their TasksInZone and Image included, and to the teams. The caller hands over a
-// snapshot that nobody else uses meanwhile.
+// Place modifies its arguments: the machines, but not the elements of their Tasks; the jobs, including the
+// elements of their TasksInZone and Image; and the teams. Nothing else may use the snapshot during the call.
 func Place(now time.Time, machines []Machine, jobs []Job, teams []Team) Plan {
 	p := newPass(now, machines, jobs, teams)
 	sequence := placementOrder(jobs)
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,22 +2,26 @@
 
 // The outcome of a pass.
 
-// Plan is the outcome of one pass. The order of its lists is the order of the decisions.
+// Plan is the outcome of one pass. Assignments and preemptions are in the order in which they were
+// decided.
 type Plan struct {
 	Assignments []Assignment
 	Preemptions []Preemption
-	Unplaced    []int // by position of the job: tasks that found no machine though the team had room
+
+	// Unplaced is the number of tasks that found no machine, by position of the job. It is 0 for
+	// independent tasks of a team at its limit and for anticipated gangs.
+	Unplaced []int
 }
 
-// Assignment sends one task of a job to a machine.
+// Assignment places one task of a job on a machine.
 type Assignment struct {
 	Job     int // position in the list of jobs
 	Machine int // position in the list of machines
 }
 
-// Preemption asks for a task to be stopped to make room for a job.
+// Preemption is a request to stop a task so that a task of a job fits on its machine.
 type Preemption struct {
 	Machine int // position in the list of machines
-	TaskID  int // ID
+	TaskID  int // Task.ID
 	Job     int // position in the list of jobs
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -1,22 +1,22 @@
 package placement
 
-// Preemption: making room for a job by stopping tasks that have to give way to it. It is outside the
-// design (docs/placement.md, "Preemption").
+// Preemption: stopping tasks so that a task of another job fits. It is outside the design
+// (docs/placement.md, "Preemption").
 
 import (
 	"cmp"
 	"slices"
 )
 
-// preemptionResult is what preempting for a job came to.
+// preemptionResult is the result of preempting for a job.
 type preemptionResult struct {
-	tasks       int     // tasks of the job for which room is made
-	lostSeconds float64 // run time that the victims lose
+	tasks       int     // number of tasks of the job that will fit
+	lostSeconds float64 // run time lost by the victims, in seconds
 }
 
-// preempt makes room for up to limit tasks of a job, each on the one machine where that is best. Where the
-// team is at its limit the victims are its own tasks. What is freed is there only once the victims have
-// stopped, so the job's tasks are placed in a later pass.
+// preempt stops victims for up to limit tasks of a job, for each task on the machine that is best for
+// it. If the team is at its limit, the victims are its own tasks. Resources become free only once the
+// victims have stopped, so the job's tasks are placed in a later pass.
 func (p *pass) preempt(job *Job, limit int, filter machineFilter) preemptionResult {
 	var result preemptionResult
 	candidates := p.preemptionCandidates(job, filter)
@@ -34,7 +34,7 @@
 	return result
 }
 
-// preemptionCandidates returns the machines on which tasks may be stopped for the job.
+// preemptionCandidates returns the machines on which tasks may be preempted for the job.
 func (p *pass) preemptionCandidates(job *Job, filter machineFilter) []int {
 	var candidates []int
 	for machineIndex := range p.machines {
@@ -49,10 +49,11 @@
 	return candidates
 }
 
-// contested reports whether jobs that come before would take what becomes free on a machine.
+// contested reports whether jobs that come earlier in the order of placement would take the resources
+// that become free on a machine.
 //
-// It guards against tasks that are stopped in vain, again and again: a gang stopped tasks, and arrays of
-// its priority that came before it took the room before the last of them was gone
+// Guards against repeated preemption without effect: tasks were stopped for a gang, and arrays of its
+// priority that preceded it took the resources before the last victim was gone
 // (docs/incidents/inc-f015.md).
 func (p *pass) contested(machineIndex int) bool {
 	for _, job := range p.starvedJobs {
@@ -63,8 +64,8 @@
 	return false
 }
 
-// bestPreemption returns the candidate where making room for a task is best, or noMachine. What it works
-// out on the way is kept in options.
+// bestPreemption returns the candidate on which preemption for a task is best; noMachine if it is not
+// possible on any. It stores the options that it computes in options.
 func (p *pass) bestPreemption(job *Job, excess Amounts, candidates []int, options []preemptionOption) int {
 	best := noMachine
 	for _, machineIndex := range candidates {
@@ -86,21 +87,24 @@
 	return best
 }
 
-// comparePreemptions compares two machines on which room can be made, the better one first: where the image
-// is or will be soonest (exception 2 in docs/placement.md: the fetch would cost a service the time in which
-// it should start, and more than the victims lose), and then where the least run time is lost.
+// comparePreemptions compares two machines on which preemption is possible and returns a negative number
+// if a is better: if it has the image sooner and then, of equals, if less run time is lost.
+//
+// The image comes first by exception 2 in docs/placement.md: a fetch would cost a service the time in
+// which it should start, and more than the victims lose.
 func (p *pass) comparePreemptions(job *Job, options []preemptionOption, a, b int) int {
 	byImage := cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b))
 	byLoss := cmp.Compare(options[a].lostSeconds, options[b].lostSeconds)
 	if job.Gang && !job.FetchTooSlow {
-		// A gang begins when its last task can, and finds part of its room free, whatever is fetched there.
+		// A gang starts when its last task can. Part of its tasks use resources that are free already,
+		// on machines that may have to fetch the image.
 		return cmp.Or(byLoss, byImage)
 	}
 	return cmp.Or(byImage, byLoss)
 }
 
-// stopVictims stops victims on a machine, given by their positions among its tasks, and books what they
-// free for one task of the job.
+// stopVictims stops victims on a machine, given by their positions among its tasks, and books the
+// resources that become free for one task of the job.
 func (p *pass) stopVictims(job *Job, machineIndex int, victims []int) {
 	p.beforeChange(job, machineIndex)
 	machine := &p.machines[machineIndex]
@@ -119,11 +123,11 @@
 		freed = freed.Add(victim.Need, 1)
 		victimTeam := &p.teams[victim.Team]
 		victimTeam.stopping = victimTeam.stopping.Add(victim.Need, 1)
-		victim.Need = Amounts{} // spoken for: no other job of this pass counts on it
+		victim.Need = Amounts{} // already booked: not available to other jobs in this pass
 	}
 	p.invalidateTasksOn(machineIndex)
-	// A victim still runs and counts until it is gone: nobody gets any of what it holds in this pass, not
-	// even what is more than the job needs.
+	// A victim holds its resources and counts as usage of its team until it is gone. None of its
+	// resources are given to other jobs in this pass, not even those that the job does not need.
 	for resource := range machine.Free {
 		machine.Free[resource] = min(machine.Free[resource], machine.Free[resource]+freed[resource]-job.Need[resource])
 	}
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -1,23 +1,23 @@
 package placement
 
-// Ranking: which of the feasible machines is best for a task.
+// Ranking of the feasible machines for a task.
 
 import "cmp"
 
-// noMachine is returned in place of a machine's position where there is none.
+// noMachine is returned in place of a machine's position if there is no such machine.
 const noMachine = -1
 
-// imageRank orders machines by how soon they would have a job's image, the soonest first.
+// imageRank ranks machines by the time until they have a job's image, the shortest first.
 type imageRank int
 
 const (
-	imageOnMachine      imageRank = iota // it has the image, or the image does not matter for the job
-	imageBeingFetched                    // it fetches the image now
-	imageToFetch                         // it would fetch the image at once
-	imageToFetchDelayed                  // it would fetch the image beside another, which takes longer
+	imageOnMachine      imageRank = iota // has the image, or images are not compared for the job
+	imageBeingFetched                    // is fetching the image
+	imageToFetch                         // would fetch the image and is fetching no other
+	imageToFetchDelayed                  // would fetch the image in parallel with another, which takes longer
 )
 
-// bestMachine returns the feasible machine that comes first, or noMachine.
+// bestMachine returns the feasible machine that ranks first; noMachine if none is feasible.
 func (p *pass) bestMachine(job *Job, filter machineFilter) int {
 	best := noMachine
 	for machineIndex := range p.machines {
@@ -31,12 +31,14 @@
 	return best
 }
 
-// compareMachines compares two machines for a task, the better one first: by the design the one with the
-// lowest load index, and of equals the first in the list.
+// compareMachines compares two machines for a task and returns a negative number if a is better. By the
+// design, the machine with the lower load index is better, and of equals the one that comes first in the
+// list.
 //
-// Exception 2 to the design (docs/placement.md): where the job's Image is given, the image comes before the
-// index. The caller gives it for images that take longer to fetch than the index remembers: without the
-// exception machines are paid for while they fetch, and services miss the time in which they should start.
+// Exception 2 to the design (docs/placement.md): if the job's Image is set, the image is compared before
+// the index. The caller sets Image for images that take longer to fetch than the smoothing time of the
+// index, or a large part of the time in which the job should start. Without the exception, machines are
+// paid for while they fetch images, and services miss the time in which they should start.
 func (p *pass) compareMachines(job *Job, a, b int) int {
 	return cmp.Or(
 		cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b)),
@@ -44,7 +46,7 @@
 		a-b)
 }
 
-// imageRankOn returns how soon a machine would have the job's image.
+// imageRankOn returns a machine's rank by the time until it has the job's image.
 func (p *pass) imageRankOn(job *Job, machineIndex int) imageRank {
 	switch {
 	case job.Image == nil || job.Image[machineIndex] == ImageReady:
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -1,6 +1,6 @@
 package placement
 
-// Reservations: machines that are kept free for a gang that has to wait.
+// Reservations: machines that are kept free for gangs that have to wait.
 
 import (
 	"cmp"
@@ -11,35 +11,37 @@
 )
 
 const (
-	// neverEnds is how long a task stays that does not end by itself.
+	// neverEnds is the time left of a task that does not end by itself.
 	neverEnds time.Duration = math.MaxInt64
 
-	// maxReservationWait is for how long tasks on a machine may still run if it is to be reserved: longer
-	// waits keep room idle that others could use meanwhile.
+	// maxReservationWait is the maximum time until a reserved machine has room for the gang. Longer
+	// waits would keep resources idle that other jobs could use meanwhile.
 	maxReservationWait = 2 * time.Minute
 
-	// maxOverdueReservationWait replaces it for gangs that are overdue, which might never begin otherwise:
-	// any task that ends at all is waited for.
+	// maxOverdueReservationWait replaces maxReservationWait for overdue gangs, which might never start
+	// otherwise. It includes all tasks that end by themselves.
 	maxOverdueReservationWait = neverEnds - 1
 )
 
-// reservation is a set of machines that will hold a whole gang.
+// reservation is a set of machines that will have room for a whole gang.
 type reservation struct {
-	machines []int         // positions
-	wait     time.Duration // until all of them have room
+	machines []int         // positions in the list of machines
+	wait     time.Duration // time until all of them have room
 }
 
-// compare compares two reservations, the better one first: the sooner, then the smaller.
+// compare returns a negative number if the reservation is better than the other: if its wait is shorter
+// or, with equal waits, if it has fewer machines.
 func (r reservation) compare(other reservation) int {
 	return cmp.Or(cmp.Compare(r.wait, other.wait), len(r.machines)-len(other.machines))
 }
 
-// reserveMachines closes machines to all that comes behind a gang in this pass: those that have room for it
-// soonest, as tasks end, in the zone that has room for all of it first, and of these as few as hold it.
+// reserveMachines keeps machines free for a gang: nothing more is placed on them in this pass. It
+// chooses the zone that has room for the whole gang first as tasks end, there the machines that have
+// room soonest, and of these as few as hold the gang.
 //
-// Exception 8 to the design (docs/placement.md): small tasks take all room as soon as it is there, and a
-// gang needs all of its room at once, which the design names as its weak spot. Without reservations a gang
-// waits behind arrays for as long as those come (trace gang-held).
+// Exception 8 to the design (docs/placement.md). Guards against gangs that wait behind arrays for as
+// long as arrays arrive: small tasks take free resources at once, and a gang needs all of its resources
+// at the same time, which the design names as its weak spot (trace gang-held).
 func (p *pass) reserveMachines(gang *Job, zones []int) {
 	var best reservation
 	for _, zone := range zones {
@@ -56,14 +58,14 @@
 	}
 }
 
-// earliestReservation returns the machines of a zone, or of any, that will have room for a whole gang
-// first; no machines if they will not in time.
+// earliestReservation returns the reservation for a gang with the shortest wait in a zone, or in all
+// zones for AnyZone. It has no machines if the gang would have to wait longer than the maximum.
 func (p *pass) earliestReservation(gang *Job, zone int) reservation {
 	maxWait := maxReservationWait
 	if gang.Overdue {
 		maxWait = maxOverdueReservationWait
 	}
-	slotsOn := map[int]int{} // number of slots in time, by machine
+	slotsOn := map[int]int{} // number of slots within the wait, by position of the machine
 	slots := 0
 	var wait time.Duration
 	for _, slot := range p.futureSlotsFor(gang, zone) {
@@ -83,8 +85,8 @@
 	return reservation{machines: fewestMachines(slotsOn, gang.Waiting), wait: wait}
 }
 
-// fewestMachines returns as few machines as have the slots for a number of tasks, those with most slots
-// first and of equals the first in the list. There have to be enough slots.
+// fewestMachines returns the smallest set of machines with slots for a number of tasks: those with most
+// slots and, of equals, those that come first in the list. There have to be enough slots.
 func fewestMachines(slotsOn map[int]int, tasks int) []int {
 	byMostSlots := func(a, b int) int { return cmp.Or(slotsOn[b]-slotsOn[a], a-b) }
 	machines := slices.SortedFunc(maps.Keys(slotsOn), byMostSlots)
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -1,6 +1,6 @@
 package placement
 
-// Resources: amounts of what tasks need and machines have.
+// Resources that tasks need and machines have.
 
 import "math"
 
@@ -18,10 +18,11 @@
 // Amounts holds one amount for each Resource.
 type Amounts [NumResources]float64
 
-// tolerance absorbs the rounding of sums of decimal amounts: without it a machine is one task short of full.
+// tolerance absorbs rounding errors in sums of decimal amounts. Without it, a machine is filled to one
+// task short of its capacity.
 const tolerance = 1e-6
 
-// Fits reports whether need fits into a.
+// Fits reports whether the amounts cover a need, up to the rounding tolerance.
 func (a Amounts) Fits(need Amounts) bool {
 	for resource := range a {
 		if need[resource] > a[resource]+tolerance {
@@ -31,7 +32,7 @@
 	return true
 }
 
-// Add returns a + factor*b.
+// Add returns the amounts plus factor times b.
 func (a Amounts) Add(b Amounts, factor float64) Amounts {
 	for resource := range a {
 		a[resource] += factor * b[resource]
@@ -39,7 +40,8 @@
 	return a
 }
 
-// FittingCount returns how many times need fits into a; math.MaxInt32 if nothing is needed.
+// FittingCount returns how many tasks with the given need the amounts cover; math.MaxInt32 if the need
+// is zero.
 func (a Amounts) FittingCount(need Amounts) int {
 	times := math.MaxInt32
 	for resource := range a {
--- a/internal/placement/rollback.go
+++ b/internal/placement/rollback.go
@@ -1,28 +1,30 @@
 package placement
 
-// Rollback: a gang is tried in one zone after the other, and each trial is undone before the next.
+// Rollback: a gang is tried in one zone after the other, and the changes in each are undone before the
+// next.
 
 import "slices"
 
-// savepoint is what a pass was like when a trial began: all that trials change, and of the machines those
-// that this one has changed.
+// savepoint is the state that rollBack restores: all that trying a gang may change. Of the machines it
+// holds those that have been changed since the savepoint was set.
 type savepoint struct {
-	machines       map[int]savedMachine // by position
+	machines       map[int]savedMachine // state before the first change, by position
 	teams          []Team
 	tasksInZone    []int
 	assignments    int // number of them in the plan
 	preemptions    int // number of them in the plan
-	machineChanges int
+	machineChanges int // value of pass.machineChanges
 }
 
-// savedMachine is a machine before a trial changed it.
+// savedMachine is the state of a machine when the savepoint was set.
 type savedMachine struct {
 	machine   Machine
 	ownsTasks bool
-	image     ImageState // of the gang that is tried
+	image     ImageState // state of the image of the gang that is tried
 }
 
-// setSavepoint begins a trial of a gang; rollBack ends it. Trials do not nest.
+// setSavepoint saves the state of the pass and of a gang until rollBack restores it. There is one
+// savepoint at a time.
 func (p *pass) setSavepoint(gang *Job) {
 	p.savepoint = &savepoint{
 		machines:       map[int]savedMachine{},
@@ -34,7 +36,8 @@
 	}
 }
 
-// beforeChange has to be called before a machine is changed for a job, within a trial or not.
+// beforeChange has to be called before a machine is changed for a job. It counts the change and, if a
+// savepoint is set, saves the machine. The job then has to be the gang of the savepoint.
 func (p *pass) beforeChange(job *Job, machineIndex int) {
 	p.machineChanges++
 	if p.savepoint == nil {
@@ -48,14 +51,14 @@
 		before.image = job.Image[machineIndex]
 	}
 	p.savepoint.machines[machineIndex] = before
-	p.ownsTasks[machineIndex] = false // the savepoint refers to the tasks: they are copied before the next write
+	p.ownsTasks[machineIndex] = false // the savepoint refers to the tasks: copied before a write
 }
 
-// rollBack brings the pass and the gang back to where the trial began, and ends it.
+// rollBack restores the pass and the gang to the savepoint and clears it.
 func (p *pass) rollBack(gang *Job) {
 	for machineIndex, before := range p.savepoint.machines {
 		if p.ownsTasks[machineIndex] {
-			p.invalidateTasksOn(machineIndex) // the trial has changed them
+			p.invalidateTasksOn(machineIndex) // they have changed since the savepoint was set
 		}
 		p.machines[machineIndex] = before.machine
 		p.ownsTasks[machineIndex] = before.ownsTasks
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -1,17 +1,17 @@
 package placement
 
-// Jobs whose tasks start one by one: services and arrays.
+// Jobs whose tasks start independently of each other: services and arrays.
 
 import "slices"
 
-// placeIndependentTasks places as many of a job's waiting tasks as it can, and makes room for the rest
-// where the job may preempt.
+// placeIndependentTasks places as many of a job's waiting tasks as possible. For the rest it preempts
+// other tasks if the job may preempt.
 func (p *pass) placeIndependentTasks(job *Job) {
 	remaining := job.Waiting
 	if job.Urgent && job.FetchTooSlow {
-		// Exception 2 to the design (docs/placement.md): to fetch the image would take up all of the time
-		// in which the service should start, so room is made where the image is before free room
-		// elsewhere is taken.
+		// Exception 2 to the design (docs/placement.md). Guards against services that start late: a
+		// fetch of the image would take up all of the time in which the service should start. Tasks on
+		// machines that have the image are preempted before free machines without it are used.
 		remaining -= p.placeTasks(job, remaining, machinesWithImage)
 		remaining -= p.preempt(job, remaining, machinesWithImage).tasks
 	}
@@ -30,9 +30,9 @@
 	}
 }
 
-// placeTasks places up to limit tasks of a job, as far as the team and the machines have room, and returns
-// how many. The load index does not change within a pass, so the machine that is best for one task is best
-// for the next until it is full: the machines are looked through once for a job, not once for a task.
+// placeTasks places up to limit tasks of a job, within the team's limit and on feasible machines, and
+// returns their number. Machines are ranked once per job rather than once per task: load indices do not
+// change within a pass, so the best machine for one task is the best for the next until it is full.
 func (p *pass) placeTasks(job *Job, limit int, filter machineFilter) int {
 	class, hasClass := job.equivalenceClass()
 	if hasClass && p.infeasibleClasses[class] || !p.teamOf(job).limitAllows(job.Need, 1) {
@@ -40,8 +40,8 @@
 	}
 	placed := 0
 	for _, machineIndex := range p.rankedMachines(job, filter) {
-		// Each task is checked: of a job that is spread over zones or kept in one, a task that was just
-		// placed may rule out the next.
+		// Feasibility is checked for each task: if the job is spread over zones or restricted to one,
+		// the task placed last may make the machine infeasible for the next.
 		for p.feasible(job, machineIndex, filter) {
 			if placed == limit || !p.teamOf(job).limitAllows(job.Need, 1) {
 				return placed
@@ -51,7 +51,7 @@
 		}
 	}
 	if hasClass && filter == anyMachine {
-		p.infeasibleClasses[class] = placed < limit // room only shrinks within a pass
+		p.infeasibleClasses[class] = placed < limit // free resources only decrease within a pass
 	}
 	return placed
 }
--- a/internal/placement/team.go
+++ b/internal/placement/team.go
@@ -1,25 +1,26 @@
 package placement
 
-// Teams and their limits.
+// Teams, their limits and their usage.
 
-// Team is a team's limit and what its tasks use, in CPUs and GPUs. Memory has no limit.
+// Team is the limit and the usage of a team, in CPUs and GPUs. Memory is not limited.
 type Team struct {
 	CPUsMax, GPUsMax float64
 	CPUsUsed         float64
 	GPUsUsed         float64
-	Opportunistic    bool    // has no guarantee: its tasks run on what others leave
-	stopping         Amounts // of its tasks that stop for others and count as used until they are gone
+	Opportunistic    bool    // without a guarantee: its tasks use what other teams leave
+	stopping         Amounts // resources of its victims in this pass, counted as used until they are gone
 }
 
-// limitAllows reports whether so many more tasks are within the team's limit.
+// limitAllows reports whether a number of further tasks, each with the given need, is within the team's
+// limit.
 func (t *Team) limitAllows(need Amounts, tasks int) bool {
 	factor := float64(tasks)
 	return t.CPUsUsed+factor*need[CPU] <= t.CPUsMax+tolerance &&
 		t.GPUsUsed+factor*need[GPU] <= t.GPUsMax+tolerance
 }
 
-// excess returns by how much one more task would take the team over its limit, once those of its tasks
-// that stop are gone.
+// excess returns the amounts by which one more task would exceed the team's limit once the team's
+// victims in this pass are gone; zero: the task is within the limit.
 func (t *Team) excess(need Amounts) Amounts {
 	var excess Amounts
 	if cpus := t.CPUsUsed - t.stopping[CPU] + need[CPU] - t.CPUsMax; cpus > tolerance {
@@ -31,7 +32,7 @@
 	return excess
 }
 
-// book counts one more task as used.
+// book adds one task to the team's usage.
 func (t *Team) book(need Amounts) {
 	t.CPUsUsed += need[CPU]
 	t.GPUsUsed += need[GPU]
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -1,11 +1,11 @@
 package placement
 
-// Victims: which tasks on one machine are stopped for a job, and what that costs.
+// Victims: the tasks on one machine that are stopped for a job, and the run time that they lose.
 
 import "slices"
 
-// preemptionClaim is what decides which tasks give way on a machine, as long as the team's limit plays no
-// part. Tasks with the same claim share their preemption options.
+// preemptionClaim holds the properties that determine the preemptible tasks on a machine, provided that
+// these do not depend on the team's limit. Tasks with the same claim share their preemption options.
 type preemptionClaim struct {
 	need                    Amounts
 	priority                int
@@ -13,27 +13,28 @@
 	mayPreemptOpportunistic bool
 }
 
-// preemptionOption is what making room for one task on one machine takes.
+// preemptionOption is the choice of victims for one task on one machine.
 type preemptionOption struct {
 	state       optionState
 	victims     []int   // positions among the machine's tasks
-	lostSeconds float64 // run time that the victims lose, that of their gangs' other members included
+	lostSeconds float64 // run time lost by the victims and by the other members of their gangs
 }
 
-// optionState is how much is known of a preemption option.
+// optionState tells whether a preemption option was computed and whether it is possible.
 type optionState uint8
 
 const (
-	optionUnknown    optionState = iota // not worked out, or the machine's tasks have changed since
-	optionImpossible                    // no tasks that give way free enough
+	optionUnknown    optionState = iota // not computed since the machine's tasks last changed
+	optionImpossible                    // all preemptible tasks together free too little
 	optionPossible
 )
 
-// preemptionOptionsFor returns the options for a task of the job by machine, as far as they are known from
-// tasks with the same claim earlier in this pass.
+// preemptionOptionsFor returns the options for a task of the job, by position of the machine. Those that
+// were computed earlier in this pass for the same claim are reused; the others have the state
+// optionUnknown.
 func (p *pass) preemptionOptionsFor(job *Job, excess Amounts) []preemptionOption {
 	if !excess.isZero() {
-		return make([]preemptionOption, len(p.machines)) // they depend on the team and what it uses now
+		return make([]preemptionOption, len(p.machines)) // not shared: they depend on the team and its usage
 	}
 	claim := preemptionClaim{need: job.Need, priority: job.Priority, urgent: job.Urgent, mayPreemptOpportunistic: job.MayPreemptOpportunistic}
 	if p.preemptionOptions[claim] == nil {
@@ -42,8 +43,8 @@
 	return p.preemptionOptions[claim]
 }
 
-// chooseVictims picks tasks on a machine that give way to the job, in the order of compareVictims, until a
-// task of the job fits and its team is no longer over its limit.
+// chooseVictims chooses preemptible tasks on a machine, in the order of compareVictims, until a task of
+// the job fits and its team is within its limit.
 func (p *pass) chooseVictims(machine *Machine, job *Job, excess Amounts) preemptionOption {
 	option := preemptionOption{state: optionImpossible}
 	free := machine.Free
@@ -65,14 +66,16 @@
 	return option
 }
 
-// enoughFreed reports whether a task fits into what is free and its team is within its limit.
+// enoughFreed reports whether free resources cover the need of a task and its team does not exceed its
+// limit.
 func enoughFreed(free, need, excess Amounts) bool {
 	withinLimit := Amounts{}.Fits(excess)
 	return withinLimit && free.Fits(need)
 }
 
-// preemptibleTasks returns the positions of a machine's tasks that give way to the job, the first to be
-// stopped first: of all teams, or of the job's own where its limit is what stands in the way.
+// preemptibleTasks returns the positions of the tasks on a machine that the job may preempt, in the
+// order in which they are stopped. If the team would exceed its limit, these are only the team's own
+// tasks.
 func (p *pass) preemptibleTasks(machine *Machine, job *Job, excess Amounts) []int {
 	var preemptible []int
 	ownOnly := !excess.isZero()
@@ -89,11 +92,12 @@
 	return preemptible
 }
 
-// isPreemptible reports whether a task has to give way to the job: to an urgent job a task of lower priority,
-// and to work within its team's guarantee that may displace others, the tasks of opportunistic teams.
+// isPreemptible reports whether the job may preempt a task. Urgent jobs may preempt tasks of lower
+// priority. Jobs with MayPreemptOpportunistic may preempt tasks of opportunistic teams.
 //
-// Exception 6 to the design (docs/placement.md): without displacement, long tasks of teams without a
-// guarantee keep what others were promised (docs/incidents/inc-bc39.md).
+// Exception 6 to the design (docs/placement.md), preemption of opportunistic teams. Guards against
+// breaches of guarantees: long tasks of teams without a guarantee keep resources that are guaranteed to
+// other teams (docs/incidents/inc-bc39.md).
 func (p *pass) isPreemptible(task *Task, job *Job) bool {
 	if job.Urgent && task.Priority < job.Priority {
 		return true
@@ -101,8 +105,9 @@
 	return job.MayPreemptOpportunistic && p.teams[task.Team].Opportunistic
 }
 
-// compareVictims compares two tasks, the one that is stopped first before the other: those that stop
-// already, as they lose no more, then the lowest priority, then the youngest, which loses least.
+// compareVictims compares two tasks and returns a negative number if a is stopped before b. Tasks that
+// were told to stop come first, as they lose nothing more; then the lowest priority; then the youngest,
+// which lose least; then the lowest ID.
 func compareVictims(a, b *Task) int {
 	switch {
 	case a.Stopping != b.Stopping && a.Stopping:
