--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -103,8 +103,8 @@
 	estimatesInterval = 10 * time.Second
 
 	// maxFailingJobs are kept with the estimates, as far as their names take half of a value.
-	maxFailingJobs  = 200
-	failingJobBytes = 16
+	maxFailingJobs    = 200
+	failingJobIDBytes = 16
 )
 
 // storedEstimates is the value under estimatesKey. It names the jobs that fail on every machine,
@@ -141,7 +141,7 @@
 		Estimates: autoscaler.NewEstimates(&f.arrays, &f.runtimes),
 		Gangs:     autoscaler.NewEstimates(&f.gangs, &autoscaler.RuntimeEstimator{}),
 	}
-	limit := min(maxFailingJobs, f.Settings.Store.ValueBytes/2/failingJobBytes)
+	limit := min(maxFailingJobs, f.Settings.Store.ValueBytes/2/failingJobIDBytes)
 	for j, state := range f.jobs.states {
 		if state.isFailing() && len(stored.Failing) < limit {
 			stored.Failing = append(stored.Failing, j.Spec.ID)
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -33,11 +33,11 @@
 	if spareCPUs < 1 {
 		return nil
 	}
-	spareCPUs -= r.cpusOfGangs()
-	classes := r.urgentClasses()
-	for more := len(classes) > 0; more; more = spareCPUs > 0 {
-		for _, gang := range classes {
-			if spareCPUs <= 0 && len(reserved) >= len(classes) {
+	spareCPUs -= r.gangCPUs()
+	urgent := r.urgentGangs()
+	for more := len(urgent) > 0; more; more = spareCPUs > 0 {
+		for _, gang := range urgent {
+			if spareCPUs <= 0 && len(reserved) >= len(urgent) {
 				break
 			}
 			reserved = append(reserved, gang)
@@ -47,8 +47,8 @@
 	return reserved
 }
 
-// cpusOfGangs returns what the unfinished gangs use or wait for.
-func (r *reservations) cpusOfGangs() float64 {
+// gangCPUs returns what the unfinished gangs use or wait for.
+func (r *reservations) gangCPUs() float64 {
 	cpus := 0.0
 	r.jobs.store.Each(func(j *jobstore.Job) {
 		if j.IsGang() && r.jobs.hasTeam(j) && !j.Cancelled {
@@ -58,9 +58,9 @@
 	return cpus
 }
 
-// urgentClasses returns the largest gang of each class that should start sooner than a machine
+// urgentGangs returns the largest gang of each class that should start sooner than a machine
 // boots, by the name of the class.
-func (r *reservations) urgentClasses() (gangs []gangTemplate) {
+func (r *reservations) urgentGangs() (gangs []gangTemplate) {
 	for _, class := range slices.Sorted(maps.Keys(r.forecast.largestGangs)) {
 		if r.startsBeforeBoot(class) {
 			gangs = append(gangs, r.forecast.largestGangs[class])
@@ -99,12 +99,12 @@
 // and each time the machines were kept for others before all of it was free
 // (docs/incidents/inc-f015.md).
 func (r *reservations) asJobs(now time.Time, waiting []placement.Job) (reserved []placement.Job) {
-	behindGuarantees := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
+	anyBeyondGuarantee := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
 	for _, gang := range r.gangs(now) {
 		spec, state := gang.spec, gang.state
 		reserved = append(reserved, placement.Job{
 			Anticipated: true, Gang: true, Team: state.team,
-			Priority: min(spec.Rank(), job.RankStandard), Arrival: math.MaxUint64, BeyondGuarantee: behindGuarantees,
+			Priority: min(spec.Rank(), job.RankStandard), Arrival: math.MaxUint64, BeyondGuarantee: anyBeyondGuarantee,
 			Need: state.need, Waiting: spec.Tasks, Tasks: spec.Tasks,
 			Types: state.types, Zone: state.zone, Spot: spec.Spot, OneZone: spec.OneZone, SpreadOverZones: spec.Apart,
 			TasksInZone: make([]int, len(r.topology.zones)),
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -24,9 +24,9 @@
 	sizer    *sizer
 	health   *machineHealth
 
-	refusedUntil map[pool]time.Time // pools that had no capacity lately
-	requested    map[string]string  // why machines were asked for, by rental not yet answered
-	sequence     int                // of rentals of this term
+	refusedUntil      map[pool]time.Time // pools that had no capacity lately
+	unansweredRentals map[string]string  // why machines were asked for, by rental not yet answered
+	sequence          int                // of rentals of this term
 }
 
 // pool is a kind of machine that is rented as one.
@@ -36,17 +36,17 @@
 }
 
 const (
-	// refusalPause is for how long a pool that had no capacity is left alone.
-	refusalPause = 20 * time.Second
+	// refusalBackoff is for how long a pool that had no capacity is left alone.
+	refusalBackoff = 20 * time.Second
 
-	// minPaidTime is a little less than the 60 s that every machine costs at least.
-	minPaidTime = 55 * time.Second
+	// minIdleReturnAge is a little less than the 60 s that every machine costs at least.
+	minIdleReturnAge = 55 * time.Second
 )
 
 func newScaler(env *environment, topology *topology, jobs *jobTable, machines *machineTable, recovery *recovery,
 	commands *commandSource, sizer *sizer, health *machineHealth) *scaler {
 	return &scaler{environment: env, topology: topology, jobs: jobs, machines: machines, recovery: recovery, commands: commands,
-		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, requested: map[string]string{}}
+		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, unansweredRentals: map[string]string{}}
 }
 
 // scalingPlan is the machines to return and the rentals to ask for.
@@ -72,7 +72,7 @@
 		retire(candidates[position], agent.RetireIdle)
 	}
 	plan := scalingPlan{returns: s.health.retired(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
-	if len(s.requested) == 0 { // what was asked for is not in the list of machines yet
+	if len(s.unansweredRentals) == 0 { // what was asked for is not in the list of machines yet
 		plan.rentals = s.rentals(decision, pools, demand.reason)
 	}
 	return plan
@@ -88,7 +88,7 @@
 		}
 		snapshot, _ := s.machines.snapshot(machine, now)
 		expected := !machine.Registered && !machine.Failed && !s.health.bootOverdue(machine, now)
-		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minPaidTime+s.Operator.IdleReturn)
+		idle := min(now.Sub(machine.IdleSince), now.Sub(machine.Created)-minIdleReturnAge+s.Operator.IdleReturn)
 		candidates = append(candidates, machine)
 		snapshots = append(snapshots, autoscaler.Machine{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Free: snapshot.Free,
 			Usable: snapshot.AcceptsTasks || expected, Empty: s.isEmpty(machine), Idle: idle})
@@ -130,7 +130,7 @@
 		chosen := pools[scaleOut.Pool]
 		rental := cloud.Rental{Name: s.nextRentalName(), Type: s.topology.types[chosen.Type].Name,
 			Zone: s.topology.zones[chosen.Zone], Spot: chosen.Spot, Count: min(scaleOut.Count, cloud.MaxRent)}
-		s.requested[rental.Name] = reason
+		s.unansweredRentals[rental.Name] = reason
 		rentals = append(rentals, rental)
 	}
 	return rentals
@@ -168,11 +168,11 @@
 func (e machinesRented) apply(l *Leader) { l.scaler.rented(e.rental, e.names, time.Now()) }
 
 func (s *scaler) rented(rental cloud.Rental, names []string, now time.Time) {
-	reason := s.requested[rental.Name]
-	delete(s.requested, rental.Name)
+	reason := s.unansweredRentals[rental.Name]
+	delete(s.unansweredRentals, rental.Name)
 	rentedPool := pool{s.topology.typeIndex[rental.Type], s.topology.zoneIndex[rental.Zone], rental.Spot}
 	if len(names) < rental.Count {
-		s.refusedUntil[rentedPool] = now.Add(refusalPause)
+		s.refusedUntil[rentedPool] = now.Add(refusalBackoff)
 	}
 	slog.Info("machines rented", "request", rental.Name, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
 		"asked", rental.Count, "machines", names, "why", reason)
@@ -192,8 +192,8 @@
 
 // machinesListed is the cloud's list of machines, as it was asked for at some time.
 type machinesListed struct {
-	machines []cloud.Machine
-	askedAt  time.Time
+	machines    []cloud.Machine
+	requestedAt time.Time
 }
 
 func (e machinesListed) apply(l *Leader) {
@@ -204,7 +204,7 @@
 		listed[e.machines[i].Name] = true
 		l.scaler.applyListed(&e.machines[i], now)
 	}
-	l.scaler.retireUnlisted(listed, e.askedAt)
+	l.scaler.retireUnlisted(listed, e.requestedAt)
 }
 
 func (s *scaler) applyListed(entry *cloud.Machine, now time.Time) {
@@ -222,29 +222,29 @@
 	machine.Booting = entry.Status == cloud.MachineStarting && !machine.Registered
 }
 
-// listLagLeeway is added to twice the time by which lists lag, as the settings give it.
-const listLagLeeway = 2 * time.Second
+// listLagMargin is added to twice the time by which lists lag, as the settings give it.
+const listLagMargin = 2 * time.Second
 
 // retireUnlisted gives up machines that the list no longer names. That proves nothing by itself,
 // but the answer to their return does.
-func (s *scaler) retireUnlisted(listed map[string]bool, askedAt time.Time) {
-	lag := 2*s.Settings.Cloud.ListLag + listLagLeeway
+func (s *scaler) retireUnlisted(listed map[string]bool, requestedAt time.Time) {
+	lag := 2*s.Settings.Cloud.ListLag + listLagMargin
 	s.machines.registry.Each(func(machine *agent.Machine) {
-		heardAt := machine.Created
+		lastSeen := machine.Created
 		if machine.Registered {
-			heardAt = machine.LastHeartbeat
+			lastSeen = machine.LastHeartbeat
 		}
-		silentSince := askedAt.Sub(heardAt) > lag && askedAt.Sub(machine.Created) > lag
-		if !listed[machine.Name] && silentSince && machine.RetireReason == agent.NotRetired {
+		unseen := requestedAt.Sub(lastSeen) > lag && requestedAt.Sub(machine.Created) > lag
+		if !listed[machine.Name] && unseen && machine.RetireReason == agent.NotRetired {
 			retire(machine, agent.RetireUnlisted)
 		}
 	})
 }
 
-// clusterUse is what the machines are used for.
-type clusterUse struct {
-	machines, spot, up, empty int
-	cpus, freeCPUs            float64
+// clusterUsage is what the machines are used for.
+type clusterUsage struct {
+	machines, spot, registered, empty int
+	cpus, freeCPUs                    float64
 }
 
 // logCluster logs what the machines are used for, and what waits to be written.
@@ -252,34 +252,34 @@
 	if !slog.Default().Enabled(s.loop.ctx, slog.LevelDebug) {
 		return
 	}
-	use := s.clusterUse(now)
+	usage := s.clusterUsage(now)
 	waiting := 0
 	s.jobs.store.Each(func(j *jobstore.Job) { waiting += j.WaitingTasks() })
 	backlog := s.jobs.store.Backlog()
 	slog.Debug("unwritten", "starts", backlog.Starts, "chunks", backlog.StartChunks, "ends", backlog.Ends)
-	slog.Debug("cluster", "machines", use.machines, "spot", use.spot, "up", use.up, "empty", use.empty, "cpus", use.cpus,
-		"free", use.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
+	slog.Debug("cluster", "machines", usage.machines, "spot", usage.spot, "up", usage.registered, "empty", usage.empty, "cpus", usage.cpus,
+		"free", usage.freeCPUs, "waiting", waiting, "rent", decision.ScaleOut, "return", len(decision.ScaleIn))
 }
 
-func (s *scaler) clusterUse(now time.Time) (use clusterUse) {
+func (s *scaler) clusterUsage(now time.Time) (usage clusterUsage) {
 	s.machines.registry.Each(func(machine *agent.Machine) {
 		if machine.Type == unknownIndex {
 			return
 		}
-		use.machines++
+		usage.machines++
 		if machine.Spot {
-			use.spot++
+			usage.spot++
 		}
 		if !machine.Registered {
 			return
 		}
 		snapshot, assignments := s.machines.snapshot(machine, now)
-		use.up++
-		use.cpus += s.topology.types[machine.Type].CPUs
-		use.freeCPUs += snapshot.Free[placement.CPU]
+		usage.registered++
+		usage.cpus += s.topology.types[machine.Type].CPUs
+		usage.freeCPUs += snapshot.Free[placement.CPU]
 		if len(assignments) == 0 {
-			use.empty++
+			usage.empty++
 		}
 	})
-	return use
+	return usage
 }
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -46,27 +46,27 @@
 	if time.Since(c.lastList) < listInterval {
 		return true
 	}
-	askedAt := time.Now()
-	c.lastList = askedAt
+	requestedAt := time.Now()
+	c.lastList = requestedAt
 	machines, err := c.Cloud.List(ctx)
 	if err != nil {
 		slog.Debug("machines not listed", "err", err)
 		return false
 	}
 	c.listLength = len(machines)
-	c.loop.submit(machinesListed{machines, askedAt})
+	c.loop.submit(machinesListed{machines, requestedAt})
 	return true
 }
 
 // carryOutPlan has the event loop decide, returns machines and queues rentals. It returns false if
 // the cloud did not serve.
 func (c *cloudSession) carryOutPlan(ctx context.Context) bool {
-	asked := &planRequested{}
-	if !c.loop.call(ctx, asked) {
+	request := &planRequested{}
+	if !c.loop.call(ctx, request) {
 		return true
 	}
-	c.pending = append(c.pending, asked.plan.rentals...)
-	names := asked.plan.returns
+	c.pending = append(c.pending, request.plan.rentals...)
+	names := request.plan.returns
 	if len(names) == 0 {
 		return true
 	}
@@ -101,8 +101,8 @@
 }
 
 // adjustInterval backs off while the cloud does not serve.
-func (c *cloudSession) adjustInterval(served bool) {
-	if served {
+func (c *cloudSession) adjustInterval(succeeded bool) {
+	if succeeded {
 		c.interval = scalingInterval
 		return
 	}
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -32,16 +32,16 @@
 // A pass follows what has changed, but not so closely that passes alone keep the processor busy:
 // renewals and heartbeats come first. What time alone changes is looked at each second.
 const (
-	minPassInterval = 50 * time.Millisecond
-	maxPassInterval = time.Second
-	passShare       = 5 // at most one second in so many goes into passes
+	minPassInterval    = 50 * time.Millisecond
+	maxPassInterval    = time.Second
+	passIntervalFactor = 5 // at most one second in so many goes into passes
 )
 
 // passIfDue makes a scheduling pass if one is due.
 func (s *scheduler) passIfDue(now time.Time) {
-	since := now.Sub(s.lastPass)
-	tooSoon := since < max(minPassInterval, passShare*s.passDuration)
-	nothingNew := !s.trigger.requested && since < maxPassInterval
+	sinceLastPass := now.Sub(s.lastPass)
+	tooSoon := sinceLastPass < max(minPassInterval, passIntervalFactor*s.passDuration)
+	nothingNew := !s.trigger.requested && sinceLastPass < maxPassInterval
 	if tooSoon || nothingNew {
 		return
 	}
@@ -102,7 +102,7 @@
 // The tasks of a gang share one attempt number.
 func (s *scheduler) startAssigned(assignments []placement.Assignment, waiting []*jobstore.Job, now time.Time) {
 	nextTask := make([]int, len(waiting))
-	numbers := make([]uint64, len(waiting))
+	attemptNumbers := make([]uint64, len(waiting))
 	for _, assigned := range assignments {
 		j, machine := waiting[assigned.Job], s.machines.registry.At(assigned.Machine)
 		task := j.NextStartable(nextTask[assigned.Job], s.Node.ValueBytes())
@@ -110,10 +110,10 @@
 			continue // the key-value store has shown meanwhile that it takes less
 		}
 		nextTask[assigned.Job] = task + 1
-		if numbers[assigned.Job] == 0 || !j.IsGang() {
-			numbers[assigned.Job] = s.jobs.store.NextAttemptNumber(s.term.Number())
+		if attemptNumbers[assigned.Job] == 0 || !j.IsGang() {
+			attemptNumbers[assigned.Job] = s.jobs.store.NextAttemptNumber(s.term.Number())
 		}
-		s.start(j, task, numbers[assigned.Job], machine, now)
+		s.start(j, task, attemptNumbers[assigned.Job], machine, now)
 	}
 }
 
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -16,7 +16,7 @@
 // snapshotJobs returns the waiting jobs as placement sees them, in the same order.
 func (s *scheduler) snapshotJobs(waiting []*jobstore.Job, now time.Time) []placement.Job {
 	jobs := make([]placement.Job, len(waiting))
-	images := imageLists{}
+	images := imageStates{}
 	beyondGuarantee, firstGangs := s.beyondGuarantee(), s.firstGangs(waiting)
 	for i, waitingJob := range waiting {
 		state, spec := s.jobs.states[waitingJob], waitingJob.Spec
@@ -45,24 +45,24 @@
 	teams := s.topology.teams
 	cpus, gpus := make([]float64, len(teams)), make([]float64, len(teams))
 	beyond := make(map[*jobstore.Job]bool)
-	for _, j := range s.jobsByClaim() {
+	for _, j := range s.jobsByGuaranteeClaim() {
 		team := s.jobs.states[j].team
 		tasks := float64(j.Spec.Tasks - j.DoneTasks())
 		cpus[team] += tasks * j.Spec.CPUs
 		gpus[team] += tasks * j.Spec.GPUs
-		if cpus[team] > teams[team].GuaranteedCPUs+roundingSlack || gpus[team] > teams[team].GuaranteedGPUs+roundingSlack {
+		if cpus[team] > teams[team].GuaranteedCPUs+roundingTolerance || gpus[team] > teams[team].GuaranteedGPUs+roundingTolerance {
 			beyond[j] = true
 		}
 	}
 	return beyond
 }
 
-// roundingSlack absorbs the rounding of sums of resources.
-const roundingSlack = 1e-6
+// roundingTolerance absorbs the rounding of sums of resources.
+const roundingTolerance = 1e-6
 
-// jobsByClaim returns the jobs in the order in which they claim their teams' guarantees: by
+// jobsByGuaranteeClaim returns the jobs in the order in which they claim their teams' guarantees: by
 // arrival, those last that fail on every machine.
-func (s *scheduler) jobsByClaim() []*jobstore.Job {
+func (s *scheduler) jobsByGuaranteeClaim() []*jobstore.Job {
 	jobs := make([]*jobstore.Job, 0, s.jobs.store.Len())
 	s.jobs.store.Each(func(j *jobstore.Job) {
 		if s.jobs.hasTeam(j) && !j.Cancelled {
@@ -116,13 +116,13 @@
 // teams without one is to be stopped for it: half of the time in which work within a guarantee
 // should start. Until then short tasks of theirs end by themselves.
 func (s *scheduler) mayPreemptOpportunistic(j *jobstore.Job, now time.Time) bool {
-	patience := s.Operator.UnhealthyAfter
+	minWait := s.Operator.UnhealthyAfter
 	for i := range s.Settings.Objectives {
 		if objective := &s.Settings.Objectives[i]; objective.Kind == config.KindGuarantee {
-			patience = objective.Within / 2
+			minWait = objective.Within / 2
 		}
 	}
-	return now.Sub(j.SubmittedAt) >= patience && !s.jobs.opportunistic(j)
+	return now.Sub(j.SubmittedAt) >= minWait && !s.jobs.opportunistic(j)
 }
 
 // priority returns a waiting job's priority: the lowest for teams without a guarantee, whatever
@@ -181,9 +181,9 @@
 	return avoid
 }
 
-// imageLists is which machines have an image, by image. Jobs with the same image share a list, so
+// imageStates is which machines have an image, by image. Jobs with the same image share a list, so
 // that one pass sends them to the same machines.
-type imageLists map[string][]placement.ImageState
+type imageStates map[string][]placement.ImageState
 
 // imageView is what placement has to know of a job's image.
 type imageView struct {
@@ -193,9 +193,9 @@
 
 // Shares of the time in which a job should start.
 const (
-	// startShare is the part, one in so many, that a fetch may take before machines that have the
+	// fetchLimitDivisor is the part, one in so many, that a fetch may take before machines that have the
 	// image are preferred.
-	startShare = 4
+	fetchLimitDivisor = 4
 
 	// slowFetchFactor is how many times as long as usual a fetch may take: "give or take a third"
 	// (PROTOCOL-tulipshelf.md).
@@ -204,7 +204,7 @@
 
 // imageOf returns what the machines have of a job's image, if a fetch of it takes longer than the
 // load index remembers, or a good part of the time in which its class should start.
-func (s *scheduler) imageOf(waiting *jobstore.Job, lists imageLists) imageView {
+func (s *scheduler) imageOf(waiting *jobstore.Job, states imageStates) imageView {
 	view, limit := imageView{}, s.Operator.Smoothing
 	fetch := s.topology.fetchSeconds(waiting.Spec.ImageGB)
 	for i := range s.Settings.Objectives {
@@ -215,16 +215,16 @@
 		}
 		view.fetchTooSlow = view.fetchTooSlow || fetch*slowFetchFactor >= objective.Within.Seconds()
 		if ofClass {
-			limit = min(limit, objective.Within/startShare)
+			limit = min(limit, objective.Within/fetchLimitDivisor)
 		}
 	}
 	if fetch <= limit.Seconds() {
 		return imageView{}
 	}
-	if lists[waiting.Spec.Image] == nil {
-		lists[waiting.Spec.Image] = s.machinesWithImage(waiting.Spec.Image)
+	if states[waiting.Spec.Image] == nil {
+		states[waiting.Spec.Image] = s.machinesWithImage(waiting.Spec.Image)
 	}
-	view.byMachine = lists[waiting.Spec.Image]
+	view.byMachine = states[waiting.Spec.Image]
 	return view
 }
 
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -38,7 +38,7 @@
 // those to come, and arrays. Running tasks are left out.
 func (s *sizer) demand(now time.Time) demand {
 	list := &demandList{jobs: s.jobs, teams: s.jobs.teamUsage()}
-	waiting := s.waitingByImportance()
+	waiting := s.waitingByPriority()
 	for _, j := range waiting.allOrNothing {
 		list.addAllOrNothing(j)
 	}
@@ -47,14 +47,14 @@
 		reserved += reservation.Tasks
 		list.demand = append(list.demand, reservation)
 	}
-	missing := s.missingForArrays(list.cpus(), list.teams, now)
+	missing := s.missingArrayCPUs(list.cpus(), list.teams, now)
 	reason := fmt.Sprintf("%d tasks without room, %.0f CPUs more for arrays, room for %d of services to come",
 		s.scheduler.unplaced, math.Max(0, missing.needed), reserved)
 	missing = s.addArrays(list, waiting.arrays, missing)
 	// Room kept for arrays to come, of the kind of the last one. What waits beyond its team's limit
 	// asks for none: machines would stand free for tasks that are not allowed to start.
-	if last := s.forecast.lastArray; missing.usual > 0 && last != nil {
-		tasks := int(missing.usual/sizingCPUs(last.need) + 0.5)
+	if last := s.forecast.lastArray; missing.anticipated > 0 && last != nil {
+		tasks := int(missing.anticipated/sizingCPUs(last.need) + 0.5)
 		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: placement.AnyZone, Spot: true, Tasks: tasks})
 	}
 	return demand{list.demand, reason}
@@ -71,7 +71,7 @@
 		tasks := min(s.jobs.tasksToStart(array), int(math.Ceil(missing.needed/taskCPUs)))
 		added := float64(list.add(array, tasks)) * taskCPUs
 		missing.needed -= added
-		missing.usual -= added
+		missing.anticipated -= added
 	}
 	return missing
 }
@@ -82,7 +82,7 @@
 	arrays       []*jobstore.Job
 }
 
-func (s *sizer) waitingByImportance() (waiting waitingJobs) {
+func (s *sizer) waitingByPriority() (waiting waitingJobs) {
 	s.jobs.store.Each(func(j *jobstore.Job) {
 		switch {
 		case !s.jobs.hasTeam(j) || j.WaitingTasks() == 0:
@@ -92,11 +92,11 @@
 			waiting.allOrNothing = append(waiting.allOrNothing, j)
 		}
 	})
-	byImportance := func(a, b *jobstore.Job) int {
+	byPriority := func(a, b *jobstore.Job) int {
 		return cmp.Or(b.Spec.Rank()-a.Spec.Rank(), cmp.Compare(a.Arrival, b.Arrival))
 	}
-	slices.SortFunc(waiting.allOrNothing, byImportance)
-	slices.SortFunc(waiting.arrays, byImportance)
+	slices.SortFunc(waiting.allOrNothing, byPriority)
+	slices.SortFunc(waiting.arrays, byPriority)
 	return waiting
 }
 
@@ -120,8 +120,8 @@
 func (d *demandList) add(waiting *jobstore.Job, tasks int) int {
 	state := d.jobs.states[waiting]
 	team := &d.teams[state.team]
-	tasks = fitting(tasks, team.CPUsMax-team.CPUsUsed, waiting.Spec.CPUs)
-	tasks = fitting(tasks, team.GPUsMax-team.GPUsUsed, waiting.Spec.GPUs)
+	tasks = tasksFitting(tasks, team.CPUsMax-team.CPUsUsed, waiting.Spec.CPUs)
+	tasks = tasksFitting(tasks, team.GPUsMax-team.GPUsUsed, waiting.Spec.GPUs)
 	if tasks == 0 {
 		return 0
 	}
@@ -139,41 +139,41 @@
 	switch {
 	case j.IsGang() && j.LiveTasks() > 0:
 		// It starts anew where it was, or as a whole later.
-	case j.IsGang() && fitting(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
+	case j.IsGang() && tasksFitting(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
 		// A part of it is of no use.
 	default:
 		d.add(j, d.jobs.tasksToStart(j))
 	}
 }
 
-// fitting returns how many of so many tasks fit into some room, which may be without bounds.
-func fitting(tasks int, room, each float64) int {
-	if each > 0 {
-		return int(math.Max(0, math.Min(float64(tasks), room/each+roundingSlack)))
+// tasksFitting returns how many of so many tasks fit into some room, which may be without bounds.
+func tasksFitting(tasks int, headroom, perTask float64) int {
+	if perTask > 0 {
+		return int(math.Max(0, math.Min(float64(tasks), headroom/perTask+roundingTolerance)))
 	}
 	return max(tasks, 0)
 }
 
 // arrayCPUs is how many CPUs arrays should have beyond those that their tasks use now.
 type arrayCPUs struct {
-	needed float64 // by those that wait, and those that usually come
-	usual  float64 // by those that usually come
+	needed      float64 // by those that wait, and those that usually come
+	anticipated float64 // by those that usually come
 }
 
-// missingForArrays returns how many more CPUs arrays should have, if reservedCPUs of what is free
+// missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of what is free
 // will go to others.
 //
 // It counts CPUs, not tasks: what many tiny tasks wait for would be rented in CPUs as soon as those
 // of another array stand in the line before them (TestSmallTasksDoNotOverprovision).
-func (s *sizer) missingForArrays(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
+func (s *sizer) missingArrayCPUs(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
 	boot := s.topology.slowestBoot()
 	load := s.arrayLoad(teams, now)
 	cpus := load.liveCPUs + math.Max(0, s.freeCPUs(now)-reservedCPUs)
-	usual := s.forecast.arrays.Rate(now)
-	slots := autoscaler.CPUsForDueTimes(load.work, cpus, boot)
-	drain := autoscaler.CPUsForBacklog(load.work, cpus, usual, boot)
-	slog.Debug("arrays sized", "need", slots, "usual", usual, "drain", drain, "live", load.liveCPUs, "cpus", cpus, "taken", reservedCPUs)
-	return arrayCPUs{needed: math.Max(math.Max(slots, usual), drain) - load.liveCPUs, usual: usual - load.liveCPUs}
+	anticipated := s.forecast.arrays.Rate(now)
+	forDueTimes := autoscaler.CPUsForDueTimes(load.work, cpus, boot)
+	forBacklog := autoscaler.CPUsForBacklog(load.work, cpus, anticipated, boot)
+	slog.Debug("arrays sized", "need", forDueTimes, "usual", anticipated, "drain", forBacklog, "live", load.liveCPUs, "cpus", cpus, "taken", reservedCPUs)
+	return arrayCPUs{needed: math.Max(math.Max(forDueTimes, anticipated), forBacklog) - load.liveCPUs, anticipated: anticipated - load.liveCPUs}
 }
 
 // arrayLoad is what the unfinished arrays use and have left to do.
@@ -183,9 +183,9 @@
 }
 
 func (s *sizer) arrayLoad(teams []placement.Team, now time.Time) (load arrayLoad) {
-	room := make([]float64, len(teams))
+	headroom := make([]float64, len(teams))
 	for i := range teams {
-		room[i] = teams[i].CPUsMax - teams[i].CPUsUsed
+		headroom[i] = teams[i].CPUsMax - teams[i].CPUsUsed
 	}
 	s.jobs.store.Each(func(array *jobstore.Job) {
 		if array.Spec.Shape != job.Array || array.Cancelled || !s.jobs.hasTeam(array) {
@@ -196,10 +196,10 @@
 		liveCPUs := float64(array.LiveTasks()) * taskCPUs
 		waitingCPUs := float64(s.jobs.tasksToStart(array)) * taskCPUs
 		run := s.forecast.runSeconds(array.Spec) + s.topology.fetchSeconds(array.Spec.ImageGB)
-		work := autoscaler.ArrayWork{DueSeconds: s.dueIn(array, now).Seconds(), RunSeconds: run, CPUSeconds: run * (waitingCPUs + liveCPUs/2)}
+		work := autoscaler.ArrayWork{DueSeconds: s.timeUntilDue(array, now).Seconds(), RunSeconds: run, CPUSeconds: run * (waitingCPUs + liveCPUs/2)}
 		if array.Spec.CPUs > 0 {
-			runnable := math.Min(waitingCPUs, math.Max(0, room[state.team]))
-			room[state.team] -= runnable
+			runnable := math.Min(waitingCPUs, math.Max(0, headroom[state.team]))
+			headroom[state.team] -= runnable
 			work.WaitingCPUSeconds = run * runnable
 		}
 		load.liveCPUs += liveCPUs
@@ -227,12 +227,12 @@
 // deadline nor an objective.
 const defaultDueFactor = 4
 
-// dueIn returns the time until a job should be complete, by its own deadline or by its class's
+// timeUntilDue returns the time until a job should be complete, by its own deadline or by its class's
 // objective.
-func (s *sizer) dueIn(j *jobstore.Job, now time.Time) time.Duration {
+func (s *sizer) timeUntilDue(j *jobstore.Job, now time.Time) time.Duration {
 	due := time.Duration(j.Spec.DueS * float64(time.Second))
 	if due == 0 {
-		due = s.objectiveOf(j.Spec.Class)
+		due = s.completionObjective(j.Spec.Class)
 	}
 	if due == 0 {
 		due = defaultDueFactor * j.Spec.Expect()
@@ -240,8 +240,8 @@
 	return due - now.Sub(j.SubmittedAt)
 }
 
-// objectiveOf returns the shortest time in which jobs of a class should be complete; 0: none is set.
-func (s *sizer) objectiveOf(class string) time.Duration {
+// completionObjective returns the shortest time in which jobs of a class should be complete; 0: none is set.
+func (s *sizer) completionObjective(class string) time.Duration {
 	var shortest time.Duration
 	for i := range s.Settings.Objectives {
 		objective := &s.Settings.Objectives[i]
