--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -15,37 +15,39 @@
 	"tulipshelf/internal/wire"
 )
 
-// forecast estimates run times and what usually arrives. The estimates are kept in the key-value
-// store for the next leader, which would otherwise take all unfinished jobs for what arrives in a
-// moment, rent for that, and then forget what usually comes.
+// forecast estimates run times and the load that usually arrives. Only the event loop uses it.
+//
+// The estimates are stored in the key-value store for the next leader. Guards against a wrong forecast
+// after an election: without them a leader counts all unfinished jobs as arrivals of one moment, rents
+// machines for that load, and then loses the usual load from its history.
 type forecast struct {
 	*environment
 	topology *topology
 	jobs     *jobTable
 
-	runtimes autoscaler.RuntimeEstimator // by class, against what owners expect
+	runtimes autoscaler.RuntimeEstimator // by class, relative to the owners' estimates
 	arrays   autoscaler.DemandHistory    // CPU seconds of arrays
 	gangs    autoscaler.DemandHistory    // CPU seconds of gangs
 
-	// restoredUntil is up to when the estimates of an earlier leader reach. Jobs submitted before
-	// are in them already.
+	// restoredUntil is the time up to which the restored estimates of an earlier leader include
+	// arrivals: jobs submitted until then are not counted again. Zero: none were restored.
 	restoredUntil time.Time
-	savedAt       time.Time
+	savedAt       time.Time // when saving was last due; zero: never
 
-	lastArray    *jobState               // the kind for which room is kept
-	largestGangs map[string]gangTemplate // by class
+	lastArray    *jobState               // last array that arrived, the model for the reserve; nil: none
+	largestGangs map[string]gangTemplate // largest gang that arrived, by class
 }
 
-// gangTemplate is what a gang of a class needs.
+// gangTemplate is a gang that arrived, as the model for anticipated gangs of its class.
 type gangTemplate struct {
 	spec  *job.Spec
 	state *jobState
 }
 
-// cpus returns what the whole gang uses.
+// cpus returns the CPUs that all tasks of the gang count for.
 func (g gangTemplate) cpus() float64 { return float64(g.spec.Tasks) * sizingCPUs(g.state.need) }
 
-// demandMemory is how long the past counts in what usually arrives.
+// demandMemory is the time in which an arrival loses all but 1/e of its weight in the demand histories.
 const demandMemory = 150 * time.Second
 
 func newForecast(env *environment, topology *topology, jobs *jobTable) *forecast {
@@ -53,12 +55,14 @@
 		arrays: autoscaler.DemandHistory{Memory: demandMemory}, gangs: autoscaler.DemandHistory{Memory: demandMemory}}
 }
 
-// runSeconds returns about how long a task of a job runs.
+// runSeconds returns the estimated run time of a task of a job, in seconds and at least 1: the owner's
+// estimate, corrected by the run times of its class.
 func (f *forecast) runSeconds(spec *job.Spec) float64 {
 	return math.Max(1, spec.ExpectS*f.runtimes.Factor(spec.Class))
 }
 
-// sizingCPUs returns what a task counts when the cluster is sized: its CPUs.
+// sizingCPUs returns the CPUs that a task counts for when the cluster is sized: those that it needs, or 1
+// if it needs none.
 func sizingCPUs(need placement.Amounts) float64 {
 	if need[placement.CPU] > 0 {
 		return need[placement.CPU]
@@ -66,7 +70,8 @@
 	return 1
 }
 
-// jobArrived adds a job that was not known before to what usually arrives.
+// jobArrived adds a newly admitted job to the forecast. Cancelled jobs and those of unknown teams are
+// left out.
 func (f *forecast) jobArrived(arrived *jobstore.Job, state *jobState) {
 	if arrived.Cancelled || state.team == unknownIndex {
 		return
@@ -74,8 +79,8 @@
 	if arrived.IsGang() {
 		f.gangArrived(arrived, state)
 	}
-	// Room is not kept for teams without a guarantee: machines would stand empty for long after
-	// their arrays have gone.
+	// Arrays of teams without a guarantee are left out. Guards against empty machines: those kept for
+	// more such arrays stay long after the arrays are done.
 	if arrived.Spec.Shape == job.Array && !f.jobs.opportunistic(arrived) {
 		f.arrayArrived(arrived, state)
 	}
@@ -102,20 +107,23 @@
 	estimatesKey      = "rental/memo"
 	estimatesInterval = 10 * time.Second
 
-	// maxFailingJobs are kept with the estimates, as far as their names take half of a value.
+	// maxFailingJobs is the largest number of failing jobs that are stored with the estimates. Their IDs,
+	// of failingJobIDBytes each, may take at most half of a value.
 	maxFailingJobs    = 200
 	failingJobIDBytes = 16
 )
 
-// storedEstimates is the value under estimatesKey. It names the jobs that fail on every machine,
-// too: a new leader would try all of their tasks at once (TestAlwaysFailingJobIsThrottled).
+// storedEstimates is the value under estimatesKey. It includes the IDs of jobs that fail on every
+// machine. Guards against a burst of failures after an election: a new leader without the IDs tries all
+// tasks of these jobs at once (TestAlwaysFailingJobIsThrottled).
 type storedEstimates struct {
 	Estimates autoscaler.Estimates `cbor:"estimates"`
 	Failing   []string             `cbor:"failing"`
 	Gangs     autoscaler.Estimates `cbor:"gangs"`
 }
 
-// saveIfDue keeps the estimates for the next leader.
+// saveIfDue stores the estimates for the next leader, at most once in estimatesInterval. Nothing is
+// stored while the forecast is empty or the lease is not valid, or if the value is too large.
 func (f *forecast) saveIfDue(now time.Time) {
 	nothingToSave := f.arrays.Empty() && f.gangs.Empty()
 	if now.Sub(f.savedAt) < estimatesInterval || nothingToSave || !f.term.Valid() {
@@ -150,8 +158,8 @@
 	return stored
 }
 
-// restore takes the estimates that an earlier leader has kept. Without them this one begins from
-// the jobs that it reads.
+// restore reads the estimates that an earlier leader stored. If there are none, or they cannot be read,
+// the forecast begins with the unfinished jobs that this leader reads afterwards.
 func (f *forecast) restore(ctx context.Context) {
 	item, err := f.Store.Get(ctx, estimatesKey, kvstore.PriorityLease)
 	if err != nil {
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -13,8 +13,9 @@
 	"tulipshelf/internal/placement"
 )
 
-// reservations is the room that is kept for gangs to come: those of a class that should start
-// sooner than a machine boots find their room only if it is there before them.
+// reservations decides for which anticipated gangs machines are kept free: those of classes that should
+// start sooner than a machine boots. Such a gang starts in time only if its machines are up before it
+// arrives. Only the event loop uses it.
 type reservations struct {
 	*environment
 	topology *topology
@@ -22,9 +23,10 @@
 	forecast *forecast
 }
 
-// gangs returns the gangs to come for which room is kept, the largest of its class each: one of
-// each class that should start sooner than a machine boots, and in turn as many more as gangs
-// usually use room beyond what they do now.
+// gangs returns the anticipated gangs for which machines are kept free, each the size of the largest of
+// its class. There is one for each class that should start sooner than a machine boots. More are added,
+// one class after the other, until they and the unfinished gangs cover the load of gangs that usually
+// arrives. There are none while that load is below 1 CPU.
 func (r *reservations) gangs(now time.Time) (reserved []gangTemplate) {
 	if r.forecast.gangs.Empty() {
 		return nil
@@ -47,7 +49,7 @@
 	return reserved
 }
 
-// gangCPUs returns what the unfinished gangs use or wait for.
+// gangCPUs returns the CPUs that the unfinished gangs use or wait for.
 func (r *reservations) gangCPUs() float64 {
 	cpus := 0.0
 	r.jobs.store.Each(func(j *jobstore.Job) {
@@ -58,8 +60,8 @@
 	return cpus
 }
 
-// urgentGangs returns the largest gang of each class that should start sooner than a machine
-// boots, by the name of the class.
+// urgentGangs returns the largest gang of each class that should start sooner than a machine boots, in
+// the order of the classes' names.
 func (r *reservations) urgentGangs() (gangs []gangTemplate) {
 	for _, class := range slices.Sorted(maps.Keys(r.forecast.largestGangs)) {
 		if r.startsBeforeBoot(class) {
@@ -69,7 +71,8 @@
 	return gangs
 }
 
-// startsBeforeBoot reports whether tasks of a class should start sooner than a machine boots.
+// startsBeforeBoot reports whether jobs of a class should start sooner than a machine of the type that
+// takes longest boots.
 func (r *reservations) startsBeforeBoot(class string) bool {
 	boot := r.topology.slowestBoot()
 	for i := range r.Settings.Objectives {
@@ -82,7 +85,7 @@
 	return false
 }
 
-// asDemand returns the reserved gangs as demand for machines.
+// asDemand returns the anticipated gangs as demand for machines.
 func (r *reservations) asDemand(now time.Time) (demand []autoscaler.Demand) {
 	for _, gang := range r.gangs(now) {
 		demand = append(demand, autoscaler.Demand{Need: gang.state.need, Types: gang.state.types, Zone: gang.state.zone,
@@ -91,13 +94,13 @@
 	return demand
 }
 
-// asJobs returns the reserved gangs for a scheduling pass, which keeps their room free: what is
-// rented for them arrays would take. They come behind all gangs that wait, also those beyond their
-// teams' guarantees, and before arrays.
+// asJobs returns the anticipated gangs as jobs of a scheduling pass, which keeps machines free for them.
+// Guards against reservations without effect: arrays would take the machines that were rented for them.
 //
-// It guards against room that is kept from a gang that is there: one stopped 52 tasks in a second,
-// and each time the machines were kept for others before all of it was free
-// (docs/incidents/inc-f015.md).
+// At equal priority the anticipated gangs come after all waiting gangs, also those beyond their teams'
+// guarantees, and before arrays of the same standing. Guards against machines that are kept from a
+// waiting gang: one such gang preempted 52 tasks in a second, and each time the machines were reserved
+// for anticipated gangs before all of them were free (docs/incidents/inc-f015.md).
 func (r *reservations) asJobs(now time.Time, waiting []placement.Job) (reserved []placement.Job) {
 	anyBeyondGuarantee := slices.ContainsFunc(waiting, func(j placement.Job) bool { return j.Gang && j.BeyondGuarantee })
 	for _, gang := range r.gangs(now) {
--- a/internal/leader/scaler.go
+++ b/internal/leader/scaler.go
@@ -12,8 +12,8 @@
 	"tulipshelf/internal/placement"
 )
 
-// scaler decides which machines to return and which rentals to ask for, and takes what the cloud
-// says. Its conversation with the cloud runs beside the event loop (scaler_cloud.go).
+// scaler decides which machines to return and to rent, and applies the cloud's responses. Its state
+// belongs to the event loop; the requests to the cloud run on a goroutine beside it (scaler_cloud.go).
 type scaler struct {
 	*environment
 	topology *topology
@@ -24,22 +24,23 @@
 	sizer    *sizer
 	health   *machineHealth
 
-	refusedUntil      map[pool]time.Time // pools that had no capacity lately
-	unansweredRentals map[string]string  // why machines were asked for, by rental not yet answered
-	sequence          int                // of rentals of this term
+	refusedUntil      map[pool]time.Time // end of the back-off of pools that had no capacity
+	unansweredRentals map[string]string  // reason of each rental without a response yet, by its name
+	sequence          int                // number of the last rental of this leader
 }
 
-// pool is a kind of machine that is rented as one.
+// pool identifies a kind of machine that the cloud rents out.
 type pool struct {
-	machineType, zone int
+	machineType, zone int // dense indices
 	spot              bool
 }
 
 const (
-	// refusalBackoff is for how long a pool that had no capacity is left alone.
+	// refusalBackoff is the time without requests to a pool after it had no capacity.
 	refusalBackoff = 20 * time.Second
 
-	// minIdleReturnAge is a little less than the 60 s that every machine costs at least.
+	// minIdleReturnAge is the least age at which an idle machine is returned. It is a little below the
+	// 60 s for which every machine is billed at least.
 	minIdleReturnAge = 55 * time.Second
 )
 
@@ -49,14 +50,15 @@
 		sizer: sizer, health: health, refusedUntil: map[pool]time.Time{}, unansweredRentals: map[string]string{}}
 }
 
-// scalingPlan is the machines to return and the rentals to ask for.
+// scalingPlan holds the names of the machines to return, and the rentals to request.
 type scalingPlan struct {
 	returns []string
 	rentals []cloud.Rental
 }
 
-// plan decides. Machines with a cancelled task that cannot be stopped are returned also while it is
-// not sure that this controller leads.
+// plan decides which machines to return and to rent. As long as the records are not loaded, the lease is
+// not valid, or machines without a heartbeat may not be replaced yet, it plans only the return of machines
+// with a cancelled task that cannot be stopped.
 func (s *scaler) plan(now time.Time) scalingPlan {
 	if !s.recovery.loaded.Load() || !s.term.Valid() || !s.recovery.mayReplaceMissing(now) {
 		stuck := func(reason agent.RetireReason) bool { return reason == agent.RetireStuckCancelled }
@@ -72,13 +74,14 @@
 		retire(candidates[position], agent.RetireIdle)
 	}
 	plan := scalingPlan{returns: s.health.retired(func(reason agent.RetireReason) bool { return reason != agent.NotRetired })}
-	if len(s.unansweredRentals) == 0 { // what was asked for is not in the list of machines yet
+	if len(s.unansweredRentals) == 0 { // machines of unanswered rentals are not in the snapshot yet
 		plan.rentals = s.rentals(decision, pools, demand.reason)
 	}
 	return plan
 }
 
-// snapshotMachines returns the machines that may be kept, and how the autoscaler sees them.
+// snapshotMachines returns the machines of known type and zone that are not retired, and their
+// snapshots for the autoscaler in the same order.
 func (s *scaler) snapshotMachines(now time.Time) ([]*agent.Machine, []autoscaler.Machine) {
 	var candidates []*agent.Machine
 	var snapshots []autoscaler.Machine
@@ -96,12 +99,13 @@
 	return candidates, snapshots
 }
 
-// isEmpty reports whether nothing is lost when a machine is returned.
+// isEmpty reports whether a machine can be returned without loss: it is registered, holds no task, and
+// the results of all tasks that exited on it are recorded or not needed.
 func (s *scaler) isEmpty(machine *agent.Machine) bool {
 	return machine.Registered && len(machine.Assignments) == 0 && s.commands.allSettled(machine)
 }
 
-// pools returns all that can be rented, with current prices.
+// pools returns all pools of the catalog, with current prices. Pools in their back-off are blocked.
 func (s *scaler) pools(now time.Time) (pools []autoscaler.Pool) {
 	for typeIndex := range s.topology.types {
 		machineType := &s.topology.types[typeIndex]
@@ -123,8 +127,8 @@
 	return pools
 }
 
-// rentals returns the requests to make now: no more than the cloud's rate allows at once. What
-// would wait is decided anew, for what has come by then.
+// rentals returns the rentals to request now, at most as many as the cloud's request rate allows at
+// once. The rest of the decision is dropped: a later plan decides again, for the demand of that time.
 func (s *scaler) rentals(decision autoscaler.Decision, pools []autoscaler.Pool, reason string) (rentals []cloud.Rental) {
 	for _, scaleOut := range decision.ScaleOut[:min(len(decision.ScaleOut), s.Cloud.Ready())] {
 		chosen := pools[scaleOut.Pool]
@@ -136,13 +140,14 @@
 	return rentals
 }
 
-// nextRentalName returns a name of a request that is never used again, by any leader.
+// nextRentalName returns a rental name that no other rental has, whichever leader requests it.
 func (s *scaler) nextRentalName() string {
 	s.sequence++
 	return "r-" + strconv.FormatUint(s.term.Number(), 10) + "-" + strconv.Itoa(s.sequence)
 }
 
-// machinesReturned is the cloud's word that machines are gone, with all that was on them.
+// machinesReturned is the event that the cloud has confirmed a return: the machines are gone, with all
+// tasks on them.
 type machinesReturned struct{ names []string }
 
 func (e machinesReturned) apply(l *Leader) {
@@ -159,7 +164,8 @@
 	slog.Info("machines returned", "machines", e.names)
 }
 
-// machinesRented is the answer to a rental. Fewer names than were asked for are a refusal.
+// machinesRented is the event that the cloud has answered a rental. Fewer names than the rental's Count
+// mean that the pool has no more capacity.
 type machinesRented struct {
 	rental cloud.Rental
 	names  []string
@@ -181,8 +187,9 @@
 			continue
 		}
 		machine := s.machines.findOrAdd(name, now)
-		// Until the list tells of it, it boots. Taken for one that should send heartbeats, it would
-		// keep a new leader from renting more until reconciliation has timed out.
+		// The machine counts as booting until the list or a heartbeat shows otherwise. Guards against a
+		// scale-out that stalls: a machine from which a heartbeat is expected keeps a new leader from
+		// renting more until reconciliation times out.
 		machine.Listed, machine.Booting = true, !machine.Registered
 		if machine.Type == unknownIndex {
 			machine.Type, machine.Zone, machine.Spot = rentedPool.machineType, rentedPool.zone, rentedPool.spot
@@ -190,10 +197,10 @@
 	}
 }
 
-// machinesListed is the cloud's list of machines, as it was asked for at some time.
+// machinesListed is the event that the cloud has sent its list of machines.
 type machinesListed struct {
 	machines    []cloud.Machine
-	requestedAt time.Time
+	requestedAt time.Time // when the request was sent
 }
 
 func (e machinesListed) apply(l *Leader) {
@@ -222,11 +229,12 @@
 	machine.Booting = entry.Status == cloud.MachineStarting && !machine.Registered
 }
 
-// listLagMargin is added to twice the time by which lists lag, as the settings give it.
+// listLagMargin is the margin added to twice the list lag of the settings.
 const listLagMargin = 2 * time.Second
 
-// retireUnlisted gives up machines that the list no longer names. That proves nothing by itself,
-// but the answer to their return does.
+// retireUnlisted retires machines that are missing from the list, if at the time of the request their
+// creation, and their last heartbeat if any, were longer ago than the list may lag. A missing entry does
+// not prove that a machine is gone; the cloud's response to its return does.
 func (s *scaler) retireUnlisted(listed map[string]bool, requestedAt time.Time) {
 	lag := 2*s.Settings.Cloud.ListLag + listLagMargin
 	s.machines.registry.Each(func(machine *agent.Machine) {
@@ -241,13 +249,13 @@
 	})
 }
 
-// clusterUsage is what the machines are used for.
+// clusterUsage counts machines of known type, and of the registered ones the empty ones and the CPUs.
 type clusterUsage struct {
 	machines, spot, registered, empty int
 	cpus, freeCPUs                    float64
 }
 
-// logCluster logs what the machines are used for, and what waits to be written.
+// logCluster logs the usage of the machines and the backlog of records, if debug messages are enabled.
 func (s *scaler) logCluster(now time.Time, decision autoscaler.Decision) {
 	if !slog.Default().Enabled(s.loop.ctx, slog.LevelDebug) {
 		return
--- a/internal/leader/scaler_cloud.go
+++ b/internal/leader/scaler_cloud.go
@@ -11,24 +11,24 @@
 	"tulipshelf/internal/cloud"
 )
 
-// Intervals of the conversation with the cloud.
+// Intervals of the requests to the cloud.
 const (
-	scalingInterval    = 500 * time.Millisecond
-	maxScalingInterval = 5 * time.Second // while the cloud does not serve
-	minListInterval    = 2 * time.Second
+	scalingInterval    = 500 * time.Millisecond // mean pause between rounds of requests
+	maxScalingInterval = 5 * time.Second        // upper bound of the same while requests fail
+	minListInterval    = 2 * time.Second        // least time between two lists
 )
 
-// cloudSession is the conversation with the cloud. It belongs to the goroutine of scaler.run.
+// cloudSession holds the state of the requests to the cloud. Only the goroutine of scaler.run uses it.
 type cloudSession struct {
 	*environment
 
-	lastList   time.Time
-	listLength int            // of the last list
-	pending    []cloud.Rental // asked for, and not answered for certain
-	interval   time.Duration  // grows while the cloud does not serve
+	lastList   time.Time      // when the list was last requested; zero: never
+	listLength int            // machines in the last list received
+	pending    []cloud.Rental // rentals to request, without a definite response so far
+	interval   time.Duration  // mean pause between rounds; grows while requests fail
 }
 
-// run lists machines, returns and rents them until ctx ends.
+// run lists, returns and rents machines, round by round, until ctx ends.
 func (s *scaler) run(ctx context.Context) {
 	session := &cloudSession{environment: s.environment, interval: scalingInterval}
 	for ctx.Err() == nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// listIfDue lists the machines now and then. It returns false if the cloud did not serve.
+// listIfDue requests the list of machines if the list interval has passed. It returns false if the
+// request failed.
 func (c *cloudSession) listIfDue(ctx context.Context) bool {
 	listInterval := max(minListInterval, c.Settings.Cloud.ListLag/2, c.Cloud.ListInterval(c.listLength))
 	if time.Since(c.lastList) < listInterval {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// carryOutPlan has the event loop decide, returns machines and queues rentals. It returns false if
-// the cloud did not serve.
+// carryOutPlan gets a scaling plan from the event loop, gives the plan's machines back to the cloud and
+// queues its rentals. It returns false if the request to the cloud failed, and true without a plan.
 func (c *cloudSession) carryOutPlan(ctx context.Context) bool {
 	request := &planRequested{}
 	if !c.loop.call(ctx, request) {
@@ -78,13 +79,13 @@
 	return true
 }
 
-// planRequested asks the event loop for a scaling plan.
-type planRequested struct{ plan scalingPlan }
+// planRequested is the event that a scaling plan is needed.
+type planRequested struct{ plan scalingPlan } // the response, set by apply
 
 func (e *planRequested) apply(l *Leader) { e.plan = l.scaler.plan(time.Now()) }
 
-// rentPending asks for the pending rentals. Those without a certain answer stay pending under the
-// same name, so that nothing is rented twice. It returns false if there are any.
+// rentPending requests the pending rentals. A rental without a definite response stays pending under the
+// same name, so that no machine is rented twice. It returns false if any rental stays pending.
 func (c *cloudSession) rentPending(ctx context.Context) bool {
 	var unanswered []cloud.Rental
 	for _, rental := range c.pending {
@@ -100,7 +101,8 @@
 	return len(unanswered) == 0
 }
 
-// adjustInterval backs off while the cloud does not serve.
+// adjustInterval doubles the interval, up to maxScalingInterval, after a round in which a request to the
+// cloud failed, and resets it after any other.
 func (c *cloudSession) adjustInterval(succeeded bool) {
 	if succeeded {
 		c.interval = scalingInterval
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -12,7 +12,7 @@
 )
 
 // scheduler makes scheduling passes: it takes a snapshot of waiting jobs and machines, has package
-// placement decide, and applies the plan.
+// placement decide, and applies the plan. Only the event loop uses it.
 type scheduler struct {
 	*environment
 	topology     *topology
@@ -24,20 +24,23 @@
 	recovery     *recovery
 	trigger      *passTrigger
 
-	lastPass     time.Time
-	passDuration time.Duration
-	unplaced     int // tasks that found no machine in the last pass
+	lastPass     time.Time     // start of the last pass; zero: none yet
+	passDuration time.Duration // duration of the last pass
+	unplaced     int           // tasks within their team's limit that found no machine in the last pass
 }
 
-// A pass follows what has changed, but not so closely that passes alone keep the processor busy:
-// renewals and heartbeats come first. What time alone changes is looked at each second.
+// Intervals from the start of one pass to the start of the next. Guards against passes that keep the
+// processor busy: lease renewals and heartbeats would be late.
 const (
-	minPassInterval    = 50 * time.Millisecond
-	maxPassInterval    = time.Second
-	passIntervalFactor = 5 // at most one second in so many goes into passes
+	minPassInterval = 50 * time.Millisecond // lower bound, whatever has changed
+	maxPassInterval = time.Second           // without a change, for what depends on time alone
+
+	// passIntervalFactor is the least interval, in durations of the last pass: passes take at most a fifth
+	// of the time.
+	passIntervalFactor = 5
 )
 
-// passIfDue makes a scheduling pass if one is due.
+// passIfDue makes a scheduling pass if one is due, the lease is valid and reconciliation is over.
 func (s *scheduler) passIfDue(now time.Time) {
 	sinceLastPass := now.Sub(s.lastPass)
 	tooSoon := sinceLastPass < max(minPassInterval, passIntervalFactor*s.passDuration)
@@ -71,10 +74,11 @@
 	}
 }
 
-// waitingJobs returns the jobs of which tasks may start, by arrival.
+// waitingJobs returns the jobs of which tasks may start now, by arrival.
 func (s *scheduler) waitingJobs(now time.Time) (waiting []*jobstore.Job) {
 	s.jobs.store.Each(func(j *jobstore.Job) {
-		// A gang starts anew only once all of it is gone: a part would wait in vain.
+		// A gang restarts only once none of its tasks is live. A part of it that started before would wait
+		// for members that do not start.
 		incompleteGang := j.IsGang() && j.LiveTasks() > 0
 		if j.WaitingTasks() == 0 || incompleteGang {
 			return
@@ -87,8 +91,8 @@
 	return waiting
 }
 
-// snapshotMachines returns all machines as placement sees them, by index, and their assignments in
-// the order of the snapshots' tasks.
+// snapshotMachines returns the snapshots of all machines for placement, by index, and the machines'
+// assignments in the order of the snapshots' tasks.
 func (s *scheduler) snapshotMachines(now time.Time) ([]placement.Machine, [][]*agent.Assignment) {
 	machines := make([]placement.Machine, s.machines.registry.Size())
 	assignments := make([][]*agent.Assignment, len(machines))
@@ -98,8 +102,8 @@
 	return machines, assignments
 }
 
-// startAssigned books the attempts that a pass has placed; they are sent once they are recorded.
-// The tasks of a gang share one attempt number.
+// startAssigned creates an attempt for each task that a pass has placed. Attempts are sent to the worker
+// agents only once they are recorded. The tasks of a gang share one attempt number.
 func (s *scheduler) startAssigned(assignments []placement.Assignment, waiting []*jobstore.Job, now time.Time) {
 	nextTask := make([]int, len(waiting))
 	attemptNumbers := make([]uint64, len(waiting))
@@ -107,7 +111,7 @@
 		j, machine := waiting[assigned.Job], s.machines.registry.At(assigned.Machine)
 		task := j.NextStartable(nextTask[assigned.Job], s.Node.ValueBytes())
 		if task < 0 {
-			continue // the key-value store has shown meanwhile that it takes less
+			continue // the limit on the size of stored values has dropped since the snapshot
 		}
 		nextTask[assigned.Job] = task + 1
 		if attemptNumbers[assigned.Job] == 0 || !j.IsGang() {
@@ -125,7 +129,8 @@
 	slog.Debug("attempt placed", "task", attempt.TaskName(), "attempt", number, "machine", machine.Name)
 }
 
-// stopPreempted stops the victims of a pass's preemptions.
+// stopPreempted stops the victims of a pass's preemptions, with a grace period to save a checkpoint. A
+// victim in a gang stops with all of its gang, or not at all.
 func (s *scheduler) stopPreempted(preemptions []placement.Preemption, waiting []*jobstore.Job, assignments [][]*agent.Assignment, now time.Time) {
 	for _, preemption := range preemptions {
 		victim := assignments[preemption.Machine][preemption.TaskID]
--- a/internal/leader/scheduler_jobs.go
+++ b/internal/leader/scheduler_jobs.go
@@ -11,9 +11,10 @@
 	"tulipshelf/internal/placement"
 )
 
-// This file turns waiting jobs into the snapshots on which a scheduling pass decides.
+// This file makes the snapshots of waiting jobs for a scheduling pass.
 
-// snapshotJobs returns the waiting jobs as placement sees them, in the same order.
+// snapshotJobs returns the snapshots of the waiting jobs for placement, in the same order. A job that
+// depends on the zones of its tasks has no waiting tasks in its snapshot while one zone is not known.
 func (s *scheduler) snapshotJobs(waiting []*jobstore.Job, now time.Time) []placement.Job {
 	jobs := make([]placement.Job, len(waiting))
 	images := imageStates{}
@@ -39,8 +40,8 @@
 	return jobs
 }
 
-// beyondGuarantee returns the jobs that do not fit into their team's guarantee together with the
-// team's earlier unfinished jobs.
+// beyondGuarantee returns the jobs that do not fit into their team's guarantee together with the team's
+// unfinished jobs before them, in the order of jobsByGuaranteeClaim.
 func (s *scheduler) beyondGuarantee() map[*jobstore.Job]bool {
 	teams := s.topology.teams
 	cpus, gpus := make([]float64, len(teams)), make([]float64, len(teams))
@@ -57,11 +58,11 @@
 	return beyond
 }
 
-// roundingTolerance absorbs the rounding of sums of resources.
+// roundingTolerance is the rounding error that is allowed for in sums and quotients of resources.
 const roundingTolerance = 1e-6
 
-// jobsByGuaranteeClaim returns the jobs in the order in which they claim their teams' guarantees: by
-// arrival, those last that fail on every machine.
+// jobsByGuaranteeClaim returns the unfinished jobs in the order in which they claim their teams'
+// guarantees: by arrival, with the jobs that fail on every machine last. Cancelled jobs are left out.
 func (s *scheduler) jobsByGuaranteeClaim() []*jobstore.Job {
 	jobs := make([]*jobstore.Job, 0, s.jobs.store.Len())
 	s.jobs.store.Each(func(j *jobstore.Job) {
@@ -81,11 +82,12 @@
 	return jobs
 }
 
-// firstGangs returns the gang of each team that has waited longest.
+// firstGangs returns, for each team, the gang that arrived first. The waiting jobs are given by arrival.
 //
-// Exception to the exception that work within a guarantee goes first: one waiting gang of each team
-// is not behind it. It guards against gangs that wait for as long as arrays within their teams'
-// guarantees come, which take each gap, while a gang needs all of its gaps at once
+// Exception 9 to the design (docs/placement.md), an exception to number 3 (guarantee before arrival): one
+// waiting gang of each team does not come after others' work for being beyond its team's guarantee.
+// Guards against starved gangs: arrays within their teams' guarantees take each gap between tasks, while
+// a gang needs all of its gaps at once, and so waits for as long as such arrays arrive
 // (docs/incidents/inc-82e5.md, TestGangBeyondGuaranteeNotStarvedByArrays).
 func (s *scheduler) firstGangs(waiting []*jobstore.Job) map[*jobstore.Job]bool {
 	first := map[*jobstore.Job]bool{}
@@ -99,22 +101,24 @@
 	return first
 }
 
-// overdueAfter is when a job of which no task has begun may begin with one before all others: half
-// of the four minutes that the users allow.
+// overdueAfter is the wait after which a job of which no task has started may start one before all other
+// jobs: half of the four minutes that the users allow.
 const overdueAfter = 2 * time.Minute
 
-// overdue reports whether a job has waited too long with none of its tasks begun.
+// overdue reports whether a job has waited longer than overdueAfter with no task live or done, or half as
+// long once gangs have arrived.
 func (s *scheduler) overdue(j *jobstore.Job, now time.Time) bool {
 	limit := overdueAfter
 	if !s.forecast.gangs.Empty() {
-		limit /= 2 // room kept for gangs keeps no job waiting for long
+		limit /= 2 // guards against jobs that wait long for machines that are reserved for gangs
 	}
 	return now.Sub(j.SubmittedAt) > limit && j.LiveTasks() == 0 && j.DoneTasks() == 0
 }
 
-// mayPreemptOpportunistic reports whether a job of a team with a guarantee has waited for so long that work of
-// teams without one is to be stopped for it: half of the time in which work within a guarantee
-// should start. Until then short tasks of theirs end by themselves.
+// mayPreemptOpportunistic reports whether a job of a team with a guarantee has waited so long that tasks
+// of opportunistic teams may be preempted for it: half of the time in which work within a guarantee
+// should start, or Operator.UnhealthyAfter if no objective sets that time. Until then the short ones of
+// these tasks end by themselves.
 func (s *scheduler) mayPreemptOpportunistic(j *jobstore.Job, now time.Time) bool {
 	minWait := s.Operator.UnhealthyAfter
 	for i := range s.Settings.Objectives {
@@ -125,9 +129,10 @@
 	return now.Sub(j.SubmittedAt) >= minWait && !s.jobs.opportunistic(j)
 }
 
-// priority returns a waiting job's priority: the lowest for teams without a guarantee, whatever
-// they say. They would take the room that was just made for work within a guarantee, and be stopped
-// for it again, for ever (TestTeamWithoutGuaranteeUsesIdleCapacity).
+// priority returns a waiting job's priority: the lowest for opportunistic teams, whatever their jobs
+// specify. Guards against endless preemption: tasks of such teams would take the machines on which tasks
+// were just stopped for work within a guarantee, and be stopped for that work again
+// (TestTeamWithoutGuaranteeUsesIdleCapacity).
 func (s *scheduler) priority(j *jobstore.Job) int {
 	if s.jobs.opportunistic(j) {
 		return job.RankBestEffort
@@ -135,8 +140,8 @@
 	return j.Spec.Rank()
 }
 
-// inverseResponseRatio returns an array's work left over the time that its user has waited, one
-// task's run included.
+// inverseResponseRatio returns the run time of an array's waiting tasks, divided by the time since its
+// submission plus the run time of one task; 0 for jobs of other shapes.
 func (s *scheduler) inverseResponseRatio(j *jobstore.Job, now time.Time) float64 {
 	if j.Spec.Shape != job.Array {
 		return 0
@@ -145,15 +150,15 @@
 	return float64(j.WaitingTasks()) * run / (run + max(0, now.Sub(j.SubmittedAt).Seconds()))
 }
 
-// zoneCounts is how many live attempts of a job are in each zone.
+// zoneCounts holds the numbers of a job's live attempts by zone.
 type zoneCounts struct {
-	tasks    []int
-	allKnown bool // the zones of all attempts are known
+	tasks    []int // by index of the zone
+	allKnown bool  // the zones of all attempts are known
 }
 
-// tasksInZones counts a job's attempts by zone. After an election the zones of machines that
-// neither the cloud's list nor a heartbeat has named are not known; a job whose tasks are tied to
-// each other by zone is not placed on a guess.
+// tasksInZones counts a job's live attempts by zone. After an election the zone of a machine is not known
+// until the cloud's list or a heartbeat names it. Guards against wrong placement: a job whose tasks
+// belong into one zone, or apart, is not placed by an incomplete count.
 func (s *scheduler) tasksInZones(j *jobstore.Job) zoneCounts {
 	counts := zoneCounts{tasks: make([]int, len(s.topology.zones)), allKnown: true}
 	j.EachAttempt(func(attempt *jobstore.Attempt) {
@@ -167,7 +172,8 @@
 	return counts
 }
 
-// machinesToAvoid returns, by index, the machines on which a job has failed lately; nil: none.
+// machinesToAvoid returns, by index of the machine, whether tasks of a job have failed on it, as recorded
+// in failedOn; nil: they have failed on none.
 func (s *scheduler) machinesToAvoid(state *jobState) []bool {
 	if len(state.failedOn) == 0 {
 		return nil
@@ -181,29 +187,30 @@
 	return avoid
 }
 
-// imageStates is which machines have an image, by image. Jobs with the same image share a list, so
-// that one pass sends them to the same machines.
+// imageStates holds the state of each machine's copy of an image, by the image's name. Jobs with the same
+// image share a slice, so that one pass sends them to the same machines.
 type imageStates map[string][]placement.ImageState
 
-// imageView is what placement has to know of a job's image.
+// imageView holds what placement uses of a job's image. The zero value: the image does not matter.
 type imageView struct {
-	byMachine    []placement.ImageState // nil: the image does not count
-	fetchTooSlow bool                   // a fetch takes up all of the time in which the job should start
+	byMachine    []placement.ImageState // nil: the image does not matter
+	fetchTooSlow bool                   // a slow fetch takes at least the time in which the job should start
 }
 
-// Shares of the time in which a job should start.
+// Limits of the time to fetch an image, relative to the time in which a job should start.
 const (
-	// fetchLimitDivisor is the part, one in so many, that a fetch may take before machines that have the
-	// image are preferred.
+	// fetchLimitDivisor is the divisor of that time for the longest fetch for which machines that have the
+	// image are not yet preferred.
 	fetchLimitDivisor = 4
 
-	// slowFetchFactor is how many times as long as usual a fetch may take: "give or take a third"
-	// (PROTOCOL-tulipshelf.md).
+	// slowFetchFactor is the duration of a slow fetch, as a multiple of the usual duration: "give or take
+	// a third" (PROTOCOL-tulipshelf.md).
 	slowFetchFactor = 4.0 / 3
 )
 
-// imageOf returns what the machines have of a job's image, if a fetch of it takes longer than the
-// load index remembers, or a good part of the time in which its class should start.
+// imageOf returns what placement uses of a job's image: the zero view unless a fetch takes longer than
+// Operator.Smoothing, the memory of the load index, or longer than 1/fetchLimitDivisor of the time in
+// which jobs of its class should start.
 func (s *scheduler) imageOf(waiting *jobstore.Job, states imageStates) imageView {
 	view, limit := imageView{}, s.Operator.Smoothing
 	fetch := s.topology.fetchSeconds(waiting.Spec.ImageGB)
@@ -228,7 +235,7 @@
 	return view
 }
 
-// machinesWithImage returns, by index, what each machine has of an image.
+// machinesWithImage returns, by index of the machine, the state of its copy of an image.
 func (s *scheduler) machinesWithImage(image string) []placement.ImageState {
 	list := make([]placement.ImageState, s.machines.registry.Size())
 	for i := range list {
--- a/internal/leader/sizer.go
+++ b/internal/leader/sizer.go
@@ -16,7 +16,8 @@
 	"tulipshelf/internal/placement"
 )
 
-// sizer works out for which tasks machines are needed.
+// sizer determines the demand: the tasks for which the cluster should have machines. Only the event
+// loop uses it.
 type sizer struct {
 	*environment
 	topology     *topology
@@ -28,14 +29,15 @@
 	health       *machineHealth
 }
 
-// demand is the tasks that should get a machine soon, the most important first, and why.
+// demand holds the tasks that should get a machine soon.
 type demand struct {
-	tasks  []autoscaler.Demand
-	reason string
+	tasks  []autoscaler.Demand // the most important first
+	reason string              // reason for renting machines, for the log
 }
 
-// demand returns the tasks that should get a machine soon: services and gangs, room reserved for
-// those to come, and arrays. Running tasks are left out.
+// demand returns the tasks that should get a machine soon, in this order: waiting services and gangs,
+// the reserves for anticipated ones, waiting arrays, and the reserve for anticipated arrays. Running tasks
+// are left out.
 func (s *sizer) demand(now time.Time) demand {
 	list := &demandList{jobs: s.jobs, teams: s.jobs.teamUsage()}
 	waiting := s.waitingByPriority()
@@ -51,8 +53,9 @@
 	reason := fmt.Sprintf("%d tasks without room, %.0f CPUs more for arrays, room for %d of services to come",
 		s.scheduler.unplaced, math.Max(0, missing.needed), reserved)
 	missing = s.addArrays(list, waiting.arrays, missing)
-	// Room kept for arrays to come, of the kind of the last one. What waits beyond its team's limit
-	// asks for none: machines would stand free for tasks that are not allowed to start.
+	// The reserve for anticipated arrays, in tasks like those of the last array. CPUs that are still
+	// needed for waiting tasks are not added to it. Guards against machines that stand idle: what is left
+	// may be needed by tasks beyond their team's limit, which are not allowed to start.
 	if last := s.forecast.lastArray; missing.anticipated > 0 && last != nil {
 		tasks := int(missing.anticipated/sizingCPUs(last.need) + 0.5)
 		list.demand = append(list.demand, autoscaler.Demand{Need: last.need, Types: last.types, Zone: placement.AnyZone, Spot: true, Tasks: tasks})
@@ -60,8 +63,9 @@
 	return demand{list.demand, reason}
 }
 
-// addArrays adds waiting arrays up to what is missing for all of them together, as their tasks take
-// turns on a machine, and returns what is still missing.
+// addArrays adds tasks of waiting arrays until they cover the CPUs that are missing for all arrays
+// together, and returns the CPUs that are still missing. The arrays share these CPUs because their tasks
+// take turns on a machine.
 func (s *sizer) addArrays(list *demandList, arrays []*jobstore.Job, missing arrayCPUs) arrayCPUs {
 	for _, array := range arrays {
 		if missing.needed <= 0 {
@@ -76,7 +80,7 @@
 	return missing
 }
 
-// waitingJobs is the jobs that wait for machines, the most important first.
+// waitingJobs holds the jobs with waiting tasks, by priority and then by arrival.
 type waitingJobs struct {
 	allOrNothing []*jobstore.Job // services and gangs
 	arrays       []*jobstore.Job
@@ -100,14 +104,14 @@
 	return waiting
 }
 
-// demandList is demand as it is put together, with what it takes of the teams' limits.
+// demandList accumulates demand and counts it towards the teams' limits.
 type demandList struct {
 	jobs   *jobTable
-	teams  []placement.Team
+	teams  []placement.Team // the usage includes waiting tasks that were added
 	demand []autoscaler.Demand
 }
 
-// cpus returns what all of the demand takes.
+// cpus returns the CPUs that all of the demand needs.
 func (d *demandList) cpus() float64 {
 	cpus := 0.0
 	for i := range d.demand {
@@ -116,7 +120,8 @@
 	return cpus
 }
 
-// add adds up to so many tasks of a job, as far as its team's limit has room, and returns how many.
+// add adds up to the given number of tasks of a job, as far as they fit into its team's limit, and
+// returns the number added.
 func (d *demandList) add(waiting *jobstore.Job, tasks int) int {
 	state := d.jobs.states[waiting]
 	team := &d.teams[state.team]
@@ -132,21 +137,22 @@
 	return tasks
 }
 
-// addAllOrNothing adds a service, or a gang of which nothing is left on machines and which its team's limit
-// has room for.
+// addAllOrNothing adds a service as far as its team's limit allows, or a whole gang. A gang is left out
+// while any of its tasks is live, and if its team's CPU limit has no headroom for all of them.
 func (d *demandList) addAllOrNothing(j *jobstore.Job) {
 	team := &d.teams[d.jobs.states[j].team]
 	switch {
 	case j.IsGang() && j.LiveTasks() > 0:
-		// It starts anew where it was, or as a whole later.
+		// The gang restarts on the machines that it leaves, or is added whole once no task is live.
 	case j.IsGang() && tasksFitting(j.Spec.Tasks, team.CPUsMax-team.CPUsUsed, j.Spec.CPUs) < j.Spec.Tasks:
-		// A part of it is of no use.
+		// A gang does not start in part, so machines for a part of it would be of no use.
 	default:
 		d.add(j, d.jobs.tasksToStart(j))
 	}
 }
 
-// tasksFitting returns how many of so many tasks fit into some room, which may be without bounds.
+// tasksFitting returns how many of a number of tasks fit into the headroom, which may be infinite. All
+// of them do if they need nothing of the resource.
 func tasksFitting(tasks int, headroom, perTask float64) int {
 	if perTask > 0 {
 		return int(math.Max(0, math.Min(float64(tasks), headroom/perTask+roundingTolerance)))
@@ -154,17 +160,19 @@
 	return max(tasks, 0)
 }
 
-// arrayCPUs is how many CPUs arrays should have beyond those that their tasks use now.
+// arrayCPUs holds numbers of CPUs that arrays should have beyond those that their tasks use now; negative
+// if they use more.
 type arrayCPUs struct {
-	needed      float64 // by those that wait, and those that usually come
-	anticipated float64 // by those that usually come
+	needed      float64 // for waiting and anticipated arrays together
+	anticipated float64 // for the load that usually arrives alone
 }
 
-// missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of what is free
-// will go to others.
+// missingArrayCPUs returns how many more CPUs arrays should have, if reservedCPUs of the free CPUs go to
+// other demand.
 //
-// It counts CPUs, not tasks: what many tiny tasks wait for would be rented in CPUs as soon as those
-// of another array stand in the line before them (TestSmallTasksDoNotOverprovision).
+// It counts CPUs, not tasks. Guards against renting too much: a number of tasks that was counted for an
+// array of tiny tasks would be rented at the size of larger ones, once another array comes before it in
+// the order (TestSmallTasksDoNotOverprovision).
 func (s *sizer) missingArrayCPUs(reservedCPUs float64, teams []placement.Team, now time.Time) arrayCPUs {
 	boot := s.topology.slowestBoot()
 	load := s.arrayLoad(teams, now)
@@ -176,10 +184,10 @@
 	return arrayCPUs{needed: math.Max(math.Max(forDueTimes, anticipated), forBacklog) - load.liveCPUs, anticipated: anticipated - load.liveCPUs}
 }
 
-// arrayLoad is what the unfinished arrays use and have left to do.
+// arrayLoad holds the load of the unfinished arrays of known teams.
 type arrayLoad struct {
-	liveCPUs float64
-	work     []autoscaler.ArrayWork
+	liveCPUs float64                // CPUs of their live tasks
+	work     []autoscaler.ArrayWork // work left, one entry an array
 }
 
 func (s *sizer) arrayLoad(teams []placement.Team, now time.Time) (load arrayLoad) {
@@ -208,7 +216,8 @@
 	return load
 }
 
-// freeCPUs returns what is free on machines that are there or may be expected.
+// freeCPUs returns the CPUs that are free on registered machines and on those that may still boot in
+// time. Machines that are retired, quarantined or of unknown type are left out.
 func (s *sizer) freeCPUs(now time.Time) float64 {
 	free := 0.0
 	s.machines.registry.Each(func(machine *agent.Machine) {
@@ -223,12 +232,12 @@
 	return free
 }
 
-// defaultDueFactor is how many times its tasks' run time an array may take that has neither a
-// deadline nor an objective.
+// defaultDueFactor is the time, in expected run times of a task, in which an array without a deadline or
+// an objective should be complete.
 const defaultDueFactor = 4
 
-// timeUntilDue returns the time until a job should be complete, by its own deadline or by its class's
-// objective.
+// timeUntilDue returns the time until a job should be complete, negative once that is past: by its own
+// deadline, else by the objective of its class, else by defaultDueFactor.
 func (s *sizer) timeUntilDue(j *jobstore.Job, now time.Time) time.Duration {
 	due := time.Duration(j.Spec.DueS * float64(time.Second))
 	if due == 0 {
@@ -240,7 +249,8 @@
 	return due - now.Sub(j.SubmittedAt)
 }
 
-// completionObjective returns the shortest time in which jobs of a class should be complete; 0: none is set.
+// completionObjective returns the shortest time from submission in which jobs of a class should be
+// complete, by the objectives of that class; 0: none is set.
 func (s *sizer) completionObjective(class string) time.Duration {
 	var shortest time.Duration
 	for i := range s.Settings.Objectives {
@@ -255,8 +265,9 @@
 	return shortest
 }
 
-// serviceReserve keeps room free for services to come, which start at once or miss their
-// objective: a share of what services use, in tasks of the largest size seen.
+// serviceReserve returns the reserve for anticipated services, which miss their objective unless they
+// start at once: the share of Operator.Reserve of the CPUs that the unfinished services ask for, in tasks
+// of the largest size among them; nil if none of them needs CPUs.
 func (s *sizer) serviceReserve() []autoscaler.Demand {
 	var cpus float64
 	var largest *jobstore.Job
--- a/internal/leader/topology.go
+++ b/internal/leader/topology.go
@@ -8,11 +8,12 @@
 	"tulipshelf/internal/placement"
 )
 
-// unknownIndex stands for a machine type, zone or team that this leader has no index of.
+// unknownIndex stands for a machine type, zone or team without an index: its name is not in the topology,
+// or not given.
 const unknownIndex = -1
 
-// topology maps the names of machine types, zones and teams to dense indices. Names are added only
-// before the event loop runs: jobs and machines hold indices.
+// topology maps the names of machine types, zones and teams to dense indices. Jobs and machines hold
+// these indices, so names are added only before the event loop runs.
 type topology struct {
 	types     []cloud.Type
 	typeIndex map[string]int
@@ -41,7 +42,7 @@
 	t.zones = append(t.zones, name)
 }
 
-// addTypes takes the catalog with which the leader begins.
+// addTypes sets the machine types to those of the catalog, and adds their zones.
 func (t *topology) addTypes(types []cloud.Type) {
 	t.types = types
 	for i := range types {
@@ -52,7 +53,8 @@
 	}
 }
 
-// updatePrices takes current prices. Types that are new wait for the next leader.
+// updatePrices sets the prices of the machine types to those of a newer catalog. Types that are not in
+// the topology are ignored; the next leader adds them.
 func (t *topology) updatePrices(types []cloud.Type) {
 	for i := range types {
 		if index, known := t.typeIndex[types[i].Name]; known {
@@ -73,13 +75,13 @@
 	return unknownIndex
 }
 
-// capacity returns what a machine of a type holds.
+// capacity returns the resources of an empty machine of a type.
 func (t *topology) capacity(machineType int) placement.Amounts {
 	spec := &t.types[machineType]
 	return placement.Amounts{placement.CPU: spec.CPUs, placement.Memory: spec.RAM, placement.GPU: spec.GPUs}
 }
 
-// slowestBoot returns the usual boot time, in seconds, of the type that takes longest.
+// slowestBoot returns the longest of the types' usual boot times, in seconds; 0 without types.
 func (t *topology) slowestBoot() float64 {
 	seconds := 0.0
 	for i := range t.types {
@@ -88,7 +90,8 @@
 	return seconds
 }
 
-// fetchSeconds returns about how long a machine takes to fetch an image.
+// fetchSeconds returns the estimated time in which a machine fetches an image, in seconds, at the highest
+// fetch rate of all types; 0 if no rate is known.
 func (t *topology) fetchSeconds(imageGB float64) float64 {
 	rate := 0.0
 	for i := range t.types {
