--- a/internal/placement/future_slots.go
+++ b/internal/placement/future_slots.go
@@ -10,7 +10,7 @@
 
 // futureSlot is room for one task on a machine, now or when other tasks have ended.
 type futureSlot struct {
-	wait    time.Duration // time until the room is free; 0: free now
+	wait    time.Duration // time until the room is free; 0: free now or held by stopping tasks
 	machine int           // position in the list of machines
 }
 
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -6,7 +6,8 @@
 
 // placeGang places all waiting tasks of a gang in this pass, or none. If they do not fit, an urgent gang
 // preempts other tasks. If it is not urgent, or preemption does not free enough, machines are reserved
-// for it. For an anticipated gang machines are only reserved.
+// for it. A gang that would exceed its team's limit neither preempts nor reserves. For an anticipated
+// gang machines are only reserved.
 func (p *pass) placeGang(gang *Job) {
 	zones := gang.zonesToTry()
 	if gang.Anticipated {
@@ -110,7 +111,7 @@
 	result := p.preempt(gang, gang.Waiting, machineFilter{zone: zone})
 	complete := result.tasks == gang.Waiting
 	if hasClass && !complete {
-		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // what is preemptible only decreases
+		p.unpreemptableGangSize[preemptionClass] = gang.Waiting // free and preemptible resources only decrease
 	}
 	return zoneOutcome{complete: complete, totalCost: result.lostSeconds}
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -8,7 +8,7 @@
 	// Order of placement.
 	Priority             int     // higher values are placed first
 	BeyondGuarantee      bool    // not covered by the team's guarantee, which earlier jobs use up
-	InverseResponseRatio float64 // remaining work over (waiting + run time); lower values are placed first
+	InverseResponseRatio float64 // remaining work / (time waited + run time); lower values are placed first
 	Arrival              uint64  // lower values are placed first
 	Overdue              bool    // waiting time is over the limit and no task has started
 
@@ -31,7 +31,7 @@
 	Image                   []ImageState // by machine, compared before the load index; nil: not compared
 	FetchTooSlow            bool         // a fetch of its image takes up the time in which it should start
 	Urgent                  bool         // may preempt tasks of lower priority
-	MayPreemptOpportunistic bool         // may preempt opportunistic teams: is within its team's guarantee
+	MayPreemptOpportunistic bool         // may preempt tasks of opportunistic teams (isPreemptible)
 
 	// Gangs.
 	Gang        bool // all of its waiting tasks are placed in one pass, or none
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -23,7 +23,8 @@
 		return a.Priority > b.Priority
 	case a.BeyondGuarantee != b.BeyondGuarantee:
 		// Exception 3, guarantee before arrival. Guards against a breach of DEPLOY-tulipshelf.md
-		// ("guaranteed"): work within its team's guarantee waits for other teams' work beyond theirs.
+		// ("guaranteed"): jobs within the guarantee of their team wait behind jobs of other teams that
+		// exceed the guarantees of those teams.
 		return b.BeyondGuarantee
 	case a.InverseResponseRatio != b.InverseResponseRatio:
 		// Exception 4, response ratio before arrival. In order of arrival, one large array delays all
@@ -37,7 +38,7 @@
 // Overdue gangs are left out.
 //
 // Exception 5 to the design (docs/placement.md). Guards against jobs that never start: in order of
-// priority and response ratio alone, a class of low priority or the largest arrays may not be placed
+// priority and response ratio alone, jobs of low priority or the largest arrays may not be placed
 // while bursts of other jobs go on. Users count a job that does not start as failed.
 func (p *pass) startOverdueJobs(sequence []*Job) {
 	var overdue []*Job
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -26,7 +26,9 @@
 	taskEnds              [][]taskEnd                            // by position of the machine; nil: not computed
 	futureSlots           map[gangClass]futureSlotList           // slots for reservations
 
-	starvedJobs []*Job // jobs so far, not urgent and within their team's limit, with tasks that found no machine
+	// starvedJobs holds the services and arrays handled so far that are not urgent and have tasks that
+	// found no machine although their team's limit allows another task.
+	starvedJobs []*Job
 }
 
 func newPass(now time.Time, machines []Machine, jobs []Job, teams []Team) *pass {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -9,7 +9,9 @@
 	Preemptions []Preemption
 
 	// Unplaced is the number of tasks that found no machine, by position of the job. It is 0 for
-	// independent tasks of a team at its limit and for anticipated gangs.
+	// independent tasks of a team at its limit and for anticipated gangs. Tasks for which victims are
+	// stopped are included, except where an urgent job with FetchTooSlow preempts on machines that have
+	// its image.
 	Unplaced []int
 }
 
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -11,7 +11,7 @@
 // preemptionResult is the result of preempting for a job.
 type preemptionResult struct {
 	tasks       int     // number of tasks of the job that will fit
-	lostSeconds float64 // run time lost by the victims, in seconds
+	lostSeconds float64 // run time lost by the victims and by the other members of their gangs
 }
 
 // preempt stops victims for up to limit tasks of a job, for each task on the machine that is best for
@@ -88,10 +88,11 @@
 }
 
 // comparePreemptions compares two machines on which preemption is possible and returns a negative number
-// if a is better: if it has the image sooner and then, of equals, if less run time is lost.
+// if a is better: if it has the image sooner and then, of equals, if less run time is lost. For a gang
+// without FetchTooSlow, the lost run time is compared before the image.
 //
-// The image comes first by exception 2 in docs/placement.md: a fetch would cost a service the time in
-// which it should start, and more than the victims lose.
+// The image comes first by exception 2 in docs/placement.md: a fetch takes up the time in which a
+// service should start, and costs the service more than the victims lose.
 func (p *pass) comparePreemptions(job *Job, options []preemptionOption, a, b int) int {
 	byImage := cmp.Compare(p.imageRankOn(job, a), p.imageRankOn(job, b))
 	byLoss := cmp.Compare(options[a].lostSeconds, options[b].lostSeconds)
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -19,7 +19,7 @@
 	maxReservationWait = 2 * time.Minute
 
 	// maxOverdueReservationWait replaces maxReservationWait for overdue gangs, which might never start
-	// otherwise. It includes all tasks that end by themselves.
+	// otherwise. It is long enough to wait for every task that ends by itself.
 	maxOverdueReservationWait = neverEnds - 1
 )
 
@@ -36,12 +36,12 @@
 }
 
 // reserveMachines keeps machines free for a gang: nothing more is placed on them in this pass. It
-// chooses the zone that has room for the whole gang first as tasks end, there the machines that have
-// room soonest, and of these as few as hold the gang.
+// chooses the zone that is the first to have room for the whole gang as tasks end. In this zone it
+// chooses the machines that have room soonest, and of these as few as hold the gang.
 //
 // Exception 8 to the design (docs/placement.md). Guards against gangs that wait behind arrays for as
 // long as arrays arrive: small tasks take free resources at once, and a gang needs all of its resources
-// at the same time, which the design names as its weak spot (trace gang-reservation).
+// at the same time. The design names this as its weak spot (trace gang-reservation).
 func (p *pass) reserveMachines(gang *Job, zones []int) {
 	var best reservation
 	for _, zone := range zones {
--- a/internal/placement/rollback.go
+++ b/internal/placement/rollback.go
@@ -36,8 +36,10 @@
 	}
 }
 
-// beforeChange has to be called before a machine is changed for a job. It counts the change and, if a
-// savepoint is set, saves the machine. The job then has to be the gang of the savepoint.
+// beforeChange has to be called before a task is placed on a machine for a job, or victims on it are
+// stopped. It counts the change and, if a savepoint is set, saves the machine. The job then has to be
+// the gang of the savepoint. Reservations are not counted: they are made only while no savepoint is set,
+// and earliestReservation skips the reserved machines.
 func (p *pass) beforeChange(job *Job, machineIndex int) {
 	p.machineChanges++
 	if p.savepoint == nil {
@@ -51,7 +53,7 @@
 		before.image = job.Image[machineIndex]
 	}
 	p.savepoint.machines[machineIndex] = before
-	p.ownsTasks[machineIndex] = false // the savepoint refers to the tasks: copied before a write
+	p.ownsTasks[machineIndex] = false // stopVictims copies the tasks, which the savepoint shares
 }
 
 // rollBack restores the pass and the gang to the savepoint and clears it.
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -4,9 +4,9 @@
 
 import "slices"
 
-// preemptionClaim holds the properties that determine which tasks on a machine are preemptible. It is
-// used only if that does not depend on the team's limit. Tasks with the same claim share their
-// preemption options.
+// preemptionClaim holds the properties of a waiting task that determine the victims for it on a machine.
+// It is used only if the team's limit allows the task: otherwise the victims also depend on the team.
+// Waiting tasks with the same claim share their preemption options.
 type preemptionClaim struct {
 	need                    Amounts
 	priority                int
@@ -94,7 +94,8 @@
 }
 
 // isPreemptible reports whether the job may preempt a task. Urgent jobs may preempt tasks of lower
-// priority. Jobs with MayPreemptOpportunistic may preempt tasks of opportunistic teams.
+// priority. Jobs with MayPreemptOpportunistic may preempt tasks of opportunistic teams; the caller sets
+// it for jobs that are within their team's guarantee and have waited long enough.
 //
 // Exception 6 to the design (docs/placement.md), preemption of opportunistic teams. Guards against
 // breaches of guarantees: long tasks of teams without a guarantee keep resources that are guaranteed to
